--- a/src/placer-lease.c
+++ b/src/placer-lease.c
@@ -226,7 +226,7 @@
 	k->mesh->held_term = k->term;
 	event_log(LOG_NOTICE, "placer_taken", "term=%lld end=%llu served=%d",
 	    (long long)k->term, (unsigned long long)k->end_offset, k->served);
-	mesh_tell_now(k->mesh);
+	mesh_send_now(k->mesh);
 }
 
 /* Writes the lease, if nothing was written since the records were read. */
@@ -329,8 +329,8 @@
 	uint64_t wait;
 
 	if (k->store_busy || mesh->self.leaving || !mesh->self.store_ok ||
-	    k->registry->catalog == NULL || mesh->known_ms == 0 ||
-	    now_ms - MIN(mesh->known_ms, now_ms) < KNOWN_WAIT_MS)
+	    k->registry->catalog == NULL || mesh->records_read_ms == 0 ||
+	    now_ms - MIN(mesh->records_read_ms, now_ms) < KNOWN_WAIT_MS)
 		return (false);
 	if (mesh_placer_heard(mesh)) {
 		k->no_placer_ms = 0;
--- a/src/placer.c
+++ b/src/placer.c
@@ -61,7 +61,7 @@
 	    r->name, (long long)r->epoch, r->model, r->dissolve_reason,
 	    (unsigned long long)(now_ms - r->dissolving_ms),
 	    replica_proof_name(proof), head->id, group_state_name(head->state),
-	    (unsigned long long)(now_ms - MIN(head->reported_ms, now_ms)));
+	    (unsigned long long)(now_ms - MIN(head->last_report_ms, now_ms)));
 	for (unsigned i = 0; i < r->n; i++) {
 		const struct replica_member *m = &r->members[i];
 
@@ -128,7 +128,7 @@
 	head->warned_ms = now_ms;
 	head->cooldown_until_ms =
 	    MAX(head->cooldown_until_ms, now_ms + AVOID_DOOMED_MS);
-	mesh_tell_now(k->mesh);
+	mesh_send_now(k->mesh);
 }
 
 /* Looks at one replica and takes its next steps. */
@@ -215,7 +215,7 @@
 	k->last_pass_ms = now;
 	k->mesh->self.store_ok = k->registry->endpoints.synced &&
 	    k->registry->endpoints.failures == 0;
-	if (mesh_lease_outdone(k->mesh))
+	if (mesh_lease_superseded(k->mesh))
 		placer_step_down(k, "taken_over");
 	placer_lease_poll(k, now);
 	if (k->state != PLACER_HOLDING || k->registry->catalog == NULL)
