--- a/src/fwd-admission.c
+++ b/src/fwd-admission.c
@@ -64,7 +64,7 @@
 	else
 		waits = a->ahead < 1 &&
 		    in_time(a, opens + (a->resubmitted ? 0 : a->first_ms));
-	return (waits ? ADMIT_WAIT : ADMIT_REFUSE);
+	return (waits ? ADMIT_QUEUE : ADMIT_REFUSE);
 }
 
 /* Whether only limits keep the endpoints of the kind from the request. */
@@ -99,11 +99,11 @@
 	if (a->sends > 0)
 		return (only_limited(choice) && place >= a->left_ms ?
 			ADMIT_REFUSE :
-			ADMIT_WAIT);
+			ADMIT_QUEUE);
 	if (choice->usable == 0 && choice->limited == 0)
 		return (ADMIT_REFUSE);
 	return (in_time(a, place + (a->resubmitted ? 0 : a->first_ms)) ?
-		ADMIT_WAIT :
+		ADMIT_QUEUE :
 		ADMIT_REFUSE);
 }
 
--- a/src/fwd-admission.h
+++ b/src/fwd-admission.h
@@ -7,12 +7,12 @@
 /**
  * enum fwd_admission_verdict - what becomes of a request now.
  * @ADMIT_SEND: it goes to the endpoint chosen
- * @ADMIT_WAIT: a place that it can have in time is expected
+ * @ADMIT_QUEUE: a place that it can have in time is expected
  * @ADMIT_REFUSE: it can't be served in time; it is told when to come back
  */
 enum fwd_admission_verdict {
 	ADMIT_SEND,
-	ADMIT_WAIT,
+	ADMIT_QUEUE,
 	ADMIT_REFUSE,
 };
 
--- a/src/fwd-exchange.h
+++ b/src/fwd-exchange.h
@@ -10,15 +10,15 @@
 
 /**
  * enum exchange_state - how far a request is.
- * @EXCHANGE_WAITING: no endpoint has it
+ * @EXCHANGE_QUEUED: no endpoint has it
  * @EXCHANGE_SENT: an endpoint has it; nothing was given to the caller
- * @EXCHANGE_ANSWERING: part of the answer was given to the caller
+ * @EXCHANGE_RESPONDING: part of the answer was given to the caller
  * @EXCHANGE_DONE: over
  */
 enum exchange_state {
-	EXCHANGE_WAITING,
+	EXCHANGE_QUEUED,
 	EXCHANGE_SENT,
-	EXCHANGE_ANSWERING,
+	EXCHANGE_RESPONDING,
 	EXCHANGE_DONE,
 };
 
@@ -80,7 +80,7 @@
  * @crash_suspected: it is suspected of having ended its endpoint, by silence
  * @paused: the endpoint's connection is paused for a slow caller
  * @entry: in the engine's list
- * @wait_entry: in the list of those that wait
+ * @queue_entry: in the list of those that wait
  */
 struct fwd_exchange {
 	struct fwd *fwd;
@@ -137,7 +137,7 @@
 	bool crash_suspected;
 	bool paused;
 	TAILQ_ENTRY(fwd_exchange) entry;
-	TAILQ_ENTRY(fwd_exchange) wait_entry;
+	TAILQ_ENTRY(fwd_exchange) queue_entry;
 };
 
 void fwd_exchange_start(struct fwd *, struct fwd_conn *);
--- a/src/fwd-response.c
+++ b/src/fwd-response.c
@@ -128,7 +128,7 @@
 
 	if (ex->state == EXCHANGE_SENT) {
 		ex->first_us = clock_now_us();
-		ex->state = EXCHANGE_ANSWERING;
+		ex->state = EXCHANGE_RESPONDING;
 		fwd_conn_begin(caller, ex->status, ex->headers->str);
 	}
 	fwd_conn_write(caller, ex->events.buf->str, length);
@@ -194,7 +194,7 @@
 		return;
 	if (!ex->passthrough) {
 		ex->passthrough = true;
-		ex->state = EXCHANGE_ANSWERING;
+		ex->state = EXCHANGE_RESPONDING;
 		ex->first_us = clock_now_us();
 		fwd_conn_begin(ex->conn, ex->status, ex->headers->str);
 	}
--- a/src/fwd.c
+++ b/src/fwd.c
@@ -51,10 +51,10 @@
 static void
 try_waiting(struct fwd *fwd)
 {
-	struct fwd_exchange *ex = TAILQ_FIRST(&fwd->waiting);
+	struct fwd_exchange *ex = TAILQ_FIRST(&fwd->queue);
 
 	while (ex != NULL) {
-		struct fwd_exchange *next = TAILQ_NEXT(ex, wait_entry);
+		struct fwd_exchange *next = TAILQ_NEXT(ex, queue_entry);
 
 		fwd_exchange_dispatch(ex);
 		ex = next;
@@ -165,7 +165,7 @@
 	fwd->daemons = 1;
 	TAILQ_INIT(&fwd->conns);
 	TAILQ_INIT(&fwd->exchanges);
-	TAILQ_INIT(&fwd->waiting);
+	TAILQ_INIT(&fwd->queue);
 	fwd->budgets =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	fwd->estimates =
--- a/src/fwd.h
+++ b/src/fwd.h
@@ -50,7 +50,7 @@
  * @dispatch_timer: gives freed places to exchanges that wait
  * @conns: connections
  * @exchanges: all that are not done
- * @waiting: those without an endpoint
+ * @queue: those without an endpoint
  * @n_exchanges: length of @exchanges
  * @budgets: service name to struct fwd_budget
  * @estimates: name of a model, or of a service without models, to struct
@@ -76,7 +76,7 @@
 	uv_timer_t dispatch_timer;
 	struct fwd_conn_list conns;
 	struct fwd_exchange_list exchanges;
-	struct fwd_exchange_list waiting;
+	struct fwd_exchange_list queue;
 	unsigned n_exchanges;
 	GHashTable *budgets;
 	GHashTable *estimates;
