--- a/src/fwd-admission.c
+++ b/src/fwd-admission.c
@@ -1,27 +1,27 @@
 /*
- * Whether a request is sent, waits for a place or is refused. Pure.
+ * Admission control: send, queue or refuse a request. Pure.
  *
- * Answers loads above what the replicas can take: a burst, or replicas lost
- * until they are formed again. A request waits for as long as a place that it
- * can have in time is expected, and not longer: each one that is served late
- * makes later ones late. One that was refused comes back when a replica that
- * is being repaired should serve again.
+ * Handles load above the capacity of the replicas: a burst, or replicas that
+ * are lost until they are formed again. A request is queued only while a slot
+ * is expected in time for it, since each request that is served late delays
+ * later ones. A refused client is told to retry when a replica that is being
+ * repaired should serve again.
  */
 #include <math.h>
 
 #include "fwd-admission.h"
 
-/* When to come back where the service has no models that a repair would load:
- * about as long as an endpoint rests after failures. */
+/* Time to retry for a service without models, where no repair has to load one:
+ * about the cooldown of an endpoint after failures. */
 #define RETRY_PLAIN_MS 400
-/* Part of the time to come back over which callers are spread, so that they
- * don't return all at once. */
+/* Jitter as a part of the time to retry, so that the clients don't all return
+ * at once. */
 #define RETRY_SPREAD 0.5
-/* Callers heed a time to come back up to this part of the time they have. */
+/* Clients obey a time to retry up to this part of the time that they have. */
 #define RETRY_HEEDED (1.0 / 3)
 #define MS_PER_S 1000
 
-/* Expected time until a place becomes free for the request. */
+/* Expected time until a slot becomes free for the request. */
 static double
 place_ms(const struct admission *a)
 {
@@ -30,14 +30,14 @@
 	return (a->whole_ms / a->choice->taken * (a->ahead + 1));
 }
 
-/* Whether a request that has a place would be answered in time. */
+/* Whether a request that starts in @from_now_ms would meet its objective. */
 static bool
 in_time(const struct admission *a, double from_now_ms)
 {
 	return (a->waited_ms + from_now_ms <= a->objective_ms);
 }
 
-/* Time until the first rest of an endpoint of the kind ends. */
+/* Time until the first requested backoff of a matching endpoint ends. */
 static double
 opens_ms(const struct admission *a)
 {
@@ -50,8 +50,8 @@
 }
 
 /*
- * What becomes of a request whose endpoints all rest or leave. After a rest one
- * request goes to the endpoint first, so no more than one waits for its end.
+ * Decides on a request whose endpoints are all in backoff or draining. After a
+ * backoff a single request probes the endpoint, so only one is queued for it.
  */
 static enum admission_verdict
 decide_closed(const struct admission *a)
@@ -67,7 +67,7 @@
 	return (waits ? ADMIT_WAIT : ADMIT_REFUSE);
 }
 
-/* Whether only limits keep the endpoints of the kind from the request. */
+/* Whether rate limits alone keep matching endpoints from having the request. */
 static bool
 only_limited(const struct fwd_choice *choice)
 {
@@ -75,8 +75,8 @@
 }
 
 /**
- * admission_decide() - decide about a request that has no endpoint.
- * @a: the request
+ * admission_decide() - decide on a request that has no endpoint.
+ * @a: the request and the endpoints' state
  */
 enum admission_verdict
 admission_decide(const struct admission *a)
@@ -85,8 +85,8 @@
 	double place = fmin(place_ms(a), choice->turn_ms);
 
 	if (choice->endpoint != NULL) {
-		/* With free places a late answer is no reason to refuse, and
-		 * expectations are least sure where little runs. */
+		/* While slots are free a late response is no reason to refuse,
+		 * and estimates are least certain at low load. */
 		if (a->sends > 0 || a->returned || a->want->model == NULL ||
 		    choice->load < FWD_FULL_ENOUGH || in_time(a, a->first_ms))
 			return (ADMIT_SEND);
@@ -94,7 +94,7 @@
 	}
 	if (fwd_choice_all_closed(choice))
 		return (decide_closed(a));
-	/* What was begun goes on as long as there is time. */
+	/* A request that was sent before is retried until its deadline. */
 	if (a->sends > 0)
 		return (only_limited(choice) && place >= a->left_ms ?
 			ADMIT_REFUSE :
@@ -107,8 +107,8 @@
 }
 
 /**
- * admission_retry_ms() - when a refused request should come back.
- * @a: the request
+ * admission_retry_ms() - time after which a refused client should retry.
+ * @a: the request and the endpoints' state
  */
 int64_t
 admission_retry_ms(const struct admission *a)
@@ -119,11 +119,11 @@
 	if (a->want->model != NULL)
 		retry = a->want->model->warm_ms + a->want->engine->form_ms;
 	retry *= 1 + spread;
-	/* All daemons together have a turn so often. */
+	/* All daemons together get permits at this rate. */
 	if (only_limited(a->choice))
 		retry = (1 + spread) *
 		    fmax(MS_PER_S / a->choice->limits_per_s, RETRY_PLAIN_MS);
-	/* Before the first rest is over a caller would be refused again. */
+	/* Before the first backoff ends the client would be refused again. */
 	if (fwd_choice_all_closed(a->choice) && a->choice->opens != NULL)
 		retry =
 		    opens_ms(a) + spread * fmax(opens_ms(a), RETRY_PLAIN_MS);
--- a/src/fwd-admission.h
+++ b/src/fwd-admission.h
@@ -1,14 +1,14 @@
-/* Whether a request is sent, waits for a place or is refused. Pure. */
+/* Admission control: send, queue or refuse a request. Pure. */
 #ifndef BL_FWD_ADMISSION_H
 #define BL_FWD_ADMISSION_H
 
 #include "fwd-choose.h"
 
 /**
- * enum admission_verdict - what becomes of a request now.
- * @ADMIT_SEND: it goes to the endpoint chosen
- * @ADMIT_WAIT: a place that it can have in time is expected
- * @ADMIT_REFUSE: it can't be served in time; it is told when to come back
+ * enum admission_verdict - decision on a request.
+ * @ADMIT_SEND: send it to the chosen endpoint
+ * @ADMIT_WAIT: queue it; a slot is expected to become free in time
+ * @ADMIT_REFUSE: it can't be served in time; refuse it with a time to retry
  */
 enum admission_verdict {
 	ADMIT_SEND,
@@ -17,19 +17,22 @@
 };
 
 /**
- * struct admission - a request that has no endpoint, and what is known of it.
- * @want: what it needs
- * @choice: the endpoint found for it, if any
- * @first_ms: when the first event of a request of usual size is expected there
- * @objective_ms: when its answer has its full worth
- * @waited_ms: since it arrived
- * @left_ms: until its deadline
- * @returned: it was refused before, so its objective has passed
- * @sends: times it was sent
- * @begun: it may have run, or part of its answer was given
- * @whole_ms: how long requests of its kind hold a place
- * @ahead: requests that wait before it for the same places, at all daemons;
- *	turns at limits are this daemon's own, and go by @want
+ * struct admission - input of the decision on a request without an endpoint.
+ * @want: what it requires of an endpoint
+ * @choice: the endpoint chosen for it, if any
+ * @first_ms: expected time to the first event of a request of usual size at
+ *	that endpoint
+ * @objective_ms: latency objective of the route, counted from the arrival
+ * @waited_ms: time since it arrived
+ * @left_ms: time until its deadline
+ * @returned: the client resubmitted it after a refusal, so its objective has
+ *	passed
+ * @sends: number of times it was sent
+ * @begun: it may have run, or part of its response was passed on
+ * @whole_ms: average time for which a request of its kind occupies a slot
+ * @ahead: requests queued before it for the same slots, at all daemons;
+ *	permits of rate limits are this daemon's own, so @want has the number
+ *	for those
  * @draw: random number
  */
 struct admission {
--- a/src/fwd-admit.c
+++ b/src/fwd-admit.c
@@ -1,4 +1,4 @@
-/* From a request's head to an exchange: route, customer, service, model. */
+/* Resolves the route, customer, service and model of a request. */
 #include <string.h>
 #include <xxhash.h>
 
@@ -6,16 +6,17 @@
 #include "event-log.h"
 #include "fwd-exchange.h"
 
-/* When to come back to a daemon that lacks a fresh configuration. */
+/* Time to retry at a daemon without a fresh configuration. */
 #define RETRY_STALE_MS 300
-/* And to one that has none yet: it has just started, and half of 295 daemons
- * that came back together had theirs 0.5 s after they listened. Callers come
- * back once, so a time that is too short loses their request. */
+/* Time to retry at a daemon that has just started and has no configuration yet.
+ * When 295 daemons restarted together, half of them had theirs 0.5 s after they
+ * began to listen. Clients retry once, so too short a time loses the request.
+ */
 #define RETRY_STARTED_MS 700
-/* How long a request without a deadline of its own may take at most. */
+/* Maximum time for a request, whatever the client and the route allow. */
 #define DEADLINE_MOST_MS 600000
 
-/* Refuses what can't be judged for lack of a fresh configuration. */
+/* Refuses a request that can't be judged without a fresh configuration. */
 static bool
 admit_stale(struct fwd_exchange *ex, const char *reason, uint64_t age)
 {
@@ -26,7 +27,7 @@
 	return (false);
 }
 
-/* Denies a request for good, if the configuration is fresh enough to. */
+/* Denies a request for good if the configuration is fresh enough for that. */
 static bool
 admit_deny(struct fwd_exchange *ex, unsigned status, const char *reason,
     uint64_t age)
@@ -43,9 +44,9 @@
 }
 
 /*
- * Finds the customer by the key. Where keys fail closed, a known key counts
- * only while the configuration was lately proved to be the newest. An unknown
- * key is denied for good only with such a proof, in either case.
+ * Finds the customer by the API key. Where keys fail closed, a known key is
+ * accepted only if the configuration was recently verified to be the newest. In
+ * either case an unknown key is denied for good only after such a verification.
  */
 static bool
 admit_customer(struct fwd_exchange *ex, const char *key, uint64_t age)
@@ -91,7 +92,7 @@
 	return (false);
 }
 
-/* The time that the request has, from the client's and the route's bounds. */
+/* Sets the deadline from the limits of the client and the route. */
 static void
 admit_times(struct fwd_exchange *ex, const struct wire_request *req)
 {
@@ -101,11 +102,12 @@
 		life = MIN(life, req->deadline_ms);
 	life = MIN(life, DEADLINE_MOST_MS);
 	ex->deadline_ms = ex->arrived_ms + (uint64_t)life;
-	/* A client that has waited longer than the objective tries again. */
+	/* The deadline shows that the client has waited longer than the
+	 * objective, so this is its retry. */
 	ex->returned = life + ex->route->objective_ms < ex->route->timeout_ms;
 }
 
-/* The request's first line and the headers that go on unchanged. */
+/* Writes the request line and the headers that are forwarded unchanged. */
 static void
 admit_request_text(struct fwd_exchange *ex, const char *method)
 {
@@ -124,14 +126,14 @@
 	}
 }
 
-/* The path of a target, without the query. */
+/* Returns the path of a target, without the query. */
 static char *
 target_path(const char *target)
 {
 	return (g_strndup(target, strcspn(target, "?#")));
 }
 
-/* The fingerprint of what is asked for. */
+/* Computes the fingerprint of the request. */
 static uint64_t
 admit_work(const struct fwd_exchange *ex, const char *method)
 {
@@ -149,12 +151,12 @@
 }
 
 /**
- * fwd_admit() - decide whether and where a request may go.
- * @ex: the exchange, with its caller and id
- * @req: the decoded head
- * @method: its method
+ * fwd_admit() - resolve the route, customer, service and model of a request.
+ * @ex: the exchange, with its client connection and id
+ * @req: the decoded headers
+ * @method: the request's method
  *
- * Return: false where the request was answered here.
+ * Return: false if the request was refused or denied.
  */
 bool
 fwd_admit(struct fwd_exchange *ex, const struct wire_request *req,
--- a/src/fwd-again.c
+++ b/src/fwd-again.c
@@ -1,19 +1,19 @@
-/* Whether and how a request is sent once more. */
+/* Retries: whether a request is sent again after a failed send. */
 #include <string.h>
 
 #include "clock.h"
 #include "event-log.h"
 #include "fwd-exchange.h"
 
-/* Sends of one request, whatever became of them. */
+/* Maximum number of sends of one request, whatever their outcome. */
 #define SENDS_MAX 5
-/* Less time than this is not worth another send. */
+/* A retry needs at least this much time before the deadline. */
 #define LEFT_LEAST_MS 40
-/* When to come back after a refusal by every endpoint that was asked. */
+/* Time to retry for the client after every endpoint asked has refused. */
 #define RETRY_REFUSED_MS 150
 
 /**
- * fwd_exchange_repeatable() - whether another endpoint may run it too.
+ * fwd_exchange_repeatable() - whether another endpoint may also run a request.
  * @ex: the exchange
  */
 bool
@@ -25,11 +25,12 @@
 }
 
 /**
- * fwd_exchange_movable() - whether a request may leave a silent endpoint.
+ * fwd_exchange_movable() - whether a request may be moved from a silent
+ *	endpoint to another.
  * @ex: the exchange, with its endpoint
  *
- * Silence alone is no reason to cut an answer: where no other endpoint may go
- * on with it, it waits for this one.
+ * Silence alone is no reason to abort a response: if no other endpoint may
+ * continue it, the exchange waits for this one.
  */
 bool
 fwd_exchange_movable(const struct fwd_exchange *ex)
@@ -39,7 +40,7 @@
 	    ex->sends < SENDS_MAX);
 }
 
-/* Why a request is not sent once more; NULL where it may be. */
+/* Returns why a request must not be retried, or NULL if it may be. */
 static const char *
 again_obstacle(struct fwd_exchange *ex)
 {
@@ -64,9 +65,9 @@
 }
 
 /**
- * fwd_exchange_again() - send a request once more, or end it.
+ * fwd_exchange_again() - retry a request, or end it if it must not be retried.
  * @ex: the exchange; its endpoint was released
- * @reason: why the last send was not enough
+ * @reason: why the last send failed
  */
 void
 fwd_exchange_again(struct fwd_exchange *ex, const char *reason)
@@ -76,7 +77,7 @@
 
 	if (ex->n_tried > 0)
 		ex->tried[ex->n_tried - 1].failed_ms = clock_loop_ms(fwd->loop);
-	/* Only what may have arrived counts as a repeat. */
+	/* A send that can't have reached its endpoint needs no retry budget. */
 	if (obstacle == NULL && ex->arrived &&
 	    !fwd_budget_take(fwd_budget_of(fwd, ex->service), &fwd->set.retry,
 		fwd->daemons, clock_loop_ms(fwd->loop)))
--- a/src/fwd-answer.c
+++ b/src/fwd-answer.c
@@ -1,25 +1,27 @@
-/* What an endpoint's answer does to an exchange. */
+/* Response of an endpoint: checks it and passes it on to the client. */
 #include <string.h>
 
 #include "clock.h"
 #include "event-log.h"
 #include "fwd-exchange.h"
 
-/* Answers up to this size are held back until they are whole, so that a cut
- * one can be asked for again; larger ones are passed on as they come. */
+/* Responses up to this size are buffered until they are complete, so that a
+ * truncated one can be retried; larger ones are passed on as they arrive. */
 #define HELD_ANSWER_BYTES 262144
-/* Weight of the newest answer in the share of failures. */
+/* Weight of the newest response in an endpoint's error rate. */
 #define ERROR_ALPHA 0.1
-/* Weight of the newest gap in the slowness of an endpoint. */
+/* Weight of the newest gap in an endpoint's slowness, and bounds of that. */
 #define SLOWNESS_ALPHA 0.03
 #define SLOWNESS_LEAST 0.5
 #define SLOWNESS_MOST 20.0
-/* Failures in a row after which an endpoint rests, and for how long. */
+/* Consecutive failures that start a cooldown of an endpoint, and its length. */
 #define FAILURES_TO_REST 2
 #define REST_MS 1000
-/* An endpoint that nothing reached rests from the first failure on. */
+/* Cooldown of an endpoint to which no connection could be made, from the first
+ * failure on. */
 #define REST_UNREACHED_MS 500
-/* A head that lost a member is reported as broken within the stall bound. */
+/* Cooldown of a group's head that lost a member; it is reported as broken
+ * within the stall timeout. */
 #define REST_BROKEN_MS 1500
 
 static bool
@@ -29,11 +31,11 @@
 	    status >= HTTP_STATUS_OK && status < HTTP_STATUS_MULTIPLE_CHOICES);
 }
 
-/* Keeps the header lines of an answer for the caller. */
+/* Keeps the header lines of a response for the client. */
 static void
 answer_keep_headers(struct fwd_exchange *ex, const struct net_head *head)
 {
-	/* Within one answer the first endpoint's headers stand. */
+	/* A resumed response keeps the headers of its first endpoint. */
 	if (ex->first_us > 0)
 		return;
 	g_string_truncate(ex->headers, 0);
@@ -45,7 +47,7 @@
 	}
 }
 
-/* Notes how an endpoint did. */
+/* Updates an endpoint's error rate and its count of consecutive failures. */
 static void
 endpoint_judge(struct endpoint *ep, bool failed)
 {
@@ -85,7 +87,10 @@
 	return (NET_TAKE);
 }
 
-/* The first event shows that the prompt was read, and how late it comes. */
+/*
+ * The first event confirms that the prompt was prefilled. Its delay beyond the
+ * profile's estimate goes into the measured overhead of the model.
+ */
 static void
 answer_first_event(struct fwd_exchange *ex)
 {
@@ -102,7 +107,7 @@
 	    (double)(now - ex->sent_ms) - ex->expected_ms + ex->extra_ms);
 }
 
-/* Learns from the time since the last event how slow the endpoint is. */
+/* Updates an endpoint's slowness from the time since the last event. */
 static void
 answer_learn_gap(struct fwd_exchange *ex, uint64_t now)
 {
@@ -120,7 +125,7 @@
 	ep->slowness = CLAMP(ep->slowness, SLOWNESS_LEAST, SLOWNESS_MOST);
 }
 
-/* Gives one event to the caller. */
+/* Passes one event on to the client. */
 static void
 answer_pass_event(struct fwd_exchange *ex, size_t length)
 {
@@ -134,7 +139,7 @@
 	fwd_caller_piece(caller, ex->events.held->str, length);
 }
 
-/* Gives all whole events on; false where the stream was ended. */
+/* Passes all complete events on. Returns false if one was missing. */
 static bool
 answer_pass_events(struct fwd_exchange *ex)
 {
@@ -183,7 +188,7 @@
 		return;
 	}
 	ex->heard_ms = clock_loop_ms(ex->fwd->loop);
-	/* What is refused may come from another incarnation. */
+	/* A refusal may come from another incarnation. */
 	if (!ex->not_run)
 		ex->endpoint->heard_ms = ex->heard_ms;
 	g_byte_array_append(ex->answer, (const guint8 *)at, (guint)length);
@@ -201,7 +206,7 @@
 	fwd_caller_flush(ex->caller);
 }
 
-/* A whole stream ends with a whole event. */
+/* Ends a stream. It is complete only if it ends with a complete event. */
 static void
 answer_stream_done(struct fwd_exchange *ex)
 {
@@ -212,7 +217,7 @@
 	fwd_exchange_finish(ex);
 }
 
-/* An answer that is whole but no success. */
+/* Whether to retry after a complete response that is not a success. */
 static bool
 answer_worth_another(struct fwd_exchange *ex)
 {
--- a/src/fwd-backlog.c
+++ b/src/fwd-backlog.c
@@ -1,10 +1,10 @@
-/* Prompt tokens that an endpoint has yet to read. Pure. */
+/* Prefill backlog: prompt tokens that an endpoint has yet to process. Pure. */
 #include <glib.h>
 
 #include "fwd-backlog.h"
 
 /**
- * fwd_backlog_tokens() - tokens that are left to read.
+ * fwd_backlog_tokens() - number of tokens left to prefill.
  * @b: the backlog
  * @now_ms: loop time
  */
@@ -16,7 +16,7 @@
 	return (MAX(b->tokens - passed * b->rate, 0));
 }
 
-/* Sets what is left. */
+/* Sets the backlog as of a loop time. */
 static void
 backlog_set(struct fwd_backlog *b, double tokens, uint64_t now_ms)
 {
@@ -25,13 +25,13 @@
 }
 
 /**
- * fwd_backlog_add() - a prompt was sent.
+ * fwd_backlog_add() - add a prompt that was sent to the endpoint.
  * @b: the backlog
- * @prompt: its tokens
- * @rate: tokens that the endpoint reads in a millisecond from now on
+ * @prompt: length of the prompt, in tokens
+ * @rate: prefill rate from now on, in tokens per millisecond
  * @now_ms: loop time
  *
- * Return: a mark of the prompt's place, for fwd_backlog_read().
+ * Return: position of the prompt's end in the backlog, for fwd_backlog_read().
  */
 double
 fwd_backlog_add(struct fwd_backlog *b, double prompt, double rate,
@@ -44,9 +44,9 @@
 }
 
 /**
- * fwd_backlog_read() - a first event shows that a prompt was read.
+ * fwd_backlog_read() - a first event confirms that a prompt was prefilled.
  * @b: the backlog
- * @mark: of the prompt; what was sent before it is read too
+ * @mark: position of the prompt; all prompts before it are prefilled too
  * @now_ms: loop time
  */
 void
@@ -58,9 +58,10 @@
 }
 
 /**
- * fwd_backlog_drop() - a prompt was taken back before its first event.
+ * fwd_backlog_drop() - remove a prompt whose request ended before its first
+ *	event.
  * @b: the backlog
- * @prompt: its tokens
+ * @prompt: length of the prompt, in tokens
  * @now_ms: loop time
  */
 void
--- a/src/fwd-backlog.h
+++ b/src/fwd-backlog.h
@@ -1,19 +1,20 @@
-/* Prompt tokens that an endpoint has yet to read. Pure. */
+/* Prefill backlog: prompt tokens that an endpoint has yet to process. Pure. */
 #ifndef BL_FWD_BACKLOG_H
 #define BL_FWD_BACKLOG_H
 
 #include <stdint.h>
 
 /**
- * struct fwd_backlog - prompt tokens sent to an endpoint and not read yet.
- * @tokens: of them, at @at_ms
- * @rate: tokens that it reads in a millisecond
- * @at_ms: loop time
- * @sent: all tokens ever sent
+ * struct fwd_backlog - prompt tokens sent to an endpoint and not prefilled yet.
+ * @tokens: the backlog at @at_ms, in tokens
+ * @rate: prefill rate, in tokens per millisecond
+ * @at_ms: loop time as of which @tokens holds
+ * @sent: tokens of all prompts ever sent to the endpoint
  *
- * An endpoint does not say when it has read a prompt; its first event comes
- * well after that. So what is left is worked out from the time that has passed,
- * and a first event shows that all that was sent before its request is read.
+ * An endpoint does not report when it has prefilled a prompt, and the first
+ * event comes well after that. So the backlog is estimated from the time that
+ * has passed and the prefill rate. The first event of a request confirms that
+ * its prompt and all prompts sent before it are prefilled.
  */
 struct fwd_backlog {
 	double tokens;
--- a/src/fwd-budget.c
+++ b/src/fwd-budget.c
@@ -1,9 +1,9 @@
-/* How many requests may be sent once more, over all daemons. Pure. */
+/* Retry budget: how many requests all daemons together may retry. Pure. */
 #include <glib.h>
 
 #include "fwd-budget.h"
 
-/* Brings the window up to now. */
+/* Advances the window to @now_ms. Returns the index of the current bucket. */
 static unsigned
 budget_advance(struct fwd_budget *b, const struct fwd_budget_rule *rule,
     uint64_t now_ms)
@@ -21,10 +21,10 @@
 }
 
 /**
- * fwd_budget_request() - count a request's first sending.
+ * fwd_budget_request() - count a request.
  * @b: the budget
  * @rule: the bound
- * @now_ms: steady time
+ * @now_ms: monotonic time
  */
 void
 fwd_budget_request(struct fwd_budget *b, const struct fwd_budget_rule *rule,
@@ -34,13 +34,13 @@
 }
 
 /**
- * fwd_budget_take() - ask to send a request once more.
+ * fwd_budget_take() - take a retry from the budget.
  * @b: the budget
  * @rule: the bound
- * @daemons: that share the slack
- * @now_ms: steady time
+ * @daemons: number of daemons that share the slack
+ * @now_ms: monotonic time
  *
- * Return: whether it may be sent; it is counted then.
+ * Return: true if the budget allows the retry; it is counted then.
  */
 bool
 fwd_budget_take(struct fwd_budget *b, const struct fwd_budget_rule *rule,
@@ -64,16 +64,17 @@
 }
 
 /**
- * fwd_sharers_note() - take in how many daemons are known to live.
- * @s: the sharers
- * @daemons: that live, this one included
- * @span_ms: of the bound that they share
- * @now_ms: steady time
+ * fwd_sharers_note() - update the peak with the daemons that are alive now.
+ * @s: the peak
+ * @daemons: number of daemons known to be alive, this one included
+ * @span_ms: window of the bound that the daemons share, in ms
+ * @now_ms: monotonic time
  *
- * A daemon that is cut off, or has lost its relay, knows of few; the others
- * still take their shares. So the most of the last one to two spans count.
+ * A daemon that is partitioned, or has lost its relay, knows only few others,
+ * but those that it doesn't see still use their shares. So the highest number
+ * of the last one to two windows counts.
  *
- * Return: daemons among which the bound is to be shared.
+ * Return: number of daemons to share the bound among.
  */
 unsigned
 fwd_sharers_note(struct fwd_sharers *s, unsigned daemons, uint64_t span_ms,
--- a/src/fwd-budget.h
+++ b/src/fwd-budget.h
@@ -1,20 +1,21 @@
-/* How many requests may be sent once more, over all daemons. Pure. */
+/* Retry budget: how many requests all daemons together may retry. Pure. */
 #ifndef BL_FWD_BUDGET_H
 #define BL_FWD_BUDGET_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Slots of the sliding window. */
+/* Buckets of the sliding window. */
 #define FWD_BUDGET_SLOTS 20
-/* Kept back, since windows slide and the daemons' shares are estimates. */
+/* Part of the bound that is used: windows slide and the daemons' shares are
+ * estimates, so using all of it might exceed it. */
 #define FWD_BUDGET_MARGIN 0.8
 
 /**
- * struct fwd_budget_rule - the bound that all daemons keep together.
- * @ratio: repeats for each request
- * @slack: repeats beyond that, for all daemons together
- * @window_ms: span in which they are counted
+ * struct fwd_budget_rule - bound on retries that all daemons keep together.
+ * @ratio: retries allowed per request
+ * @slack: retries allowed beyond that, for all daemons together
+ * @window_ms: length of the sliding window in which both are counted, in ms
  */
 struct fwd_budget_rule {
 	double ratio;
@@ -23,10 +24,10 @@
 };
 
 /**
- * struct fwd_budget - one service's requests and repeats at this daemon.
- * @requests: in each slot
- * @repeats: in each slot
- * @slot: number of the newest slot since the start of the clock
+ * struct fwd_budget - one service's requests and retries at this daemon.
+ * @requests: requests in each bucket
+ * @repeats: retries in each bucket
+ * @slot: number of the newest bucket, counted from the clock's zero
  */
 struct fwd_budget {
 	unsigned requests[FWD_BUDGET_SLOTS];
@@ -35,9 +36,9 @@
 };
 
 /**
- * struct fwd_sharers - how many daemons share a bound, on the safe side.
- * @most: most that were seen in the current span of time and the one before
- * @span: number of the current one since the start of the clock
+ * struct fwd_sharers - highest number of daemons seen alive in recent time.
+ * @most: the highest number in the current window and in the one before
+ * @span: number of the current window, counted from the clock's zero
  */
 struct fwd_sharers {
 	unsigned most[2];
--- a/src/fwd-caller.c
+++ b/src/fwd-caller.c
@@ -1,4 +1,4 @@
-/* A caller's connection: reads requests one by one, writes their answers. */
+/* A client's connection: reads requests one by one, writes their responses. */
 #include <string.h>
 
 #include "clock.h"
@@ -6,17 +6,17 @@
 #include "fwd-caller.h"
 #include "fwd-exchange.h"
 
-/* Bytes of later requests kept while one is in progress. */
+/* Pipelined bytes from which on reading from the client is paused. */
 #define HELD_BYTES 65536
-/* Output that waits for a slow caller before its endpoint is paused. */
+/* Output queued for a slow client from which on its endpoint is paused. */
 #define OUT_PAUSE_BYTES 262144
-/* Limits before the first configuration is known. */
+/* Limits and timeouts until the first configuration is known. */
 #define HEADER_BYTES_FIRST 16384
 #define BODY_BYTES_FIRST (4 << 20)
 #define HEADER_FIRST_MS 3000
 #define IDLE_FIRST_MS 15000
 
-/* How long a caller may take to read an answer that ends its connection. */
+/* How long a client may take to read a response that ends its connection. */
 #define LINGER_MS 1000
 
 static const struct caller_limits limits_first = { HEADER_BYTES_FIRST,
@@ -34,7 +34,7 @@
 	return (catalog != NULL ? &catalog->limits : &limits_first);
 }
 
-/* Stops the parser with a status of our own. */
+/* Makes the parser stop; the request is refused with @status. */
 static int
 caller_bad(struct fwd_caller *c, unsigned status)
 {
@@ -78,11 +78,11 @@
 {
 	struct fwd_caller *c = parser->data;
 
-	/* Trailers are read over: they come after the body. */
+	/* Trailers, which come after the body, are ignored. */
 	if (c->body->len > 0)
 		return (0);
-	/* The parser lets a space in a name pass; others read it as another
-	 * name. */
+	/* http_parser accepts a space in a header name; other parsers would
+	 * read it as another name. */
 	if (memchr(at, ' ', length) != NULL)
 		return (caller_bad(c, HTTP_STATUS_BAD_REQUEST));
 	net_head_add_name(&c->head, at, length);
@@ -150,7 +150,7 @@
 	.on_message_complete = on_complete,
 };
 
-/* Refuses what can't be read as a request, and ends the connection. */
+/* Refuses input that is not a valid request, and ends the connection. */
 static void
 caller_refuse_input(struct fwd_caller *c)
 {
@@ -164,7 +164,7 @@
 	fwd_caller_answer(c, status, NULL, NULL, 0);
 }
 
-/* Reads bytes until a request is whole; returns how many were used. */
+/* Parses bytes until a request is complete. Returns how many were used. */
 static size_t
 caller_parse(struct fwd_caller *c, const char *at, size_t length)
 {
@@ -184,7 +184,7 @@
 	return (used);
 }
 
-/* Begins the request that was read. */
+/* Starts an exchange for the request that was read. */
 static void
 caller_start(struct fwd_caller *c)
 {
@@ -194,7 +194,7 @@
 	fwd_exchange_start(c->fwd, c);
 }
 
-/* Works through held bytes, request by request. */
+/* Parses pipelined bytes until a request is in progress. */
 static void
 caller_run(struct fwd_caller *c)
 {
@@ -284,9 +284,9 @@
 };
 
 /**
- * fwd_caller_accept() - take a new connection.
- * @fwd: the engine
- * @listener: the listener that has it
+ * fwd_caller_accept() - accept a client's connection.
+ * @fwd: the proxy
+ * @listener: the listening socket
  */
 void
 fwd_caller_accept(struct fwd *fwd, uv_stream_t *listener)
@@ -308,7 +308,7 @@
 		net_stream_close(&c->stream);
 }
 
-/* The status line and the headers that every answer has. */
+/* Writes the status line and the headers that every response has. */
 static void
 caller_write_head(struct fwd_caller *c, unsigned status, const char *headers)
 {
@@ -322,7 +322,7 @@
 		g_string_append(c->out, "Connection: close\r\n");
 }
 
-/* The answer is written: wait for the next request, or end. */
+/* Waits for the next request after a response, or ends the connection. */
 static void
 caller_answered(struct fwd_caller *c)
 {
@@ -334,18 +334,19 @@
 		return;
 	}
 	net_stream_read(&c->stream, true);
-	/* Held bytes are worked on from the loop, not from inside a caller. */
+	/* Pipelined bytes are parsed from the loop, not within the function
+	 * that ended the exchange. */
 	if (c->held->len > 0)
 		fwd_kick(c->fwd);
 }
 
 /**
- * fwd_caller_answer() - give a whole answer.
+ * fwd_caller_answer() - send a complete response.
  * @c: the connection
- * @status: of the answer
- * @headers: lines to send beside our own, or NULL
+ * @status: status of the response
+ * @headers: additional header lines, or NULL
  * @body: the body
- * @length: its length
+ * @length: length of the body
  */
 void
 fwd_caller_answer(struct fwd_caller *c, unsigned status, const char *headers,
@@ -365,11 +366,11 @@
 }
 
 /**
- * fwd_caller_refuse() - answer without an endpoint's answer.
+ * fwd_caller_refuse() - send a response of our own without a body.
  * @c: the connection
- * @status: of the answer
- * @id: of the request, or NULL
- * @retry_ms: when to come back; negative to say nothing
+ * @status: status of the response
+ * @headers: additional header lines, or NULL
+ * @retry_ms: time after which the client should retry; negative for none
  */
 void
 fwd_caller_refuse(struct fwd_caller *c, unsigned status, const char *headers,
@@ -384,10 +385,10 @@
 }
 
 /**
- * fwd_caller_begin() - begin an answer whose length is not known.
+ * fwd_caller_begin() - begin a response of unknown length.
  * @c: the connection
- * @status: of the answer
- * @headers: lines to send beside our own
+ * @status: status of the response
+ * @headers: additional header lines
  */
 void
 fwd_caller_begin(struct fwd_caller *c, unsigned status, const char *headers)
@@ -402,10 +403,12 @@
 }
 
 /**
- * fwd_caller_piece() - give a piece of the answer's body.
+ * fwd_caller_piece() - append to the body of a response that was begun.
  * @c: the connection
  * @at: the bytes
- * @length: how many
+ * @length: number of bytes
+ *
+ * The bytes are sent by fwd_caller_flush() or fwd_caller_end().
  */
 void
 fwd_caller_piece(struct fwd_caller *c, const void *at, size_t length)
@@ -420,7 +423,7 @@
 }
 
 /**
- * fwd_caller_flush() - hand what was given to the connection.
+ * fwd_caller_flush() - pass buffered output to the byte stream.
  * @c: the connection
  */
 void
@@ -435,7 +438,7 @@
 }
 
 /**
- * fwd_caller_end() - the answer that was begun is whole.
+ * fwd_caller_end() - complete a response that was begun.
  * @c: the connection
  */
 void
@@ -447,8 +450,11 @@
 }
 
 /**
- * fwd_caller_abort() - the answer that was begun can't be made whole.
- * @c: the connection; the caller sees that the answer was cut
+ * fwd_caller_abort() - close a connection whose response can't be completed.
+ * @c: the connection
+ *
+ * The client sees that the response is truncated: by the missing last chunk, or
+ * by a reset.
  */
 void
 fwd_caller_abort(struct fwd_caller *c)
@@ -462,7 +468,7 @@
 }
 
 /**
- * fwd_caller_tick() - look at the times of a connection without exchange.
+ * fwd_caller_tick() - check the timeouts of a connection without an exchange.
  * @c: the connection
  * @now_ms: loop time
  */
--- a/src/fwd-caller.h
+++ b/src/fwd-caller.h
@@ -1,4 +1,4 @@
-/* A caller's connection: reads requests one by one, writes their answers. */
+/* A client's connection: reads requests one by one, writes their responses. */
 #ifndef BL_FWD_CALLER_H
 #define BL_FWD_CALLER_H
 
@@ -7,23 +7,24 @@
 #include "net-stream.h"
 
 /**
- * struct fwd_caller - one connection.
- * @stream: the connection
- * @fwd: the engine
- * @parser: of the request
- * @head: of the request
- * @body: of the request
- * @held: bytes that came after the request in progress
- * @out: answer bytes not yet handed to the connection
+ * struct fwd_caller - a client's connection.
+ * @stream: the connection's byte stream
+ * @fwd: the proxy
+ * @parser: parser of requests
+ * @head: request line and headers of the request being read
+ * @body: body of the request being read
+ * @held: pipelined bytes that came after the request in progress
+ * @out: response bytes not yet passed to @stream
  * @exchange: the request in progress, or NULL
- * @since_ms: loop time at which the connection or request began to wait
+ * @since_ms: loop time from which the idle and header timeouts count: the
+ *	accept, the first byte of a request or the end of a response
  * @head_only: the method is HEAD
  * @keep: the connection may carry another request
- * @whole: a request was read whole
- * @began: bytes of a request have come
- * @chunked: the answer is sent in chunks
- * @bad_status: the request is refused with this status; 0 for none
- * @entry: in the engine's list
+ * @whole: a complete request was read
+ * @began: part of a request was read
+ * @chunked: the response uses chunked transfer coding
+ * @bad_status: status with which an invalid request is refused; 0 for none
+ * @entry: entry in the proxy's list
  */
 struct fwd_caller {
 	struct net_stream stream;
--- a/src/fwd-choose.c
+++ b/src/fwd-choose.c
@@ -1,32 +1,39 @@
-/* Chooses the endpoint of a request from what is known of all. Pure. */
+/* Load balancing: chooses an endpoint for a request. Pure. */
 #include <math.h>
 #include <string.h>
 
 #include "fwd-choose.h"
 
-/* Endpoints are compared within this many candidates drawn at random, so
- * that daemons with the same late knowledge do not all choose the same. */
+/* Number of random candidates of which the best is chosen. Random, so that
+ * daemons with the same outdated load reports don't all choose the same one. */
 #define CANDIDATES 3
-/* Work in another failure domain must gain this much to be chosen: bytes
- * between failure domains are priced, and what is known of the work there is
- * older, since far daemons are told less often. */
+/* An endpoint in another failure domain must be this much faster to be chosen:
+ * traffic between failure domains is charged, and load reports from there are
+ * older, since distant daemons are sent fewer. */
 #define CROSS_DOMAIN_MS 40.0
-/* A plain endpoint's queue is counted in requests; one in another failure
- * domain counts as this much of a request more. */
+/* The same for services without models, where the cost is the load: requests
+ * per slot. */
 #define CROSS_DOMAIN_LOAD 0.15
-/* An endpoint's share of failures weighs as much as this load. */
+/* Weight of an endpoint's error rate: an error rate of 1 counts as this much
+ * load, or adds this multiple of the expected time to the first event. */
 #define ERROR_WEIGHT 2.0
-/* Where every endpoint has failed a request, one may have it again after this:
- * about the time of a short answer, in which a full one gets a place. */
+/* If every endpoint has failed a request, one may have it again after this
+ * time: about that of a short response, in which a full endpoint gets a free
+ * slot. */
 #define TRIED_AGAIN_MS 200
-/* Of the requests that other endpoints could have, one in so many may go to one
- * that has not shown yet that it takes requests again: those that are refused
- * are repeated, and repeats are usually bounded at two in ten. */
+/* One in this many of the requests that other endpoints could have may probe an
+ * endpoint after a backoff or refusal. Refused probes are retried, and retries
+ * are usually bounded at two in ten requests. */
 #define PROBE_ONE_IN 10
 
-/* Endpoints with a free place; those of them whose limits give this daemon a
- * turn, which only few daemons have; and those that rested or refused and have
- * not shown yet that they take requests again. */
+/*
+ * Endpoints with a free slot:
+ * @sure: without any restriction
+ * @turns: with a rate limit of which this daemon has a permit, as only few
+ *	daemons have
+ * @doubted: in probing after a backoff or refusal: they have not accepted a
+ *	request since
+ */
 struct found {
 	GPtrArray *sure;
 	GPtrArray *turns;
@@ -34,7 +41,8 @@
 };
 
 /*
- * Whether an endpoint has failed the request; with @again, only lately.
+ * Whether an endpoint has failed the request; with @again, only within the last
+ * TRIED_AGAIN_MS.
  */
 static bool
 want_tried(const struct fwd_want *want, const struct endpoint *ep, bool again)
@@ -50,7 +58,7 @@
 	return (false);
 }
 
-/* Whether an endpoint is of the kind that a request needs. */
+/* Whether an endpoint is of the request's service and serves its model. */
 static bool
 endpoint_fits(const struct endpoint *ep, const struct fwd_want *want)
 {
@@ -64,9 +72,9 @@
 }
 
 /**
- * fwd_want_work() - a request's work for an engine.
- * @want: the request; its engine and model are known
- * @prompt: tokens that count
+ * fwd_want_work() - a request's workload for an engine.
+ * @want: the request's criteria, with its engine and model
+ * @prompt: length of the prompt to estimate for, in tokens
  * @work: filled in
  */
 void
@@ -79,7 +87,7 @@
 	work->now_ms = want->now_ms;
 }
 
-/* What an endpoint costs a request; lower is better. */
+/* Cost of an endpoint for a request; lower is better. */
 static double
 endpoint_cost(const struct endpoint *ep, const struct fwd_want *want,
     double *first)
@@ -98,7 +106,7 @@
 	    ERROR_WEIGHT * ep->error_rate + (across ? CROSS_DOMAIN_LOAD : 0));
 }
 
-/* Requests that an endpoint should have at once at most. */
+/* Maximum number of requests that an endpoint should have at once. */
 static double
 endpoint_places(const struct endpoint *ep, const struct fwd_want *want)
 {
@@ -107,14 +115,16 @@
 	return (MAX(ep->report.slots, 1));
 }
 
-/* Endpoints that are asked only where there are no others. */
+/* Endpoints that are chosen only if there are no others: none of them, those
+ * that have failed the request, or those in a cooldown. */
 enum last_resort {
 	RESORT_NONE,
 	RESORT_TRIED,
 	RESORT_RESTING,
 };
 
-/* A rest that we guessed may be cut short; one that was asked for may not. */
+/* Whether an endpoint may be chosen. As a last resort a cooldown, which this
+ * daemon assumed, may be ignored; a backoff that was requested may not. */
 static bool
 resort_takes(const struct endpoint *ep, uint64_t now_ms,
     enum last_resort resort)
@@ -124,7 +134,7 @@
 	return (endpoint_usable(ep, now_ms));
 }
 
-/* Notes an endpoint that takes nothing by its own word, and for how long. */
+/* Notes an endpoint that has requested a backoff or is draining. */
 static void
 choice_note_closed(struct fwd_choice *choice, const struct endpoint *ep,
     uint64_t now_ms)
@@ -141,7 +151,8 @@
 		choice->opens = ep;
 }
 
-/* Whether this daemon may send the request; if not, notes when it may. */
+/* Whether this daemon has a permit of the endpoint's rate limit for the
+ * request; if not, notes when it will have one. */
 static bool
 choice_note_turn(struct fwd_choice *choice, const struct endpoint *ep,
     const struct fwd_want *want)
@@ -160,7 +171,7 @@
 	return (false);
 }
 
-/* Puts an endpoint with a free place among those of its sort. */
+/* Adds an endpoint with a free slot to the array that it belongs to. */
 static void
 found_add(const struct found *found, struct endpoint *ep)
 {
@@ -173,9 +184,8 @@
 }
 
 /*
- * Collects the endpoints with a free place that have not failed the request
- * yet; as a last resort also those that did, or all that are taken to need
- * rest without having asked for it.
+ * Collects the endpoints with a free slot that have not failed the request; as
+ * a last resort also those that did, or those in a cooldown.
  */
 static void
 collect(const struct fleet *fleet, const struct fwd_want *want,
@@ -212,7 +222,8 @@
 	}
 }
 
-/* Moves the endpoints of the own failure domain to the front. */
+/* Moves the endpoints of this daemon's failure domain to the front. Returns
+ * their number. */
 static unsigned
 near_first(GPtrArray *found, const struct fwd_want *want)
 {
@@ -229,7 +240,8 @@
 	return (n);
 }
 
-/* Moves random candidates of a part of the array to the start of that part. */
+/* Moves random candidates of the range [first, end) to the start of the range.
+ * Returns the end of the candidates. */
 static unsigned
 draw_candidates(GPtrArray *found, unsigned first, unsigned end, uint32_t *draw)
 {
@@ -246,7 +258,7 @@
 	return (first + n);
 }
 
-/* Compares some candidates with the best so far. */
+/* Compares the candidates in the range [first, end) with the best so far. */
 static void
 compare(const GPtrArray *found, unsigned first, unsigned end,
     const struct fwd_want *want, struct fwd_choice *choice, double *best)
@@ -267,8 +279,8 @@
 }
 
 /**
- * fwd_choice_all_closed() - whether all endpoints of the kind rest or leave by
- * their own word.
+ * fwd_choice_all_closed() - whether all matching endpoints have requested a
+ *	backoff or are draining.
  * @choice: the choice
  */
 bool
@@ -277,7 +289,8 @@
 	return (choice->closed > 0 && choice->closed == choice->known);
 }
 
-/* Compares random candidates, near and far, with the best so far. */
+/* Compares random candidates of this and of other failure domains with the best
+ * so far. */
 static void
 choose_among(GPtrArray *found, const struct fwd_want *want,
     struct fwd_choice *choice, uint32_t *draw, double *best)
@@ -291,9 +304,9 @@
 }
 
 /**
- * fwd_choose() - choose the endpoint of a request.
+ * fwd_choose() - choose an endpoint for a request.
  * @fleet: the endpoints
- * @want: what the request needs
+ * @want: what the request requires of an endpoint
  * @choice: filled in
  */
 void
@@ -311,17 +324,17 @@
 	collect(fleet, want, RESORT_NONE, &found, choice);
 	if (choice->usable == 0 && want->n_tried > 0)
 		collect(fleet, want, RESORT_TRIED, &found, choice);
-	/* Where all rest, one that may fail is better than none. */
+	/* If all are in a cooldown, one that may fail is better than none. */
 	if (choice->usable == 0 && want->model == NULL)
 		collect(fleet, want, RESORT_RESTING, &found, choice);
-	/* Chosen by cost, one with as little to do as the others would never
-	 * be asked again. A repeat goes where requests are taken. */
+	/* By cost alone, an endpoint in probing whose load is as low as that of
+	 * the others would never get a request again. A retry doesn't probe. */
 	if (want->n_tried == 0 && want->draw % PROBE_ONE_IN == 0)
 		choose_among(doubted, want, choice, &draw, &best);
 	if (choice->endpoint != NULL)
 		return;
-	/* First, so that of equals one that has a limit is asked: only its
-	 * answers say that the limit is over. */
+	/* First, so that of equal endpoints one with a rate limit is chosen:
+	 * only its responses tell when the limit has ended. */
 	compare(turns, 0, turns->len, want, choice, &best);
 	choose_among(sure, want, choice, &draw, &best);
 	if (choice->endpoint == NULL || choice->load >= FWD_FULL_ENOUGH)
--- a/src/fwd-choose.h
+++ b/src/fwd-choose.h
@@ -1,18 +1,18 @@
-/* Chooses the endpoint of a request from what is known of all. Pure. */
+/* Load balancing: chooses an endpoint for a request. Pure. */
 #ifndef BL_FWD_CHOOSE_H
 #define BL_FWD_CHOOSE_H
 
 #include "fwd-expect.h"
 
-/* From this part of its places on an endpoint counts as busy. */
+/* Load, as a part of its slots, from which on an endpoint counts as busy. */
 #define FWD_FULL_ENOUGH 0.6
-/* Endpoints that one request remembers to have failed it. */
+/* Maximum number of failed endpoints that are remembered for a request. */
 #define FWD_TRIED_MAX 6
 
 /**
  * struct fwd_tried - an endpoint that failed a request.
  * @endpoint: the endpoint
- * @failed_ms: loop time at which it did
+ * @failed_ms: loop time of the failure
  */
 struct fwd_tried {
 	struct endpoint *endpoint;
@@ -20,18 +20,19 @@
 };
 
 /**
- * struct fwd_want - what a request needs.
- * @service: its service
+ * struct fwd_want - what a request requires of an endpoint.
+ * @service: name of its service
  * @engine: the service's engine profile, or NULL
  * @model: the model's profile, or NULL
- * @prompt: tokens of the prompt
- * @extra_ms: learned of the model's first events
+ * @prompt: length of the prompt, in tokens
+ * @extra_ms: measured overhead of the model's first events
  * @domain: this daemon's failure domain
- * @tried: endpoints that failed it
- * @n_tried: how many
- * @ahead: requests of its kind that wait before it at this daemon
+ * @tried: endpoints that have failed the request
+ * @n_tried: length of @tried
+ * @ahead: requests of the same service and model queued before it at this
+ *	daemon
  * @now_ms: loop time
- * @draw: random numbers for the choice
+ * @draw: random number for the choice
  */
 struct fwd_want {
 	const char *service;
@@ -48,21 +49,26 @@
 };
 
 /**
- * struct fwd_choice - the endpoint chosen.
- * @endpoint: NULL where none has a free place
- * @first_ms: when its first event is expected; 0 for plain services
- * @extra_ms: part of that which was learned of the model
- * @load: part of its places that are taken
- * @taken: requests at those that are usable
- * @nearest: a usable endpoint of the kind, full or not, or NULL
- * @opens: of those that asked for rest, the one whose rest ends first, or NULL
- * @closed: endpoints of the kind that rest or leave by their own word
- * @known: endpoints of the kind, usable or not
- * @usable: those that are usable, full or not, and may have the request
- * @limited: others that are, but for this daemon's turn at their limits
- * @turn: of these, the one with the next turn, or NULL
- * @turn_ms: time until that; INFINITY where this daemon has no share of any
- * @limits_per_s: requests a second that these take from all daemons together
+ * struct fwd_choice - the endpoint chosen, and the state of the others.
+ * @endpoint: the endpoint; NULL if none has a free slot
+ * @first_ms: expected time to the first event there; 0 for services without
+ *	models
+ * @extra_ms: the part of @first_ms that is measured overhead
+ * @load: part of the endpoint's slots that are in use
+ * @taken: requests running at all usable endpoints
+ * @nearest: any usable endpoint that matches, full or not, or NULL
+ * @opens: of the endpoints that requested a backoff, the one whose backoff ends
+ *	first, or NULL
+ * @closed: matching endpoints that requested a backoff or are draining
+ * @known: all matching endpoints: those of the service that serve the model
+ * @usable: matching endpoints that may have the request, full or not
+ * @limited: matching endpoints that may have it once this daemon gets a permit
+ *	of their rate limit
+ * @turn: of these, the one with the earliest permit, or NULL
+ * @turn_ms: time until that permit; INFINITY if this daemon has no share of any
+ *	limit
+ * @limits_per_s: sum of the limits of the endpoints counted in @limited, in
+ *	requests per second from all daemons together
  */
 struct fwd_choice {
 	struct endpoint *endpoint;
--- a/src/fwd-end.c
+++ b/src/fwd-end.c
@@ -1,11 +1,11 @@
-/* The ends of an exchange: an answer, a refusal, a failure, a break. */
+/* End of an exchange: response, refusal, failure or abort. */
 #include <string.h>
 
 #include "clock.h"
 #include "event-log.h"
 #include "fwd-exchange.h"
 
-/* One line for the end of each request. */
+/* Logs the end of an exchange. */
 static void
 end_log(const struct fwd_exchange *ex, int level, const char *event,
     unsigned status, const char *reason)
@@ -33,8 +33,8 @@
 }
 
 /**
- * fwd_exchange_release() - give an endpoint's place back.
- * @ex: the exchange; its connection was given up before
+ * fwd_exchange_release() - free the slot at the endpoint.
+ * @ex: the exchange; it has no connection to the endpoint any more
  */
 void
 fwd_exchange_release(struct fwd_exchange *ex)
@@ -61,8 +61,8 @@
 }
 
 /**
- * fwd_exchange_free() - end an exchange whose caller has been told or left.
- * @ex: the exchange
+ * fwd_exchange_free() - free an exchange.
+ * @ex: the exchange; nothing more is sent to its client on its behalf
  */
 void
 fwd_exchange_free(struct fwd_exchange *ex)
@@ -91,11 +91,11 @@
 }
 
 /**
- * fwd_exchange_refuse() - say that the request has not run and never will.
- * @ex: the exchange; no endpoint may have run it
- * @status: of the answer
- * @reason: for the log
- * @retry_ms: when to come back
+ * fwd_exchange_refuse() - refuse a request that has not run and never will.
+ * @ex: the exchange; no endpoint can have run it
+ * @status: status of the response
+ * @reason: reason for the log
+ * @retry_ms: time after which the client should retry
  */
 void
 fwd_exchange_refuse(struct fwd_exchange *ex, unsigned status,
@@ -111,10 +111,10 @@
 }
 
 /**
- * fwd_exchange_fail() - answer with a failure of our own.
- * @ex: the exchange; nothing was given to its caller
- * @status: of the answer; says nothing of whether the request ran
- * @reason: for the log
+ * fwd_exchange_fail() - respond with an error of our own.
+ * @ex: the exchange; nothing was passed to its client
+ * @status: status of the response; it doesn't tell whether the request ran
+ * @reason: reason for the log
  */
 void
 fwd_exchange_fail(struct fwd_exchange *ex, unsigned status, const char *reason)
@@ -129,9 +129,10 @@
 }
 
 /**
- * fwd_exchange_break() - an answer that was begun can't be made whole.
+ * fwd_exchange_break() - abort a response that was begun and can't be
+ * completed.
  * @ex: the exchange
- * @reason: for the log
+ * @reason: reason for the log
  */
 void
 fwd_exchange_break(struct fwd_exchange *ex, const char *reason)
@@ -146,11 +147,11 @@
 }
 
 /**
- * fwd_exchange_give_up() - end a request that gets no whole answer any more.
+ * fwd_exchange_give_up() - end an exchange that gets no complete response.
  * @ex: the exchange
- * @status: of the answer where it may have run
- * @reason: for the log
- * @retry_ms: when to come back where it did not run
+ * @status: status of the response if the request may have run
+ * @reason: reason for the log
+ * @retry_ms: time after which the client should retry if it did not run
  */
 void
 fwd_exchange_give_up(struct fwd_exchange *ex, unsigned status,
@@ -165,7 +166,7 @@
 		fwd_exchange_fail(ex, status, reason);
 }
 
-/* Counts an answer that the caller has whole. */
+/* Counts and logs a complete response. */
 static void
 end_answered(struct fwd_exchange *ex)
 {
@@ -181,7 +182,7 @@
 }
 
 /**
- * fwd_exchange_deliver() - give the whole answer that was held back.
+ * fwd_exchange_deliver() - send a complete response that was buffered.
  * @ex: the exchange; its endpoint was released
  */
 void
@@ -200,7 +201,7 @@
 }
 
 /**
- * fwd_exchange_finish() - the answer that was passed on is whole.
+ * fwd_exchange_finish() - complete a response that was passed on as it came.
  * @ex: the exchange
  */
 void
--- a/src/fwd-events.c
+++ b/src/fwd-events.c
@@ -1,13 +1,13 @@
-/* Cuts a stream of server-sent events into whole events. Pure. */
+/* Splits a stream of server-sent events into events. Pure. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "fwd-events.h"
 
 /**
- * fwd_events_init() - begin an answer.
+ * fwd_events_init() - begin a response.
  * @ev: the events
- * @last: the client has the events up to this one; -1 for none
+ * @last: the client has the events up to this id; -1 for none
  */
 void
 fwd_events_init(struct fwd_events *ev, int64_t last)
@@ -18,7 +18,7 @@
 }
 
 /**
- * fwd_events_clear() - free what is held.
+ * fwd_events_clear() - free the buffer.
  * @ev: the events
  */
 void
@@ -30,8 +30,8 @@
 }
 
 /**
- * fwd_events_restart() - another endpoint goes on with the stream.
- * @ev: the events; what the first one left unfinished is dropped
+ * fwd_events_restart() - continue the stream from another endpoint.
+ * @ev: the events; an incomplete event of the first endpoint is dropped
  */
 void
 fwd_events_restart(struct fwd_events *ev)
@@ -41,12 +41,12 @@
 }
 
 /**
- * fwd_events_add() - take in bytes of the stream.
+ * fwd_events_add() - add bytes of the stream.
  * @ev: the events
  * @at: the bytes
- * @length: how many
+ * @length: number of bytes
  *
- * Return: false where an event grows beyond FWD_EVENT_BYTES.
+ * Return: false if more than FWD_EVENT_MAX_BYTES are buffered.
  */
 bool
 fwd_events_add(struct fwd_events *ev, const char *at, size_t length)
@@ -55,7 +55,7 @@
 	return (ev->held->len <= FWD_EVENT_BYTES);
 }
 
-/* Length of the first whole event, or 0. */
+/* Length of the first event, or 0 if it is not complete. */
 static size_t
 event_length(struct fwd_events *ev)
 {
@@ -75,7 +75,7 @@
 	return (0);
 }
 
-/* The id of an event, or -1 where it has none. */
+/* The id of an event, or -1 if it has none. */
 static int64_t
 event_id(const char *text, size_t length)
 {
@@ -94,9 +94,10 @@
 }
 
 /**
- * fwd_events_next() - judge the first whole event.
+ * fwd_events_next() - decide on the first event in the buffer.
  * @ev: the events
- * @length: set to its length; it stands at the start of ev->held
+ * @length: set to the length of the event, which stands at the start of the
+ *	buffer; 0 if it is not complete
  */
 enum fwd_event_verdict
 fwd_events_next(struct fwd_events *ev, size_t *length)
@@ -118,9 +119,9 @@
 }
 
 /**
- * fwd_events_drop() - the first event is dealt with.
+ * fwd_events_drop() - remove the first event from the buffer.
  * @ev: the events
- * @length: its length
+ * @length: length of the event
  */
 void
 fwd_events_drop(struct fwd_events *ev, size_t length)
--- a/src/fwd-events.h
+++ b/src/fwd-events.h
@@ -1,4 +1,4 @@
-/* Cuts a stream of server-sent events into whole events. Pure. */
+/* Splits a stream of server-sent events into events. Pure. */
 #ifndef BL_FWD_EVENTS_H
 #define BL_FWD_EVENTS_H
 
@@ -6,15 +6,15 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Largest event; an endpoint that sends more is broken. */
+/* Maximum size of an event; an endpoint that sends a larger one is broken. */
 #define FWD_EVENT_BYTES (1u << 20)
 
 /**
  * enum fwd_event_verdict - what to do with the next event.
- * @FWD_EVENT_NONE: none is whole yet
- * @FWD_EVENT_PASS: it follows the last one; give it on
- * @FWD_EVENT_SKIP: the client has it already
- * @FWD_EVENT_GAP: one is missing before it; the stream is broken
+ * @FWD_EVENT_NONE: no event is complete yet
+ * @FWD_EVENT_PASS: pass it on; it follows the last one or has no id
+ * @FWD_EVENT_SKIP: drop it; the client has it already
+ * @FWD_EVENT_GAP: an event is missing before it; the stream is broken
  */
 enum fwd_event_verdict {
 	FWD_EVENT_NONE,
@@ -24,10 +24,10 @@
 };
 
 /**
- * struct fwd_events - the events of one answer, over all of its endpoints.
- * @held: bytes of the event that is not whole yet
- * @last: id of the last event given on; -1 before the first
- * @scanned: bytes of @held that hold no end of an event
+ * struct fwd_events - the events of one response, over all of its endpoints.
+ * @held: bytes that are not passed on yet
+ * @last: id of the last event passed on; -1 before the first
+ * @scanned: length of the part of @held in which no event ends
  */
 struct fwd_events {
 	GString *held;
--- a/src/fwd-exchange.c
+++ b/src/fwd-exchange.c
@@ -1,4 +1,4 @@
-/* One request on its way to an endpoint and its answer on the way back. */
+/* An exchange: a client's request and its response, over one or more sends. */
 #include <string.h>
 
 #include "clock.h"
@@ -6,19 +6,20 @@
 #include "fwd-exchange.h"
 #include "random.h"
 
-/* What may run once gets a connection of its own: one that was idle may have
- * been dropped unsaid, and a request sent on it may not be sent again to find
- * out. The wait is for the reset of a peer that takes no more; the way to
- * another failure domain and back takes a few milliseconds. */
+/* A request that may run only once gets a new connection: an idle one may have
+ * been closed by the peer unnoticed, and the request can't be sent again to
+ * find out. Before it is sent there is this wait for the reset of a peer that
+ * accepts no more; the round trip to another failure domain takes a few ms. */
 #define ONCE_HOLD_MS 5
 #define IDLE_MOST_MS 60000
-/* A host that does not take a connection in this time is not there; a lost
- * packet is sent again after a second, which is longer than most objectives. */
+/* A host that has not accepted a connection within this time is down. A lost
+ * packet is retransmitted after a second, which is longer than most latency
+ * objectives. */
 #define CONNECT_MS 350
-/* When to come back for a request whose time was up before it was sent. */
+/* Time to retry for a request whose deadline passed before it was sent. */
 #define RETRY_LATE_MS 100
 
-/* Counts the prompt among those that the endpoint has yet to read. */
+/* Adds the prompt to the endpoint's prefill backlog. */
 static void
 exchange_note_prompt(struct fwd_exchange *ex)
 {
@@ -34,7 +35,7 @@
 	ep->pending += ex->prompt;
 }
 
-/* Counts a place at an endpoint as taken. */
+/* Takes a slot at the endpoint. */
 static void
 exchange_hold(struct fwd_exchange *ex, const struct fwd_choice *choice)
 {
@@ -56,7 +57,7 @@
 	ex->extra_ms = choice->extra_ms;
 }
 
-/* Remembers the endpoint, so that others are chosen first if it fails. */
+/* Remembers the endpoint, so that others are preferred if it fails. */
 static void
 exchange_note_tried(struct fwd_exchange *ex)
 {
@@ -66,7 +67,7 @@
 	ex->tried[ex->n_tried++].endpoint = ex->endpoint;
 }
 
-/* The whole request for one endpoint. */
+/* Builds the request as it is sent to the endpoint. */
 static GString *
 exchange_text(const struct fwd_exchange *ex)
 {
@@ -92,17 +93,17 @@
 }
 
 /**
- * fwd_exchange_send() - send a request that waits to an endpoint.
+ * fwd_exchange_send() - send a queued request to an endpoint.
  * @ex: the exchange
- * @choice: the endpoint chosen
+ * @choice: the chosen endpoint
  */
 void
 fwd_exchange_send(struct fwd_exchange *ex, const struct fwd_choice *choice)
 {
 	struct fwd *fwd = ex->fwd;
 	bool once = !fwd_exchange_repeatable(ex);
-	/* What is sent again goes on a new connection: those that were idle may
-	 * have fallen silent together. */
+	/* A retry uses a new connection: the idle ones may all have failed
+	 * together. */
 	uint64_t idle = once || ex->sends > 0 ? 0 : IDLE_MOST_MS;
 	const struct endpoint_limit *limit = &choice->endpoint->limit;
 	g_autoptr(GString) text = NULL;
@@ -143,7 +144,7 @@
 }
 
 /**
- * fwd_exchange_want() - what a request needs, for the choice.
+ * fwd_exchange_want() - what a request requires of an endpoint.
  * @ex: the exchange
  * @want: filled in
  */
@@ -165,7 +166,7 @@
 }
 
 /**
- * fwd_exchange_learned() - what answers of its kind showed.
+ * fwd_exchange_learned() - estimates of the request's model or service.
  * @ex: the exchange
  */
 struct fwd_learned *
@@ -176,9 +177,9 @@
 }
 
 /**
- * fwd_exchange_start() - begin the request that a caller sent.
- * @fwd: the engine
- * @caller: the caller
+ * fwd_exchange_start() - start an exchange for a request that was read.
+ * @fwd: the proxy
+ * @caller: connection of the client
  */
 void
 fwd_exchange_start(struct fwd *fwd, struct fwd_caller *caller)
@@ -188,8 +189,9 @@
 	    http_method_str((enum http_method)caller->parser.method);
 	struct wire_request req;
 
-	/* Proofs are judged by the time that it is, not by that at which this
-	 * round of the loop began: the process may have stood still since. */
+	/* The age of the configuration is judged by the current time, not by
+	 * that at which this round of the loop began: the process may have been
+	 * stopped since. */
 	uv_update_time(fwd->loop);
 	fwd->wire->read_request(&caller->head, &req);
 	ex->fwd = fwd;
@@ -219,8 +221,8 @@
 }
 
 /**
- * fwd_exchange_caller_left() - the caller closed its connection.
- * @ex: the exchange; work that may be repeated is ended
+ * fwd_exchange_caller_left() - handle that the client closed its connection.
+ * @ex: the exchange; it is ended unless its request may run only once
  */
 void
 fwd_exchange_caller_left(struct fwd_exchange *ex)
@@ -232,7 +234,8 @@
 	    (unsigned long long)(clock_loop_ms(ex->fwd->loop) -
 		ex->arrived_ms));
 	ex->caller = NULL;
-	/* What may run once only is let run; its answer is read and dropped. */
+	/* A request that may run only once is let run; its response is read and
+	 * dropped. */
 	if (ex->route != NULL && ex->route->repeat == REPEAT_NEVER &&
 	    ex->client != NULL && ex->client->connected)
 		return;
@@ -240,9 +243,9 @@
 }
 
 /**
- * fwd_exchange_pause() - stop or go on reading the answer.
+ * fwd_exchange_pause() - pause or resume reading the response.
  * @ex: the exchange
- * @on: whether to pause
+ * @on: true to pause
  */
 void
 fwd_exchange_pause(struct fwd_exchange *ex, bool on)
@@ -251,17 +254,17 @@
 		return;
 	ex->paused = on;
 	net_client_pause(ex->client, on);
-	/* Silence that we caused is none of the endpoint's. */
+	/* Silence during a pause is not the endpoint's. */
 	ex->heard_ms = clock_loop_ms(ex->fwd->loop);
 }
 
 /**
- * fwd_exchange_discount() - the last send is over; did the request run there?
+ * fwd_exchange_discount() - record whether the last send reached its endpoint.
  * @ex: the exchange, with its endpoint
- * @reached: the endpoint may have got it
+ * @reached: the endpoint may have received the request
  *
- * An endpoint that hangs may run it and never say so, so all that may have
- * reached one counts.
+ * An endpoint that hangs may run a request and never respond, so each send that
+ * may have reached an endpoint counts as a run.
  */
 void
 fwd_exchange_discount(struct fwd_exchange *ex, bool reached)
@@ -275,10 +278,10 @@
 }
 
 /**
- * fwd_exchange_move() - take a request from an endpoint that lost it.
+ * fwd_exchange_move() - move a request from its endpoint to another.
  * @ex: the exchange
- * @reached: the endpoint may have got it
- * @reason: for the log
+ * @reached: the endpoint may have received the request
+ * @reason: reason for the log
  */
 void
 fwd_exchange_move(struct fwd_exchange *ex, bool reached, const char *reason)
@@ -290,7 +293,8 @@
 	fwd_exchange_again(ex, reason);
 }
 
-/* Whether an endpoint that named a limit since may have the request. */
+/* Whether the request has a permit, should the endpoint have set a rate limit
+ * since it was chosen. */
 static bool
 exchange_has_turn(struct fwd_exchange *ex, uint64_t now_ms)
 {
@@ -302,11 +306,12 @@
 	return (true);
 }
 
-/* Looks at a request whose endpoint has no connection for it yet. */
+/* Checks a request whose connection to the endpoint is not established yet. */
 static void
 exchange_connecting(struct fwd_exchange *ex, uint64_t now_ms)
 {
-	/* It asked another request for rest, or said there that it leaves. */
+	/* A response to another request asked for a backoff or told that the
+	 * endpoint is draining. */
 	if (!endpoint_open(ex->endpoint, now_ms)) {
 		fwd_exchange_move(ex, false, "endpoint_closed");
 		return;
@@ -323,7 +328,7 @@
 }
 
 /**
- * fwd_exchange_tick() - look at the times of an exchange.
+ * fwd_exchange_tick() - check the deadline and timeouts of an exchange.
  * @ex: the exchange
  * @now_ms: loop time
  */
--- a/src/fwd-exchange.h
+++ b/src/fwd-exchange.h
@@ -1,4 +1,4 @@
-/* One request on its way to an endpoint and its answer on the way back. */
+/* An exchange: a client's request and its response, over one or more sends. */
 #ifndef BL_FWD_EXCHANGE_H
 #define BL_FWD_EXCHANGE_H
 
@@ -9,11 +9,11 @@
 #include "fwd.h"
 
 /**
- * enum exchange_state - how far a request is.
- * @EXCHANGE_WAITING: no endpoint has it
- * @EXCHANGE_SENT: an endpoint has it; nothing was given to the caller
- * @EXCHANGE_ANSWERING: part of the answer was given to the caller
- * @EXCHANGE_DONE: over
+ * enum exchange_state - state of an exchange.
+ * @EXCHANGE_WAITING: queued; no endpoint has the request
+ * @EXCHANGE_SENT: an endpoint has it; nothing was passed to the client
+ * @EXCHANGE_ANSWERING: part of the response was passed to the client
+ * @EXCHANGE_DONE: over, or not queued yet
  */
 enum exchange_state {
 	EXCHANGE_WAITING,
@@ -23,63 +23,67 @@
 };
 
 /**
- * struct fwd_exchange - one request.
- * @fwd: the engine
- * @caller: whose request; NULL once the caller has left
- * @catalog: the configuration that it was admitted under
+ * struct fwd_exchange - an exchange.
+ * @fwd: the proxy
+ * @caller: connection of the client; NULL once the client has left
+ * @catalog: the configuration under which the request was routed
  * @route: its route
- * @service: its service
- * @engine: the service's engine, or NULL
+ * @service: name of its service
+ * @engine: the service's engine profile, or NULL
  * @model: the model's profile, or NULL
- * @customer: who asks, or NULL
- * @id: of this attempt
- * @work: fingerprint of what it asks for; 0 until it is admitted
- * @request: the request as sent to every endpoint, up to the headers that
- *	are set for each
- * @body: of the request
+ * @customer: the customer that sent it, or NULL
+ * @id: id of the attempt, as the client named it
+ * @work: fingerprint of the request; 0 until it is routed
+ * @request: request line and headers that are the same for every endpoint
+ * @body: body of the request
  * @head_only: the method is HEAD
- * @prompt: tokens of the prompt
- * @arrived_ms: loop time
- * @arrived_us: for the histograms
- * @deadline_ms: loop time at which it must be over
- * @returned: it was refused before: less of its time is left than a new one has
- * @state: how far it is
- * @endpoint: who has it, or NULL
- * @client: connection to the endpoint
- * @sent_ms: when the endpoint got it
- * @expected_ms: when its first event was expected, from then
- * @extra_ms: part of that which was learned of the model
- * @running_at_send: requests that the endpoint had then
- * @usable_at_send: endpoints that could have had it then
- * @known_at_send: endpoints of the kind that it needs
- * @reading_at_send: prompt tokens that it had not read then
- * @mark: the place of this prompt among all sent there
- * @sends: times it was sent
- * @runs: of these, the ones that may have run
+ * @prompt: length of the prompt, in tokens
+ * @arrived_ms: loop time of the arrival
+ * @arrived_us: the same in microseconds of the monotonic clock, for the
+ *	histograms
+ * @deadline_ms: loop time at which the exchange must be over
+ * @returned: the client resubmitted the request after a refusal: less time is
+ *	left to it than a new one has
+ * @state: state of the exchange
+ * @endpoint: the endpoint that has the request, or NULL
+ * @client: connection to the endpoint, or NULL
+ * @sent_ms: loop time of the last send
+ * @expected_ms: expected time from the send to the first event
+ * @extra_ms: the part of @expected_ms that is measured overhead
+ * @running_at_send: requests that the endpoint had at the send
+ * @usable_at_send: endpoints that could have had the request at the send
+ * @known_at_send: endpoints that matched at the send, usable or not
+ * @reading_at_send: the endpoint's prefill backlog at the send, in tokens
+ * @mark: position of the prompt in that backlog, for fwd_backlog_read()
+ * @sends: number of times the request was sent
+ * @runs: number of sends after which it may have run
  * @arrived: the last send may have reached its endpoint
- * @tried: endpoints that had it; but for the one that has it, they failed it
- * @n_tried: how many
- * @status: of the answer being read
- * @headers: its header lines
- * @proof: it carries the endpoint's proof
- * @not_run: it says that the request did not run
- * @streaming: it is passed on event by event
- * @events: the stream
- * @answer: the answer's body, while it is held back
- * @passing: the answer outgrew what is held back
- * @first_us: when its first byte was given on; 0 before
+ * @tried: endpoints that the request was sent to; all but @endpoint failed it
+ * @n_tried: length of @tried
+ * @status: status of the response being read
+ * @headers: header lines of the response
+ * @proof: the response has the endpoint's signature header
+ * @not_run: the response says that the request did not run
+ * @streaming: the response is passed on event by event
+ * @events: events of the response
+ * @answer: body of the response while it is buffered
+ * @passing: the response is passed on unbuffered, since it is too large
+ * @first_us: time at which its first byte was passed on; 0 before
  * @heard_ms: loop time of the last byte from the endpoint
- * @reading: counted in the endpoint's prompt tokens
- * @probe: it shows whether the endpoint takes requests again after a rest
- * @turn: it took a turn of its endpoint's limit
- * @limit_held_back: counted as held back for want of such a turn
- * @held_back: counted as held back from an endpoint that rests or leaves
- * @resumed: its endpoint was asked for the rest of an answer
- * @poison_probe: it shows whether quarantined work still ends endpoints
- * @lost: it is suspected of having ended its endpoint, by silence
- * @paused: the endpoint's connection is paused for a slow caller
- * @entry: in the engine's list
- * @wait_entry: in the list of those that wait
+ * @reading: the prompt is counted in the endpoint's prefill backlog
+ * @probe: the send probes whether the endpoint accepts requests again after a
+ *	backoff
+ * @turn: the send has a permit of the endpoint's rate limit
+ * @limit_held_back: counted as held back for want of such a permit
+ * @held_back: counted as held back from an endpoint in backoff or draining
+ * @resumed: the endpoint was asked for the remainder of a response
+ * @poison_probe: the request probes whether a quarantined fingerprint still
+ *	crashes endpoints
+ * @lost: the fingerprint was reported as a suspect since the endpoint fell
+ *	silent
+ * @paused: reading from the endpoint is paused for a slow client
+ * @entry: entry in the proxy's list
+ * @wait_entry: entry in the queue
  */
 struct fwd_exchange {
 	struct fwd *fwd;
@@ -149,14 +153,14 @@
 struct fwd_learned *fwd_exchange_learned(const struct fwd_exchange *);
 void fwd_exchange_discount(struct fwd_exchange *, bool);
 
-/* fwd-admit.c: from a request's head to an exchange. */
+/* fwd-admit.c: route, customer, service and model of a request. */
 bool fwd_admit(struct fwd_exchange *, const struct wire_request *,
     const char *);
 
-/* fwd-try.c: a request is sent, waits or is refused. */
+/* fwd-try.c: sends, queues or refuses a request. */
 void fwd_exchange_try(struct fwd_exchange *);
 
-/* fwd-end.c: the ends of an exchange. */
+/* fwd-end.c: end of an exchange. */
 void fwd_exchange_refuse(struct fwd_exchange *, unsigned, const char *,
     int64_t);
 void fwd_exchange_fail(struct fwd_exchange *, unsigned, const char *);
@@ -168,27 +172,28 @@
 void fwd_exchange_free(struct fwd_exchange *);
 void fwd_exchange_release(struct fwd_exchange *);
 
-/* fwd-answer.c: what an endpoint's answer does to an exchange. */
+/* fwd-answer.c: response of an endpoint. */
 extern const struct net_client_ops fwd_answer_ops;
 
-/* fwd-heard.c: what an endpoint says of itself. */
+/* fwd-heard.c: feedback of an endpoint about itself. */
 void fwd_heard(struct fwd_exchange *, const struct wire_answer *);
 void fwd_heard_send(struct fwd_exchange *);
 void fwd_endpoint_rest(struct fwd_exchange *, uint64_t, const char *);
 
-/* fwd-poison.c: work that ends endpoints. */
+/* fwd-poison.c: requests that crash endpoints. */
 void fwd_poison_lost(struct fwd_exchange *, bool);
 void fwd_poison_answered(struct fwd_exchange *);
 bool fwd_poison_refuse(struct fwd_exchange *);
 void fwd_poison_over(struct fwd_exchange *);
 
-/* How long a silent endpoint rests: the platform reports it broken by then. */
+/* How long a silent endpoint is avoided: by then the platform has reported it
+ * broken. */
 #define REST_SILENT_MS 5000
 
-/* fwd-silence.c: endpoints that fall silent. */
+/* fwd-silence.c: detection of silent endpoints. */
 void fwd_silence_look(struct fwd_exchange *, uint64_t);
 
-/* fwd-again.c: whether and how a request is sent once more. */
+/* fwd-again.c: retries. */
 bool fwd_exchange_repeatable(const struct fwd_exchange *);
 bool fwd_exchange_movable(const struct fwd_exchange *);
 void fwd_exchange_again(struct fwd_exchange *, const char *);
--- a/src/fwd-expect.c
+++ b/src/fwd-expect.c
@@ -1,19 +1,20 @@
-/* When an endpoint's next events are expected. Pure. */
+/* Latency estimates: first event and gap between events. Pure. */
 #include "fwd-expect.h"
 
-/* Weight of the newest answer in what is learned of a model; hundreds come in
- * a few seconds, so some late ones hardly show. */
+/* Weight of the newest response in the averages of a model; hundreds come in a
+ * few seconds, so a few late ones hardly show. */
 #define LEARN_ALPHA 0.02
-/* The first of them count more, as long as there are few. */
+/* Up to this number of responses the average is their arithmetic mean: each
+ * counts more while there are few. */
 #define LEARN_FIRST 10
-/* One that is this far off says something of its endpoint, not of the model:
- * a dead or slow host. */
+/* A larger overhead is due to the endpoint, a dead or slow host, and not to the
+ * model. */
 #define EXTRA_MOST_MS 400.0
-/* Tokens of a million, for the profile's figure on pairs. */
+/* The profile gives the time for a million pairs of tokens. */
 #define PAIRS_UNIT 1e6
 
 /**
- * fwd_expect_running() - requests at an endpoint, one's own and the others'.
+ * fwd_expect_running() - requests at an endpoint, of this and other daemons.
  * @ep: the endpoint
  */
 double
@@ -22,7 +23,7 @@
 	return ((double)ep->inflight + ep->peer_inflight);
 }
 
-/* Time of one step with some requests that write. */
+/* Time of one decode step while @running requests decode. */
 static double
 step_ms(const struct engine_profile *e, const struct model_profile *m,
     double running)
@@ -34,7 +35,7 @@
 	    m->pace);
 }
 
-/* The steps of a pass for the requests that write. */
+/* Time of the decode steps in one pass. */
 static double
 writers_ms(const struct endpoint *ep, const struct fwd_work *work)
 {
@@ -49,8 +50,8 @@
 /**
  * fwd_expect_gap() - expected time between two tokens at an endpoint.
  * @ep: the endpoint
- * @e: its engine
- * @m: its model
+ * @e: profile of its engine
+ * @m: profile of its model
  */
 double
 fwd_expect_gap(const struct endpoint *ep, const struct engine_profile *e,
@@ -60,11 +61,11 @@
 }
 
 /**
- * fwd_expect_rate() - prompt tokens that an endpoint reads in a millisecond.
+ * fwd_expect_rate() - prefill rate of an endpoint, in tokens per millisecond.
  * @ep: the endpoint
  * @work: a request for it
  *
- * Return: 0 where the profile says nothing of reading.
+ * Return: the rate, or 0 if the profile has none.
  */
 double
 fwd_expect_rate(const struct endpoint *ep, const struct fwd_work *work)
@@ -72,7 +73,8 @@
 	return (work->engine->read_per_ms / work->model->pace / ep->slowness);
 }
 
-/* From when a prompt is read to its first event: half a pass, its own steps. */
+/* Time from a prompt's prefill to its first event: half a pass of the requests
+ * that decode, then its own first steps. */
 static double
 after_ms(const struct endpoint *ep, const struct fwd_work *work)
 {
@@ -85,13 +87,14 @@
 }
 
 /**
- * fwd_expect_backlog() - prompt tokens that an endpoint has yet to read.
+ * fwd_expect_backlog() - prefill backlog of an endpoint, in tokens.
  * @ep: the endpoint
  * @work: a request for it
  *
- * An endpoint that reads all the time has read, of the prompts without a first
- * event, what it reads between a prompt's end and its first event. The rest is
- * left; and at least what this daemon sent just now.
+ * Of the prompts without a first event, a busy endpoint has prefilled as much
+ * as it can between the end of a prompt's prefill and the first event. The
+ * remainder is the backlog, which is at least that of this daemon's own
+ * prompts.
  */
 double
 fwd_expect_backlog(const struct endpoint *ep, const struct fwd_work *work)
@@ -108,10 +111,11 @@
  * @ep: the endpoint
  * @work: the request
  *
- * A request waits for half of a pass of those that write, then for the prompts
- * before its own and its own to be read, then for its own first steps. Steps
- * between the pieces of a prompt do not show: prompts of three pieces came no
- * later than their reading takes (MEASUREMENTS, first events).
+ * A request waits for half a pass of the requests that decode, then for the
+ * prefill of the prompts before its own and of its own, then for its own first
+ * steps. Decode steps between the chunks of a prompt's prefill don't show:
+ * prompts of three chunks took no longer than their prefill (MEASUREMENTS,
+ * first events).
  *
  * Return: milliseconds from now.
  */
@@ -129,7 +133,7 @@
 	return (read + after_ms(ep, work));
 }
 
-/* Weight of the newest of some answers. */
+/* Weight of the newest of @seen values in an average. */
 static double
 learn_weight(unsigned seen)
 {
@@ -137,9 +141,9 @@
 }
 
 /**
- * fwd_learn_first() - a first event came.
- * @learned: of its model
- * @late_ms: after it was expected without what was learned
+ * fwd_learn_first() - update the average overhead of first events.
+ * @learned: estimates of the model
+ * @late_ms: delay of a first event beyond the profile's estimate
  */
 void
 fwd_learn_first(struct fwd_learned *learned, double late_ms)
@@ -150,9 +154,9 @@
 }
 
 /**
- * fwd_learn_whole() - a request ended that ran.
- * @learned: of its model or service
- * @whole_ms: since it was sent
+ * fwd_learn_whole() - update the average duration of requests.
+ * @learned: estimates of the model or service
+ * @whole_ms: time from the send to the end of the response
  */
 void
 fwd_learn_whole(struct fwd_learned *learned, double whole_ms)
--- a/src/fwd-expect.h
+++ b/src/fwd-expect.h
@@ -1,19 +1,22 @@
-/* When an endpoint's next events are expected. Pure. */
+/* Latency estimates: first event and gap between events. Pure. */
 #ifndef BL_FWD_EXPECT_H
 #define BL_FWD_EXPECT_H
 
 #include "dir-fleet.h"
 
 /**
- * struct fwd_learned - what answers showed beside the engine's profile.
- * @extra_ms: how much later they come than the profile's passes account for:
- *	the engine's own start of an answer, and the way there and back
- * @seen: first events that it was learned from
- * @whole_ms: how long a request holds its place
- * @ended: requests that this was learned from
+ * struct fwd_learned - moving averages of what responses show beyond the
+ *	engine's profile.
+ * @extra_ms: how much later the first event comes than the profile's passes
+ *	account for: the engine's own start of a response, and the network
+ *	round trip
+ * @seen: number of first events in @extra_ms
+ * @whole_ms: time for which a request occupies its slot
+ * @ended: number of requests in @whole_ms
  *
- * One for each model, and for each service without models, over all endpoints:
- *an endpoint that is slower than others has a slowness of its own.
+ * There is one for each model, and for each service without models, over all
+ * endpoints. That one endpoint is slower than others is kept in the slowness of
+ * that endpoint.
  */
 struct fwd_learned {
 	double extra_ms;
@@ -23,11 +26,11 @@
 };
 
 /**
- * struct fwd_work - a request's work for an engine.
+ * struct fwd_work - a request's workload for an engine.
  * @engine: the engine's profile
  * @model: the model's profile
- * @prompt: tokens of its prompt
- * @extra_ms: learned of the model; see struct fwd_learned
+ * @prompt: length of its prompt, in tokens
+ * @extra_ms: measured overhead of the model; see struct fwd_learned
  * @now_ms: loop time
  */
 struct fwd_work {
--- a/src/fwd-heard.c
+++ b/src/fwd-heard.c
@@ -1,6 +1,7 @@
 /*
- * What an endpoint says of itself in an answer: that it rests or leaves, or how
- * many requests a second it takes. Each word is a row of the table below.
+ * Feedback about itself that an endpoint gives in a response: that it requests
+ * a backoff, is draining, or has a rate limit. Each kind is a row of
+ * feedback_handlers.
  */
 #include <math.h>
 
@@ -9,10 +10,10 @@
 #include "fwd-exchange.h"
 
 /**
- * fwd_endpoint_rest() - prefer other endpoints for a while.
+ * fwd_endpoint_rest() - start a cooldown of an endpoint: prefer others.
  * @ex: the exchange, with its endpoint
- * @ms: how long; the endpoint did not ask for it
- * @reason: for the log
+ * @ms: length of the cooldown, which the endpoint did not ask for
+ * @reason: reason for the log
  */
 void
 fwd_endpoint_rest(struct fwd_exchange *ex, uint64_t ms, const char *reason)
@@ -26,8 +27,8 @@
 	    (unsigned long long)ms, reason, ep->failures, ex->id);
 }
 
-/* What an endpoint says holds from now; the loop's time is from before this
- * round. */
+/* Current time. Feedback holds from now on, and the loop's time is that at
+ * which this round began. */
 static uint64_t
 heard_now(const struct fwd_exchange *ex)
 {
@@ -35,7 +36,7 @@
 	return (clock_loop_ms(ex->fwd->loop));
 }
 
-/* The endpoint wants nothing from this daemon for a while. */
+/* The endpoint requests a backoff: nothing from this daemon for a while. */
 static void
 heard_rest(struct fwd_exchange *ex, const struct said *said)
 {
@@ -56,7 +57,7 @@
 	    ep->inflight, ex->id);
 }
 
-/* The endpoint ends what it has; for good within its incarnation. */
+/* The endpoint is draining; this incarnation won't accept requests again. */
 static void
 heard_leaving(struct fwd_exchange *ex, const struct said *said)
 {
@@ -64,8 +65,8 @@
 
 	if (said->number != 1 || ep->draining)
 		return;
-	/* Its entry in the store may say so later, or not at all where the
-	 * store is away. */
+	/* Its entry in the store may tell that later, or not at all while the
+	 * store is unreachable. */
 	ep->draining = true;
 	fwd_stats_count(&ex->fwd->stats, COUNT_LEAVING);
 	event_log(LOG_NOTICE, "endpoint_leaves",
@@ -75,7 +76,7 @@
 	    ep->inflight, ex->id);
 }
 
-/* What an endpoint takes has changed: a line, and a word to the others. */
+/* Logs a changed rate limit, and has other daemons notified. */
 static void
 limit_changed(struct fwd_exchange *ex, const char *event, const char *asked)
 {
@@ -90,7 +91,7 @@
 		ex->fwd->limited(ex->fwd->limited_arg, ep);
 }
 
-/* The endpoint takes so many requests a second from all daemons together. */
+/* The endpoint sets a rate limit, shared by all daemons. */
 static void
 heard_limit(struct fwd_exchange *ex, const struct said *said)
 {
@@ -108,7 +109,7 @@
 	limit_changed(ex, "endpoint_names_limit", said->text);
 }
 
-/* The endpoint names no limit, or none any more. */
+/* The response names no rate limit: one that was set before has ended. */
 static void
 heard_no_limit(struct fwd_exchange *ex)
 {
@@ -122,9 +123,9 @@
 }
 
 /**
- * struct heard_word - a word that an endpoint may say of itself.
- * @said: takes it in
- * @unsaid: an answer came without it; NULL where that means nothing
+ * struct heard_word - handler of one kind of feedback.
+ * @said: called for a response with such feedback
+ * @unsaid: called for a response without it; NULL if that means nothing
  */
 static const struct heard_word {
 	void (*said)(struct fwd_exchange *, const struct said *);
@@ -135,7 +136,7 @@
 	[SAID_LIMIT] = { heard_limit, heard_no_limit },
 };
 
-/* The endpoint took a request, which may have been to find that out. */
+/* The endpoint accepted a request, which may have been a probe. */
 static void
 heard_taken(struct fwd_exchange *ex)
 {
@@ -148,8 +149,9 @@
 }
 
 /*
- * An endpoint that turns requests away has no work, so it looks best to all
- * that come next: it drew two requests of three from replicas with places.
+ * Starts a cooldown of an endpoint that refused a request. An endpoint that
+ * refuses requests has no load, so it looks best to the next ones: it attracted
+ * two requests of three while replicas had free slots.
  */
 static void
 heard_refusal(struct fwd_exchange *ex)
@@ -159,9 +161,10 @@
 }
 
 /**
- * fwd_heard() - take in what an endpoint says of itself.
- * @ex: the exchange that it answers
- * @answer: the head of its answer; another incarnation's says nothing of it
+ * fwd_heard() - apply the feedback in a response.
+ * @ex: the exchange
+ * @answer: decoded headers of the response; those of another incarnation tell
+ *	nothing about the endpoint
  */
 void
 fwd_heard(struct fwd_exchange *ex, const struct wire_answer *answer)
@@ -195,7 +198,8 @@
 		heard_refusal(ex);
 }
 
-/* A request goes to an endpoint that named a limit. */
+/* Counts a request to an endpoint with a rate limit; logs it if it is sent
+ * without a permit. */
 static void
 heard_send_limited(struct fwd_exchange *ex)
 {
@@ -216,7 +220,8 @@
 }
 
 /**
- * fwd_heard_send() - a request goes to an endpoint.
+ * fwd_heard_send() - count and log a send that exceeds a rate limit or ignores
+ *	a backoff.
  * @ex: the exchange, with its endpoint
  */
 void
--- a/src/fwd-poison.c
+++ b/src/fwd-poison.c
@@ -1,18 +1,19 @@
-/* What requests and their ends say of work that ends endpoints. */
+/* Poison requests: observes crashes and refuses quarantined fingerprints. */
 #include <string.h>
 
 #include "clock.h"
 #include "event-log.h"
 #include "fwd-exchange.h"
 
-/* A name of eight digits and its end. */
+/* Eight hexadecimal digits and the terminator. */
 #define WORK_NAME_BYTES 9
-/* When to come back with work that the operator has refused. */
+/* Time to retry for a request that the operator has refused. */
 #define RETRY_OPERATOR_MS 600000
-/* Room for the names of the endpoints that some work is blamed for. */
+/* Size of the log field that lists crashed endpoints. */
 #define BLAMED_BYTES 256
 
-/* The endpoints that work is blamed for, for the log. */
+/* Formats the endpoints whose crashes a request is blamed for, each with the
+ * age of the crash in ms. */
 static void
 blamed_print(const struct fleet *fleet, const struct poison_work *w,
     uint64_t now_ms, char *out, size_t size)
@@ -31,7 +32,7 @@
 	}
 }
 
-/* A line with all that a verdict rests on. */
+/* Logs a verdict with all that it is based on. */
 static void
 poison_log(struct fwd *fwd, const struct poison_work *w,
     const struct poison_verdict *verdict, const char *event, const char *id)
@@ -49,7 +50,7 @@
 	    blamed);
 }
 
-/* Judges some work, with a line where that changed. */
+/* Evaluates a suspect; logs it if it became quarantined or was released. */
 static void
 poison_look(struct fwd *fwd, struct poison_work *w,
     struct poison_verdict *verdict, const char *id)
@@ -69,9 +70,9 @@
 }
 
 /**
- * fwd_poison_sweep() - judge all work that has ended endpoints, by own sight or
- * others' words.
- * @fwd: the engine
+ * fwd_poison_sweep() - evaluate all suspects, whether observed by this daemon
+ *	or reported by others.
+ * @fwd: the proxy
  */
 void
 fwd_poison_sweep(struct fwd *fwd)
@@ -86,9 +87,10 @@
 }
 
 /**
- * fwd_poison_lost() - the endpoint may have ended while it had a request.
+ * fwd_poison_lost() - record that an endpoint may have crashed while it had a
+ *	request.
  * @ex: the exchange, with its endpoint
- * @silent: it fell silent; otherwise the connection broke
+ * @silent: the endpoint fell silent; otherwise the connection broke
  */
 void
 fwd_poison_lost(struct fwd_exchange *ex, bool silent)
@@ -111,10 +113,11 @@
 }
 
 /**
- * fwd_poison_answered() - the endpoint's answer to a request is whole.
+ * fwd_poison_answered() - record that an endpoint completed a response.
  * @ex: the exchange
  *
- * The rest of an answer says nothing of what its begin does to endpoints.
+ * A resumed response doesn't count: it tells nothing about what the beginning
+ * of the request does to endpoints.
  */
 void
 fwd_poison_answered(struct fwd_exchange *ex)
@@ -130,7 +133,7 @@
 			      "-");
 }
 
-/* Whether some work is in a setting's list. */
+/* Whether a fingerprint is in the list of a setting. */
 static bool
 work_listed(const char *list, uint64_t work)
 {
@@ -143,7 +146,8 @@
 }
 
 /*
- * Lets one request of quarantined work through, at the daemon whose turn it is.
+ * Lets one request with a quarantined fingerprint through as a probe, at the
+ * daemon that the verdict has chosen for it.
  */
 static bool
 probe_begin(struct fwd_exchange *ex, struct poison_work *w,
@@ -161,7 +165,7 @@
 }
 
 /**
- * fwd_poison_over() - an exchange ends; another one may probe its work.
+ * fwd_poison_over() - end the probe of an exchange; another one may begin.
  * @ex: the exchange
  */
 void
@@ -176,7 +180,7 @@
 		w->probing = false;
 }
 
-/* Whether some work is quarantined; if so, until when. */
+/* Whether the request is quarantined and is no probe; if so, until when. */
 static bool
 work_quarantined(struct fwd_exchange *ex, uint64_t *until_ms)
 {
@@ -197,10 +201,11 @@
 }
 
 /**
- * fwd_poison_refuse() - end a request whose work is quarantined.
+ * fwd_poison_refuse() - refuse a request that is quarantined or that the
+ *	operator has refused.
  * @ex: the exchange, without an endpoint
  *
- * Return: false where it may be sent.
+ * Return: false if the request may be sent; otherwise the exchange has ended.
  */
 bool
 fwd_poison_refuse(struct fwd_exchange *ex)
--- a/src/fwd-silence.c
+++ b/src/fwd-silence.c
@@ -1,22 +1,25 @@
-/* Endpoints that fall silent: when that is judged, and what is done. */
+/* Detection of silent endpoints, and what follows from it. */
 #include "event-log.h"
 #include "fwd-exchange.h"
 
-/* Silence of a replica's streams is judged against its expected gap, with
- * this factor, and never below this bound. */
+/* Timeout of a stream between events: this multiple of the expected gap, and at
+ * least this. */
 #define SILENCE_FACTOR 5.0
 #define SILENCE_LEAST_MS 300
-/* Silence before a first event, against the expected first event. */
+/* Timeout before the first event: this multiple of the expected time to it, and
+ * at least this. */
 #define SILENCE_FIRST_FACTOR 3.0
 #define SILENCE_FIRST_LEAST_MS 500
-/* Another daemon's warning counts this long, and lowers the bounds. */
+/* For this time after another daemon's warning about an endpoint the timeouts
+ * are multiplied by this. */
 #define WARNED_MS 1500
 #define WARNED_SHARE 0.6
-/* A plain endpoint that says nothing for this many objectives is left. */
+/* Timeout of an endpoint without a model: this multiple of the route's latency
+ * objective, and at least this. */
 #define PLAIN_SILENCE_FACTOR 2.0
 #define PLAIN_SILENCE_LEAST_MS 700
 
-/* How long an endpoint may say nothing before this request is moved. */
+/* How long an endpoint may be silent before this request is moved. */
 static double
 exchange_silence_ms(const struct fwd_exchange *ex)
 {
@@ -34,17 +37,18 @@
 	return (MAX(SILENCE_FACTOR * gap, SILENCE_LEAST_MS));
 }
 
-/* Whether the endpoint has said nothing to anyone for too long. */
+/* Whether the endpoint has sent nothing to any daemon for too long. */
 static bool
 exchange_is_silent(const struct fwd_exchange *ex, uint64_t now)
 {
 	uint64_t heard = MAX(ex->heard_ms, ex->endpoint->heard_ms);
 
-	/* A replica that answers others is busy, not lost. */
+	/* A replica that sends events to other daemons is busy, not lost. */
 	heard = MAX(heard, ex->endpoint->peer_heard_ms);
 	if (ex->paused || now < ex->fwd->blind_until_ms)
 		return (false);
-	/* A plain endpoint's other answers say nothing of this one. */
+	/* An endpoint without a model handles its requests independently, so
+	 * its other responses tell nothing about this one. */
 	if (ex->model == NULL)
 		heard = ex->heard_ms;
 	return ((double)(now - MIN(heard, now)) > exchange_silence_ms(ex) *
@@ -52,7 +56,8 @@
 							      1));
 }
 
-/* The endpoint is silent: avoid it, and move what may be moved. */
+/* Starts a cooldown of a silent endpoint, warns others and moves the request if
+ * that is allowed. */
 static void
 exchange_silent(struct fwd_exchange *ex, uint64_t now)
 {
@@ -66,7 +71,7 @@
 		    ep->report.id,
 		    (unsigned long long)(now - MAX(ex->heard_ms, ep->heard_ms)),
 		    ep->inflight, ep->pending, ep->slowness, ex->id);
-		/* Its other connections may have fallen silent alike. */
+		/* Its idle connections may be dead as well. */
 		net_pool_clear(&ep->pool);
 		ep->rest_until_ms = now + REST_SILENT_MS;
 		ep->warned_ms = now;
@@ -82,8 +87,8 @@
 }
 
 /**
- * fwd_silence_look() - judge the silence of the endpoint that has a request.
- * @ex: the exchange; it is connected
+ * fwd_silence_look() - check whether the endpoint of an exchange is silent.
+ * @ex: the exchange; its connection to the endpoint is established
  * @now_ms: loop time
  */
 void
--- a/src/fwd-stats.c
+++ b/src/fwd-stats.c
@@ -1,4 +1,4 @@
-/* Counters and histograms of the forwarding engine, as text. */
+/* Counters and latency histograms of the proxy. */
 #include "fwd-stats.h"
 
 static const char *const count_names[COUNT_KINDS] = {
@@ -36,8 +36,8 @@
 } percentiles[] = { { "0.5", 0.5 }, { "0.95", 0.95 }, { "0.99", 0.99 } };
 
 /**
- * fwd_stats_init() - start all counters at zero.
- * @stats: the counters
+ * fwd_stats_init() - initialize zeroed counters and histograms.
+ * @stats: counters and histograms
  */
 void
 fwd_stats_init(struct fwd_stats *stats)
@@ -50,7 +50,7 @@
 
 /**
  * fwd_stats_clear() - free the histograms.
- * @stats: the counters
+ * @stats: counters and histograms
  */
 void
 fwd_stats_clear(struct fwd_stats *stats)
@@ -60,9 +60,9 @@
 }
 
 /**
- * fwd_stats_count() - count one.
- * @stats: the counters
- * @what: what happened
+ * fwd_stats_count() - increment a counter.
+ * @stats: counters and histograms
+ * @what: the counter
  */
 void
 fwd_stats_count(struct fwd_stats *stats, enum fwd_count what)
@@ -70,7 +70,8 @@
 	stats->counts[what]++;
 }
 
-/* The histograms of a name; NULL where there are too many names. */
+/* Finds or creates the histograms of a name; NULL if there are too many names.
+ */
 static struct fwd_label *
 stats_label(GHashTable *table, const char *name)
 {
@@ -93,12 +94,12 @@
 }
 
 /**
- * fwd_stats_answer() - count one answer's times.
- * @stats: the counters
- * @route: name of its route
- * @customer: who asked, or NULL
- * @first_us: to the first byte
- * @whole_us: to the end
+ * fwd_stats_answer() - add the latency of a complete response.
+ * @stats: counters and histograms
+ * @route: name of the route
+ * @customer: name of the customer, or NULL
+ * @first_us: time from the arrival of the request to the first byte
+ * @whole_us: time from the arrival of the request to the end
  */
 void
 fwd_stats_answer(struct fwd_stats *stats, const char *route,
@@ -142,8 +143,9 @@
 }
 
 /**
- * fwd_stats_print() - write all counters and histograms.
- * @stats: the counters
+ * fwd_stats_print() - append all counters and histograms in the text format of
+ *	metrics.
+ * @stats: counters and histograms
  * @out: text to append to
  */
 void
--- a/src/fwd-stats.h
+++ b/src/fwd-stats.h
@@ -1,4 +1,4 @@
-/* Counters and histograms of the forwarding engine, as text. */
+/* Counters and latency histograms of the proxy. */
 #ifndef BL_FWD_STATS_H
 #define BL_FWD_STATS_H
 
@@ -6,12 +6,12 @@
 
 #include "histogram.h"
 
-/* Classes and customers that get histograms of their own; a caller cannot
- * make more, since both come from the configuration. */
+/* Maximum number of routes, and of customers, with histograms of their own.
+ * Both come from the configuration, so clients cannot add any. */
 #define FWD_STATS_LABELS 64
 
 /**
- * enum fwd_count - what is counted.
+ * enum fwd_count - counters; fwd-stats.c has the name of each in the metrics.
  */
 enum fwd_count {
 	COUNT_REQUESTS,
@@ -44,9 +44,9 @@
 };
 
 /**
- * struct fwd_label - the histograms of one route or customer.
- * @first_us: from the request's arrival to the first byte of its answer
- * @whole_us: to its end
+ * struct fwd_label - latency histograms of one route or customer.
+ * @first_us: from the arrival of a request to the first byte of its response
+ * @whole_us: from the arrival of a request to the end of its response
  */
 struct fwd_label {
 	struct histogram first_us;
@@ -55,7 +55,7 @@
 
 /**
  * struct fwd_stats - all counters and histograms.
- * @counts: by enum fwd_count
+ * @counts: counters, indexed by enum fwd_count
  * @routes: route name to struct fwd_label
  * @customers: customer name to struct fwd_label
  */
--- a/src/fwd-try.c
+++ b/src/fwd-try.c
@@ -1,4 +1,4 @@
-/* Sends a request, lets it wait for a place, or refuses it. */
+/* Dispatch: sends, queues or refuses a request. */
 #include <math.h>
 #include <string.h>
 
@@ -7,7 +7,7 @@
 #include "fwd-exchange.h"
 #include "random.h"
 
-/* Requests that wait before this one for the same places here. */
+/* Number of requests queued before this one for the same slots. */
 static unsigned
 exchange_ahead(const struct fwd_exchange *ex)
 {
@@ -23,7 +23,7 @@
 	return (ahead);
 }
 
-/* What the decision on a request without an endpoint looks at. */
+/* Fills in the input of the decision on a request. */
 static void
 exchange_admission(const struct fwd_exchange *ex, const struct fwd_want *want,
     const struct fwd_choice *choice, struct admission *a)
@@ -52,12 +52,13 @@
 	a->first_ms = a->whole_ms;
 	if (ex->model == NULL)
 		return;
-	/* Judged for a prompt of usual size, so that large ones get through. */
+	/* Estimated for a prompt of at most the usual size, so that large ones
+	 * are admitted too. */
 	fwd_want_work(want, MIN(ex->prompt, ex->engine->usual_prompt), &work);
 	a->first_ms = fwd_expect_first(ep, &work);
 }
 
-/* Why a request gets no place. */
+/* Returns why a request gets no slot, for the log. */
 static const char *
 no_place_reason(const struct fwd_choice *choice)
 {
@@ -92,7 +93,7 @@
 	    no_place_reason(choice), retry);
 }
 
-/* Puts a request among those that wait, the more urgent first. */
+/* Inserts a request into the queue, by priority. */
 static void
 exchange_queue(struct fwd_exchange *ex)
 {
@@ -111,7 +112,7 @@
 }
 
 /**
- * fwd_exchange_try() - send a request, let it wait for a place, or refuse it.
+ * fwd_exchange_try() - send, queue or refuse a request.
  * @ex: the exchange
  */
 void
--- a/src/fwd-wire.h
+++ b/src/fwd-wire.h
@@ -1,4 +1,4 @@
-/* What a platform's adapter says of requests and answers. */
+/* Interface of a platform adapter for headers of requests and responses. */
 #ifndef BL_FWD_WIRE_H
 #define BL_FWD_WIRE_H
 
@@ -7,14 +7,14 @@
 #include "net-head.h"
 
 /**
- * struct wire_request - what a request's head says, decoded.
- * @id: of this attempt; NULL when missing
- * @key: the customer's key, or NULL
- * @model: the model asked for, or NULL
- * @deadline_ms: how long the client waits; -1 when not said
- * @prompt_tokens: size of the prompt; 0 when not said
- * @answer_tokens: most tokens of the answer; 0 when not said
- * @last_event: the client has the events up to this one; -1 for none
+ * struct wire_request - decoded headers of a client's request.
+ * @id: id of the attempt, or NULL
+ * @key: the customer's API key, or NULL
+ * @model: name of the requested model, or NULL
+ * @deadline_ms: how long the client waits; -1 if not given
+ * @prompt_tokens: length of the prompt; 0 if not given
+ * @answer_tokens: maximum length of the response, in tokens; 0 if not given
+ * @last_event: the client has the events up to this id; -1 for none
  */
 struct wire_request {
 	const char *id;
@@ -27,12 +27,12 @@
 };
 
 /**
- * struct wire_forward - what an endpoint is told with a request.
- * @endpoint: incarnation that is meant
- * @customer: who asks, or NULL
- * @left_ms: time left
- * @last_event: go on after this event; -1 for the start
- * @priority: 0 is first; -1 to say nothing
+ * struct wire_forward - headers that are set on a request to an endpoint.
+ * @endpoint: id of the incarnation that the request is meant for
+ * @customer: name of the customer, or NULL
+ * @left_ms: time left until the deadline
+ * @last_event: resume after this event; -1 to start at the beginning
+ * @priority: 0 is the most urgent; -1 to send none
  */
 struct wire_forward {
 	const char *endpoint;
@@ -43,10 +43,14 @@
 };
 
 /**
- * enum said_word - what an endpoint may say of itself in any answer.
- * @SAID_REST: it wants nothing from this daemon for so many ms
- * @SAID_LEAVING: 1 where it ends what it has and takes nothing new
- * @SAID_LIMIT: the requests a second that it takes from all daemons together
+ * enum said_word - feedback about itself that an endpoint may put into any
+ *	response.
+ * @SAID_REST: backoff: this daemon is to send it nothing for this long, in ms
+ * @SAID_LEAVING: 1 if it is draining: it completes what it has and accepts
+ *	nothing new
+ * @SAID_LIMIT: rate limit: requests per second that it accepts from all daemons
+ *	together
+ * @SAID_WORDS: number of kinds
  */
 enum said_word {
 	SAID_REST,
@@ -56,9 +60,9 @@
 };
 
 /**
- * struct said - one word of an endpoint.
- * @text: as it stands in the head; NULL where it doesn't
- * @number: the same as a number in the word's unit; NAN where it is none
+ * struct said - one item of feedback.
+ * @text: value of the header; NULL if the response doesn't have it
+ * @number: the value as a number, in the unit of its kind; NAN if it is none
  */
 struct said {
 	const char *text;
@@ -66,13 +70,14 @@
 };
 
 /**
- * struct wire_answer - what an answer's head says, decoded.
- * @id: of the attempt that it answers, or NULL
- * @proof: it carries the endpoint's proof
- * @not_run: the endpoint says that it did not run the request
- * @wrong_endpoint: another incarnation than the one meant has the address
- * @at_fault: the endpoint that the work depended on, or NULL
- * @said: what the endpoint says of itself, by enum said_word
+ * struct wire_answer - decoded headers of an endpoint's response.
+ * @id: id of the attempt that it responds to, or NULL
+ * @proof: it has the endpoint's signature header
+ * @not_run: the endpoint did not run the request
+ * @wrong_endpoint: the address belongs to another incarnation than the one
+ *	that the request was meant for
+ * @at_fault: id of another endpoint whose loss made it refuse, or NULL
+ * @said: feedback about the endpoint, indexed by enum said_word
  */
 struct wire_answer {
 	const char *id;
@@ -84,11 +89,11 @@
 };
 
 /**
- * struct wire_ops - an adapter's functions for requests and answers.
- * @read_request: decode a request's head
- * @passes: whether a request header goes on to the endpoint unchanged
- * @write_forward: append the headers that are set for the endpoint
- * @read_answer: decode an answer's head
+ * struct wire_ops - a platform adapter's functions for headers.
+ * @read_request: decodes the headers of a request
+ * @passes: returns whether a request header is forwarded unchanged
+ * @write_forward: appends the headers that are set for the endpoint
+ * @read_answer: decodes the status and headers of a response
  */
 struct wire_ops {
 	void (*read_request)(const struct net_head *, struct wire_request *);
--- a/src/fwd-work.c
+++ b/src/fwd-work.c
@@ -1,10 +1,11 @@
-/* What a request asks for, whatever its attempt is called. Pure. */
+/* Fingerprint of a request, the same for each attempt at it. Pure. */
 #include <glib.h>
 #include <string.h>
 
 #include "fwd-work.h"
 
-/* A word with its end, so that no two lists of words run into one. */
+/* Adds a string with its terminator, so that no two sequences of strings give
+ * the same input to the hash. */
 static void
 sum_word(GChecksum *sum, const char *word)
 {
@@ -14,11 +15,14 @@
 }
 
 /**
- * fwd_work_fingerprint() - the same for the same work, at every daemon.
- * @key: the work
+ * fwd_work_fingerprint() - compute the fingerprint of a request.
+ * @key: what identifies the request
  *
- * A cryptographic hash, so that no caller can make a request that is taken for
- * another's. Never 0.
+ * The fingerprint of the same request is the same at every daemon. It comes
+ * from a cryptographic hash, so that no client can make a request that is taken
+ * for that of another.
+ *
+ * Return: the fingerprint, never 0.
  */
 uint64_t
 fwd_work_fingerprint(const struct fwd_work_key *key)
--- a/src/fwd-work.h
+++ b/src/fwd-work.h
@@ -1,21 +1,21 @@
-/* What a request asks for, whatever its attempt is called. Pure. */
+/* Fingerprint of a request, the same for each attempt at it. Pure. */
 #ifndef BL_FWD_WORK_H
 #define BL_FWD_WORK_H
 
 #include <stddef.h>
 #include <stdint.h>
 
-/* The part of a fingerprint that log lines have. */
+/* Upper half of a fingerprint, as log lines and settings name it. */
 #define WORK_SHORT(work) ((uint32_t)((work) >> 32))
 
 /**
- * struct fwd_work_key - what makes two requests the same work.
- * @method: of the request
- * @host: that it is addressed to
+ * struct fwd_work_key - what a fingerprint is computed from.
+ * @method: method of the request
+ * @host: value of its Host header, or NULL
  * @target: path and query
- * @customer: who asks; NULL for anyone
- * @body: of the request
- * @length: of @body, in bytes
+ * @customer: name of the customer; NULL if there is none
+ * @body: body of the request
+ * @length: length of @body, in bytes
  */
 struct fwd_work_key {
 	const char *method;
--- a/src/fwd.c
+++ b/src/fwd.c
@@ -1,4 +1,4 @@
-/* The forwarding engine: callers on one side, endpoints on the other. */
+/* Reverse proxy: forwards the requests of clients to endpoints. */
 #include <string.h>
 
 #include "clock.h"
@@ -6,13 +6,14 @@
 #include "fwd-exchange.h"
 
 #define BACKLOG 512
-/* How often times are looked at while there are exchanges; a tenth of the
- * shortest bound that hangs on it. */
+/* Tick interval while there are exchanges; a tenth of the shortest timeout that
+ * depends on it. */
 #define TICK_BUSY_MS 25
 #define TICK_IDLE_MS 250
-/* A tick this late means that this process stood still. */
+/* A tick this late means that this process was stopped. */
 #define PAUSE_MS 200
-/* Time after a pause in which what piled up is read first. */
+/* Time after a pause in which the data that has queued up is read before any
+ * endpoint is judged silent. */
 #define BLIND_MS 400
 
 static void
@@ -22,7 +23,7 @@
 		fwd_caller_accept(listener->data, listener);
 }
 
-/* Looks at every exchange; each may end and free itself. */
+/* Checks the timeouts of all exchanges; each may end and free itself. */
 static void
 tick_exchanges(struct fwd *fwd, uint64_t now)
 {
@@ -47,7 +48,7 @@
 	}
 }
 
-/* Those that wait, the more urgent first. */
+/* Dispatches the queued exchanges, the most urgent first. */
 static void
 try_waiting(struct fwd *fwd)
 {
@@ -81,7 +82,7 @@
 	    fwd->n_exchanges > 0 ? TICK_BUSY_MS : TICK_IDLE_MS, 0);
 }
 
-/* Gives freed places to those that wait, and reads held requests. */
+/* Dispatches queued exchanges and reads pipelined requests. */
 static void
 on_kick(uv_timer_t *timer)
 {
@@ -92,8 +93,8 @@
 }
 
 /**
- * fwd_wake() - an exchange began: look at times often again.
- * @fwd: the engine
+ * fwd_wake() - tick at the short interval again, now that an exchange exists.
+ * @fwd: the proxy
  */
 void
 fwd_wake(struct fwd *fwd)
@@ -103,8 +104,9 @@
 }
 
 /**
- * fwd_kick() - look at waiting exchanges and held requests soon.
- * @fwd: the engine
+ * fwd_kick() - dispatch queued exchanges and read pipelined requests in the
+ *	next round of the loop.
+ * @fwd: the proxy
  */
 void
 fwd_kick(struct fwd *fwd)
@@ -114,9 +116,9 @@
 }
 
 /**
- * fwd_budget_of() - the retry budget of a service.
- * @fwd: the engine
- * @service: its name
+ * fwd_budget_of() - find or create the retry budget of a service.
+ * @fwd: the proxy
+ * @service: name of the service
  */
 struct fwd_budget *
 fwd_budget_of(struct fwd *fwd, const char *service)
@@ -131,9 +133,9 @@
 }
 
 /**
- * fwd_learned_of() - what answers of a model or service showed.
- * @fwd: the engine
- * @name: of the model, or of a service without models
+ * fwd_learned_of() - find or create the estimates of a model or service.
+ * @fwd: the proxy
+ * @name: name of the model, or of a service without models
  */
 struct fwd_learned *
 fwd_learned_of(struct fwd *fwd, const char *name)
@@ -148,10 +150,10 @@
 }
 
 /**
- * fwd_open() - start the engine.
- * @fwd: the engine; wire, dir and set are filled in
+ * fwd_open() - start the proxy.
+ * @fwd: the proxy; wire, dir and set are filled in
  * @loop: the event loop
- * @addr: where callers connect
+ * @addr: address to listen on for clients
  *
  * Return: 0, or a libuv error.
  */
@@ -185,8 +187,8 @@
 }
 
 /**
- * fwd_leave() - close each connection after its next answer.
- * @fwd: the engine
+ * fwd_leave() - close each client connection after its next response.
+ * @fwd: the proxy
  */
 void
 fwd_leave(struct fwd *fwd)
@@ -195,8 +197,8 @@
 }
 
 /**
- * fwd_stop_listening() - take no new connections.
- * @fwd: the engine
+ * fwd_stop_listening() - close the listening socket.
+ * @fwd: the proxy
  */
 void
 fwd_stop_listening(struct fwd *fwd)
@@ -208,9 +210,9 @@
 }
 
 /**
- * fwd_close_callers() - close connections.
- * @fwd: the engine
- * @busy: also those with a request in progress
+ * fwd_close_callers() - close client connections.
+ * @fwd: the proxy
+ * @busy: also close those with a request in progress
  */
 void
 fwd_close_callers(struct fwd *fwd, bool busy)
@@ -227,11 +229,11 @@
 }
 
 /**
- * fwd_callers_quiet() - whether no caller waits for anything.
- * @fwd: the engine
+ * fwd_callers_quiet() - whether no client waits for anything.
+ * @fwd: the proxy
  *
- * Those that still read an answer have it in their hands: the system goes on
- * sending it when the process is gone.
+ * Responses that are with the kernel need not be waited for: it goes on sending
+ * them when the process has exited.
  */
 bool
 fwd_callers_quiet(const struct fwd *fwd)
--- a/src/fwd.h
+++ b/src/fwd.h
@@ -1,4 +1,4 @@
-/* The forwarding engine: callers on one side, endpoints on the other. */
+/* Reverse proxy: forwards the requests of clients to endpoints. */
 #ifndef BL_FWD_H
 #define BL_FWD_H
 
@@ -14,19 +14,21 @@
 TAILQ_HEAD(fwd_exchange_list, fwd_exchange);
 
 /**
- * struct fwd_setting - what the engine is told at its start.
+ * struct fwd_setting - settings of the proxy.
  * @domain: failure domain of this daemon
- * @key_proof_ms: a key counts only while the configuration is known to have
- *	been the newest this recently
- * @keys_fail_closed: refuse known keys without that proof; otherwise they
- *	count as the newest configuration at hand has them
- * @deny_proof_ms: a request is told that its route or key is unknown only
- *	while the configuration is this fresh; otherwise to come back
- * @rest_most_ms: an endpoint that asks for rest is left alone for no longer
- * @retry: bound on repeats over all daemons
- * @released_works: work that is never quarantined: a list of log lines' names
- *	of it, separated by commas
- * @refused_works: work that is refused by the operator's word
+ * @key_proof_ms: with @keys_fail_closed, an API key is accepted only if the
+ *	configuration was verified to be the newest within this time
+ * @keys_fail_closed: refuse known keys while the configuration is older than
+ *	that; otherwise they are accepted according to the newest configuration
+ *	that the daemon has
+ * @deny_proof_ms: an unknown route or key is denied for good only if the
+ *	configuration was verified within this time; otherwise the client is
+ *	told to retry
+ * @rest_most_ms: upper bound on the backoff that an endpoint may request
+ * @retry: bound on retries over all daemons
+ * @released_works: requests that are never quarantined: fingerprints as they
+ *	stand in log lines, separated by commas
+ * @refused_works: requests that the operator has refused, in the same form
  */
 struct fwd_setting {
 	const char *domain;
@@ -40,30 +42,33 @@
 };
 
 /**
- * struct fwd - the engine.
+ * struct fwd - the proxy.
  * @loop: the event loop
- * @wire: the adapter's headers
- * @dir: what is known of the deployment
+ * @wire: the platform adapter's functions for headers
+ * @dir: catalog and endpoints
  * @set: settings
- * @listener: where callers connect
- * @tick: looks at times while there are exchanges
- * @kick: gives freed places to exchanges that wait
- * @callers: connections
- * @exchanges: all that are not done
- * @waiting: those without an endpoint
+ * @listener: listening socket for clients
+ * @tick: timer that checks deadlines and timeouts
+ * @kick: one-shot timer that dispatches queued exchanges
+ * @callers: client connections
+ * @exchanges: all exchanges that are not done
+ * @waiting: exchanges that are queued without an endpoint, the most urgent
+ *	first
  * @n_exchanges: length of @exchanges
  * @budgets: service name to struct fwd_budget
  * @learned: name of a model, or of a service without models, to struct
  *	fwd_learned
- * @daemons: that share the retry budget
- * @leaving: the daemon ends; connections are closed after their answer
+ * @daemons: number of daemons that share the retry budget
+ * @leaving: the daemon is shutting down; connections are closed after their
+ *	response
  * @closed: the listener is closed
  * @last_tick_ms: loop time of the last tick
- * @blind_until_ms: silence is not judged before, after a pause of our own
- * @suspect: told when all streams of an endpoint fell silent
- * @suspect_arg: for @suspect
- * @limited: told when an endpoint names, changes or lifts a limit
- * @limited_arg: for @limited
+ * @blind_until_ms: after a pause of this process, silence of endpoints is not
+ *	judged before this loop time
+ * @suspect: called when all streams of an endpoint have fallen silent
+ * @suspect_arg: argument of @suspect
+ * @limited: called when an endpoint sets, changes or lifts a rate limit
+ * @limited_arg: argument of @limited
  * @stats: counters and histograms
  */
 struct fwd {
