--- a/tests/test-budget.c
+++ b/tests/test-budget.c
@@ -1,4 +1,4 @@
-/* Scripts over the retry budget that all daemons share. */
+/* Scripts for the retry budget that all daemons share. */
 #include "fwd-budget.h"
 #include "script.h"
 
@@ -24,9 +24,9 @@
 		    script_number(rest, "at", 0));
 }
 
-/* repeats n=N at=MS daemons=N: how many of N repeats are granted */
+/* retries n=N at=MS daemons=N: how many of N retries are granted */
 static void
-exec_repeats(const char *rest, GString *out)
+exec_retries(const char *rest, GString *out)
 {
 	guint64 n = script_number(rest, "n", 1);
 	unsigned granted = 0;
@@ -38,9 +38,9 @@
 	g_string_append_printf(out, "granted %u\n", granted);
 }
 
-/* living n=N at=MS: daemons that are seen, and among how many the slack goes */
+/* alive n=N at=MS: daemons seen alive; prints how many share the slack */
 static void
-exec_living(const char *rest, GString *out)
+exec_alive(const char *rest, GString *out)
 {
 	g_string_append_printf(out, "shared by %u\n",
 	    fwd_sharers_note(&sharers, (unsigned)script_number(rest, "n", 1),
@@ -49,8 +49,8 @@
 
 static const struct script_command commands[] = {
 	{ "requests", exec_requests },
-	{ "repeats", exec_repeats },
-	{ "living", exec_living },
+	{ "retries", exec_retries },
+	{ "alive", exec_alive },
 	{ NULL, NULL },
 };
 
--- a/tests/test-events.c
+++ b/tests/test-events.c
@@ -1,4 +1,4 @@
-/* Scripts over streams of events: what is given on, and what is not. */
+/* Scripts for streams of events: which are passed on, and which are not. */
 #include "fwd-events.h"
 #include "script.h"
 
@@ -11,7 +11,7 @@
 	fwd_events_init(&events, -1);
 }
 
-/* begin LAST: the client has the events up to LAST; -1 for none */
+/* begin ID: the client has the events up to ID; -1 for none */
 static void
 exec_begin(const char *rest, GString *out)
 {
@@ -19,7 +19,7 @@
 	fwd_events_init(&events, g_ascii_strtoll(rest, NULL, 10));
 }
 
-/* Prints what the whole events among the held bytes come to. */
+/* Prints the verdicts on the complete events in the buffer. */
 static void
 print_events(GString *out)
 {
@@ -37,10 +37,10 @@
 			return;
 		fwd_events_drop(&events, length);
 	}
-	g_string_append_printf(out, "held %zu\n", events.held->len);
+	g_string_append_printf(out, "buffered %zu\n", events.held->len);
 }
 
-/* bytes TEXT: bytes of the stream, with C escapes */
+/* bytes TEXT: adds bytes of the stream, with C escapes */
 static void
 exec_bytes(const char *rest, GString *out)
 {
@@ -51,14 +51,14 @@
 	print_events(out);
 }
 
-/* another: another endpoint goes on with the stream */
+/* restart: another endpoint continues the stream */
 static void
-exec_another(const char *rest, GString *out)
+exec_restart(const char *rest, GString *out)
 {
 	fwd_events_restart(&events);
 }
 
-/* flood BYTES: that many bytes without an end of an event */
+/* flood BYTES: adds that many bytes in which no event ends */
 static void
 exec_flood(const char *rest, GString *out)
 {
@@ -66,13 +66,13 @@
 	g_autofree char *text = g_strnfill(n, 'x');
 
 	g_string_append(out,
-	    fwd_events_add(&events, text, n) ? "held\n" : "too large\n");
+	    fwd_events_add(&events, text, n) ? "buffered\n" : "too large\n");
 }
 
 static const struct script_command commands[] = {
 	{ "begin", exec_begin },
 	{ "bytes", exec_bytes },
-	{ "another", exec_another },
+	{ "restart", exec_restart },
 	{ "flood", exec_flood },
 	{ NULL, NULL },
 };
