--- a/src/edge.c
+++ b/src/edge.c
@@ -159,14 +159,14 @@
 
 	if (since >= LEAVE_ACCEPT_MS) {
 		fwd_stop_listening(&e->fwd);
-		fwd_close_callers(&e->fwd, false);
-		if (e->fwd.n_exchanges == 0 && fwd_callers_quiet(&e->fwd)) {
+		fwd_close_conns(&e->fwd, false);
+		if (e->fwd.n_exchanges == 0 && fwd_conns_drained(&e->fwd)) {
 			edge_stop(e, "drained");
 			return;
 		}
 	}
 	if (since + LEAVE_MARGIN_MS >= grace) {
-		fwd_close_callers(&e->fwd, true);
+		fwd_close_conns(&e->fwd, true);
 		edge_stop(e, "grace_over");
 	}
 }
@@ -185,7 +185,7 @@
 	keeper_stop(&e->keeper);
 	e->mesh.self.leaving = true;
 	mesh_tell_now(&e->mesh);
-	fwd_leave(&e->fwd);
+	fwd_drain(&e->fwd);
 	uv_timer_start(&e->leave, on_leave, LEAVE_LOOK_MS, LEAVE_LOOK_MS);
 }
 
@@ -257,7 +257,7 @@
 	    (unsigned long long)counts[COUNT_REFUSED],
 	    (unsigned long long)counts[COUNT_FAILED],
 	    (unsigned long long)counts[COUNT_SENT],
-	    (unsigned long long)counts[COUNT_REPEATED],
+	    (unsigned long long)counts[COUNT_RETRIED],
 	    (unsigned long long)counts[COUNT_RESUMED], e->fwd.n_exchanges,
 	    mesh_living(&e->mesh), (unsigned long long)calls[TOPIC_CONFIG],
 	    (unsigned long long)calls[TOPIC_ENDPOINTS],
@@ -321,7 +321,7 @@
 				       clock_loop_ms(e->loop)),
 			INT64_MAX));
 	e->was_ready = ready;
-	e->fwd.daemons = fwd_sharers_note(&e->sharers, 1 + e->mesh.size,
+	e->fwd.daemons = fwd_daemon_peak_update(&e->sharers, 1 + e->mesh.size,
 	    e->fwd.set.retry.window_ms, clock_loop_ms(e->loop));
 	edge_choose_reader(e);
 	edge_choose_patience(e);
@@ -353,7 +353,7 @@
 		mesh_tell_now(&e->mesh);
 	e->told_version = version;
 	if (!TAILQ_EMPTY(&e->fwd.waiting))
-		fwd_kick(&e->fwd);
+		fwd_schedule_dispatch(&e->fwd);
 	keeper_look_soon(&e->keeper);
 }
 
@@ -437,10 +437,10 @@
 	e->dir.changed_arg = e;
 	e->fwd.wire = e->platform->wire;
 	e->fwd.dir = &e->dir;
-	e->fwd.suspect = on_suspect;
-	e->fwd.suspect_arg = e;
-	e->fwd.limited = on_limited;
-	e->fwd.limited_arg = e;
+	e->fwd.on_silent = on_suspect;
+	e->fwd.on_silent_arg = e;
+	e->fwd.on_limit = on_limited;
+	e->fwd.on_limit_arg = e;
 	e->mesh.dir = &e->dir;
 	e->mesh.name = e->set.name;
 	e->mesh.domain = e->set.domain;
--- a/src/edge.h
+++ b/src/edge.h
@@ -72,7 +72,7 @@
 	uint64_t file_changed_ns;
 	bool announced;
 	int64_t told_version;
-	struct fwd_sharers sharers;
+	struct fwd_daemon_peak sharers;
 	uint64_t leaving_ms;
 	bool was_ready;
 };
--- a/src/fwd-backlog.c
+++ b/src/fwd-backlog.c
@@ -31,7 +31,8 @@
  * @rate: prefill rate from now on, in tokens per millisecond
  * @now_ms: loop time
  *
- * Return: position of the prompt's end in the backlog, for fwd_backlog_read().
+ * Return: position of the prompt's end in the backlog, for
+ * fwd_backlog_confirm().
  */
 double
 fwd_backlog_add(struct fwd_backlog *b, double prompt, double rate,
@@ -44,13 +45,13 @@
 }
 
 /**
- * fwd_backlog_read() - a first event confirms that a prompt was prefilled.
+ * fwd_backlog_confirm() - a first event confirms that a prompt was prefilled.
  * @b: the backlog
  * @mark: position of the prompt; all prompts before it are prefilled too
  * @now_ms: loop time
  */
 void
-fwd_backlog_read(struct fwd_backlog *b, double mark, uint64_t now_ms)
+fwd_backlog_confirm(struct fwd_backlog *b, double mark, uint64_t now_ms)
 {
 	double left = fwd_backlog_tokens(b, now_ms);
 
--- a/src/fwd-budget.h
+++ b/src/fwd-budget.h
@@ -6,7 +6,7 @@
 #include <stdint.h>
 
 /* Buckets of the sliding window. */
-#define FWD_BUDGET_SLOTS 20
+#define FWD_BUDGET_BUCKETS 20
 /* Part of the bound that is used: windows slide and the daemons' shares are
  * estimates, so using all of it might exceed it. */
 #define FWD_BUDGET_MARGIN 0.8
@@ -26,26 +26,27 @@
 /**
  * struct fwd_budget - one service's requests and retries at this daemon.
  * @requests: requests in each bucket
- * @repeats: retries in each bucket
- * @slot: number of the newest bucket, counted from the clock's zero
+ * @retries: retries in each bucket
+ * @bucket: number of the newest bucket, counted from the clock's zero
  */
 struct fwd_budget {
-	unsigned requests[FWD_BUDGET_SLOTS];
-	unsigned repeats[FWD_BUDGET_SLOTS];
-	uint64_t slot;
+	unsigned requests[FWD_BUDGET_BUCKETS];
+	unsigned retries[FWD_BUDGET_BUCKETS];
+	uint64_t bucket;
 };
 
 /**
- * struct fwd_sharers - highest number of daemons seen alive in recent time.
- * @most: the highest number in the current window and in the one before
- * @span: number of the current window, counted from the clock's zero
+ * struct fwd_daemon_peak - highest number of daemons seen alive in recent time.
+ * @peak: the highest number in the current window and in the one before
+ * @window: number of the current window, counted from the clock's zero
  */
-struct fwd_sharers {
-	unsigned most[2];
-	uint64_t span;
+struct fwd_daemon_peak {
+	unsigned peak[2];
+	uint64_t window;
 };
 
-unsigned fwd_sharers_note(struct fwd_sharers *, unsigned, uint64_t, uint64_t);
+unsigned fwd_daemon_peak_update(struct fwd_daemon_peak *, unsigned, uint64_t,
+    uint64_t);
 void fwd_budget_request(struct fwd_budget *, const struct fwd_budget_rule *,
     uint64_t);
 bool fwd_budget_take(struct fwd_budget *, const struct fwd_budget_rule *,
--- a/src/fwd-choose.h
+++ b/src/fwd-choose.h
@@ -5,7 +5,7 @@
 #include "fwd-expect.h"
 
 /* Load, as a part of its slots, from which on an endpoint counts as busy. */
-#define FWD_FULL_ENOUGH 0.6
+#define FWD_BUSY_LOAD 0.6
 /* Maximum number of failed endpoints that are remembered for a request. */
 #define FWD_TRIED_MAX 6
 
@@ -20,12 +20,12 @@
 };
 
 /**
- * struct fwd_want - what a request requires of an endpoint.
+ * struct fwd_criteria - what a request requires of an endpoint.
  * @service: name of its service
  * @engine: the service's engine profile, or NULL
  * @model: the model's profile, or NULL
  * @prompt: length of the prompt, in tokens
- * @extra_ms: measured overhead of the model's first events
+ * @overhead_ms: measured overhead of the model's first events
  * @domain: this daemon's failure domain
  * @tried: endpoints that have failed the request
  * @n_tried: length of @tried
@@ -34,12 +34,12 @@
  * @now_ms: loop time
  * @draw: random number for the choice
  */
-struct fwd_want {
+struct fwd_criteria {
 	const char *service;
 	const struct engine_profile *engine;
 	const struct model_profile *model;
 	double prompt;
-	double extra_ms;
+	double overhead_ms;
 	const char *domain;
 	const struct fwd_tried *tried;
 	unsigned n_tried;
@@ -53,43 +53,44 @@
  * @endpoint: the endpoint; NULL if none has a free slot
  * @first_ms: expected time to the first event there; 0 for services without
  *	models
- * @extra_ms: the part of @first_ms that is measured overhead
+ * @overhead_ms: the part of @first_ms that is measured overhead
  * @load: part of the endpoint's slots that are in use
- * @taken: requests running at all usable endpoints
- * @nearest: any usable endpoint that matches, full or not, or NULL
- * @opens: of the endpoints that requested a backoff, the one whose backoff ends
- *	first, or NULL
- * @closed: matching endpoints that requested a backoff or are draining
+ * @running: requests running at all usable endpoints
+ * @any_usable: any usable endpoint that matches, full or not, or NULL
+ * @next_available: of the endpoints that requested a backoff, the one whose
+ *backoff ends first, or NULL
+ * @unavailable: matching endpoints that requested a backoff or are draining
  * @known: all matching endpoints: those of the service that serve the model
  * @usable: matching endpoints that may have the request, full or not
  * @limited: matching endpoints that may have it once this daemon gets a permit
  *	of their rate limit
- * @turn: of these, the one with the earliest permit, or NULL
- * @turn_ms: time until that permit; INFINITY if this daemon has no share of any
- *	limit
+ * @next_permit: of these, the one with the earliest permit, or NULL
+ * @permit_ms: time until that permit; INFINITY if this daemon has no share of
+ *any limit
  * @limits_per_s: sum of the limits of the endpoints counted in @limited, in
  *	requests per second from all daemons together
  */
 struct fwd_choice {
 	struct endpoint *endpoint;
 	double first_ms;
-	double extra_ms;
+	double overhead_ms;
 	double load;
-	double taken;
-	const struct endpoint *nearest;
-	const struct endpoint *opens;
-	unsigned closed;
+	double running;
+	const struct endpoint *any_usable;
+	const struct endpoint *next_available;
+	unsigned unavailable;
 	unsigned known;
 	unsigned usable;
 	unsigned limited;
-	const struct endpoint *turn;
-	double turn_ms;
+	const struct endpoint *next_permit;
+	double permit_ms;
 	double limits_per_s;
 };
 
-bool fwd_choice_all_closed(const struct fwd_choice *);
-void fwd_choose(const struct fleet *, const struct fwd_want *,
+bool fwd_choice_all_unavailable(const struct fwd_choice *);
+void fwd_choose(const struct fleet *, const struct fwd_criteria *,
     struct fwd_choice *);
-void fwd_want_work(const struct fwd_want *, double, struct fwd_work *);
+void fwd_criteria_workload(const struct fwd_criteria *, double,
+    struct fwd_workload *);
 
 #endif
--- a/src/fwd-try.c
+++ b/src/fwd-dispatch.c
@@ -25,36 +25,39 @@
 
 /* Fills in the input of the decision on a request. */
 static void
-exchange_admission(const struct fwd_exchange *ex, const struct fwd_want *want,
-    const struct fwd_choice *choice, struct admission *a)
+exchange_admission(const struct fwd_exchange *ex,
+    const struct fwd_criteria *want, const struct fwd_choice *choice,
+    struct fwd_admission *a)
 {
 	const struct endpoint *ep =
-	    choice->endpoint != NULL ? choice->endpoint : choice->nearest;
-	struct fwd_work work;
+	    choice->endpoint != NULL ? choice->endpoint : choice->any_usable;
+	struct fwd_workload work;
 
 	if (ep == NULL)
-		ep = choice->turn != NULL ? choice->turn : choice->opens;
+		ep = choice->next_permit != NULL ? choice->next_permit :
+						   choice->next_available;
 	memset(a, 0, sizeof *a);
-	a->want = want;
+	a->criteria = want;
 	a->choice = choice;
 	a->objective_ms = (double)ex->route->objective_ms;
 	a->waited_ms = (double)(want->now_ms - ex->arrived_ms);
 	a->left_ms =
 	    (double)(ex->deadline_ms - MIN(want->now_ms, ex->deadline_ms));
-	a->returned = ex->returned;
+	a->resubmitted = ex->resubmitted;
 	a->sends = ex->sends;
-	a->begun = ex->runs > 0 || ex->first_us > 0;
-	a->whole_ms = fwd_exchange_learned(ex)->whole_ms;
+	a->started = ex->runs > 0 || ex->first_us > 0;
+	a->duration_ms = fwd_exchange_estimate(ex)->duration_ms;
 	a->ahead = (double)want->ahead * MAX(ex->fwd->daemons, 1);
 	a->draw = random_u32();
 	if (ep == NULL)
 		return;
-	a->first_ms = a->whole_ms;
+	a->first_ms = a->duration_ms;
 	if (ex->model == NULL)
 		return;
 	/* Estimated for a prompt of at most the usual size, so that large ones
 	 * are admitted too. */
-	fwd_want_work(want, MIN(ex->prompt, ex->engine->usual_prompt), &work);
+	fwd_criteria_workload(want, MIN(ex->prompt, ex->engine->usual_prompt),
+	    &work);
 	a->first_ms = fwd_expect_first(ep, &work);
 }
 
@@ -62,9 +65,9 @@
 static const char *
 no_place_reason(const struct fwd_choice *choice)
 {
-	if (fwd_choice_all_closed(choice))
-		return (choice->opens != NULL ? "endpoints_rest" :
-						"endpoints_leave");
+	if (fwd_choice_all_unavailable(choice))
+		return (choice->next_available != NULL ? "endpoints_rest" :
+							 "endpoints_leave");
 	if (choice->usable > 0)
 		return ("places_taken");
 	return (choice->limited > 0 ? "endpoints_limited" : "no_endpoint");
@@ -72,22 +75,24 @@
 
 /* Refuses a request that can't be served in time. */
 static void
-exchange_no_place(struct fwd_exchange *ex, const struct admission *a)
+exchange_no_place(struct fwd_exchange *ex, const struct fwd_admission *a)
 {
 	const struct fwd_choice *choice = a->choice;
-	const struct endpoint *ep =
-	    choice->turn != NULL ? choice->turn : choice->opens;
-	int64_t retry = admission_retry_ms(a);
+	const struct endpoint *ep = choice->next_permit != NULL ?
+	    choice->next_permit :
+	    choice->next_available;
+	int64_t retry = fwd_admission_retry_ms(a);
 
 	event_log(LOG_NOTICE, "no_place",
 	    "id=%s service=%s known=%u usable=%u closed=%u limited=%u "
 	    "turn_ms=%.0f limits_per_s=%.2f endpoint=%s "
 	    "load=%.2f first_ms=%.0f whole_ms=%.0f ahead=%.0f returned=%d "
 	    "retry_ms=%lld",
-	    ex->id, ex->service, choice->known, choice->usable, choice->closed,
-	    choice->limited, isinf(choice->turn_ms) ? -1 : choice->turn_ms,
+	    ex->id, ex->service, choice->known, choice->usable,
+	    choice->unavailable, choice->limited,
+	    isinf(choice->permit_ms) ? -1 : choice->permit_ms,
 	    choice->limits_per_s, ep != NULL ? ep->report.id : "-",
-	    choice->load, a->first_ms, a->whole_ms, a->ahead, a->returned,
+	    choice->load, a->first_ms, a->duration_ms, a->ahead, a->resubmitted,
 	    (long long)retry);
 	fwd_exchange_give_up(ex, HTTP_STATUS_BAD_GATEWAY,
 	    no_place_reason(choice), retry);
@@ -112,24 +117,24 @@
 }
 
 /**
- * fwd_exchange_try() - send, queue or refuse a request.
+ * fwd_exchange_dispatch() - send, queue or refuse a request.
  * @ex: the exchange
  */
 void
-fwd_exchange_try(struct fwd_exchange *ex)
+fwd_exchange_dispatch(struct fwd_exchange *ex)
 {
 	struct fwd_choice choice;
-	struct admission a;
-	struct fwd_want want;
+	struct fwd_admission a;
+	struct fwd_criteria want;
 
 	if (ex->state != EXCHANGE_WAITING)
 		exchange_queue(ex);
 	if (fwd_poison_refuse(ex))
 		return;
-	fwd_exchange_want(ex, &want);
+	fwd_exchange_criteria(ex, &want);
 	want.ahead = exchange_ahead(ex);
 	fwd_choose(&ex->fwd->dir->fleet, &want, &choice);
-	if (choice.closed > 0 && !ex->held_back) {
+	if (choice.unavailable > 0 && !ex->held_back) {
 		ex->held_back = true;
 		fwd_stats_count(&ex->fwd->stats, COUNT_HELD_BACK);
 	}
@@ -138,7 +143,7 @@
 		fwd_stats_count(&ex->fwd->stats, COUNT_LIMIT_HELD_BACK);
 	}
 	exchange_admission(ex, &want, &choice, &a);
-	switch (admission_decide(&a)) {
+	switch (fwd_admission_decide(&a)) {
 	case ADMIT_SEND:
 		fwd_exchange_send(ex, &choice);
 		break;
--- a/src/fwd-events.h
+++ b/src/fwd-events.h
@@ -7,7 +7,7 @@
 #include <stdint.h>
 
 /* Maximum size of an event; an endpoint that sends a larger one is broken. */
-#define FWD_EVENT_BYTES (1u << 20)
+#define FWD_EVENT_MAX_BYTES (1u << 20)
 
 /**
  * enum fwd_event_verdict - what to do with the next event.
@@ -25,13 +25,13 @@
 
 /**
  * struct fwd_events - the events of one response, over all of its endpoints.
- * @held: bytes that are not passed on yet
- * @last: id of the last event passed on; -1 before the first
- * @scanned: length of the part of @held in which no event ends
+ * @buf: bytes that are not passed on yet
+ * @last_id: id of the last event passed on; -1 before the first
+ * @scanned: length of the part of @buf in which no event ends
  */
 struct fwd_events {
-	GString *held;
-	int64_t last;
+	GString *buf;
+	int64_t last_id;
 	size_t scanned;
 };
 
--- a/src/fwd-exchange.h
+++ b/src/fwd-exchange.h
@@ -2,10 +2,10 @@
 #ifndef BL_FWD_EXCHANGE_H
 #define BL_FWD_EXCHANGE_H
 
-#include "fwd-caller.h"
+#include "fwd-conn.h"
 #include "fwd-choose.h"
 #include "fwd-events.h"
-#include "fwd-work.h"
+#include "fwd-fingerprint.h"
 #include "fwd.h"
 
 /**
@@ -25,7 +25,7 @@
 /**
  * struct fwd_exchange - an exchange.
  * @fwd: the proxy
- * @caller: connection of the client; NULL once the client has left
+ * @conn: connection of the client; NULL once the client has left
  * @catalog: the configuration under which the request was routed
  * @route: its route
  * @service: name of its service
@@ -33,7 +33,7 @@
  * @model: the model's profile, or NULL
  * @customer: the customer that sent it, or NULL
  * @id: id of the attempt, as the client named it
- * @work: fingerprint of the request; 0 until it is routed
+ * @fingerprint: fingerprint of the request; 0 until it is routed
  * @request: request line and headers that are the same for every endpoint
  * @body: body of the request
  * @head_only: the method is HEAD
@@ -42,52 +42,53 @@
  * @arrived_us: the same in microseconds of the monotonic clock, for the
  *	histograms
  * @deadline_ms: loop time at which the exchange must be over
- * @returned: the client resubmitted the request after a refusal: less time is
- *	left to it than a new one has
+ * @resubmitted: the client resubmitted the request after a refusal: less time
+ *is left to it than a new one has
  * @state: state of the exchange
  * @endpoint: the endpoint that has the request, or NULL
- * @client: connection to the endpoint, or NULL
+ * @upstream: connection to the endpoint, or NULL
  * @sent_ms: loop time of the last send
  * @expected_ms: expected time from the send to the first event
- * @extra_ms: the part of @expected_ms that is measured overhead
+ * @overhead_ms: the part of @expected_ms that is measured overhead
  * @running_at_send: requests that the endpoint had at the send
  * @usable_at_send: endpoints that could have had the request at the send
  * @known_at_send: endpoints that matched at the send, usable or not
- * @reading_at_send: the endpoint's prefill backlog at the send, in tokens
- * @mark: position of the prompt in that backlog, for fwd_backlog_read()
+ * @backlog_at_send: the endpoint's prefill backlog at the send, in tokens
+ * @backlog_mark: position of the prompt in that backlog, for
+ *fwd_backlog_confirm()
  * @sends: number of times the request was sent
  * @runs: number of sends after which it may have run
- * @arrived: the last send may have reached its endpoint
+ * @reached: the last send may have reached its endpoint
  * @tried: endpoints that the request was sent to; all but @endpoint failed it
  * @n_tried: length of @tried
  * @status: status of the response being read
  * @headers: header lines of the response
- * @proof: the response has the endpoint's signature header
+ * @has_signature: the response has the endpoint's signature header
  * @not_run: the response says that the request did not run
  * @streaming: the response is passed on event by event
  * @events: events of the response
- * @answer: body of the response while it is buffered
- * @passing: the response is passed on unbuffered, since it is too large
+ * @response_body: body of the response while it is buffered
+ * @passthrough: the response is passed on unbuffered, since it is too large
  * @first_us: time at which its first byte was passed on; 0 before
  * @heard_ms: loop time of the last byte from the endpoint
- * @reading: the prompt is counted in the endpoint's prefill backlog
+ * @in_backlog: the prompt is counted in the endpoint's prefill backlog
  * @probe: the send probes whether the endpoint accepts requests again after a
  *	backoff
- * @turn: the send has a permit of the endpoint's rate limit
+ * @has_permit: the send has a permit of the endpoint's rate limit
  * @limit_held_back: counted as held back for want of such a permit
  * @held_back: counted as held back from an endpoint in backoff or draining
  * @resumed: the endpoint was asked for the remainder of a response
  * @poison_probe: the request probes whether a quarantined fingerprint still
  *	crashes endpoints
- * @lost: the fingerprint was reported as a suspect since the endpoint fell
- *	silent
+ * @crash_suspected: the fingerprint was reported as a suspect since the
+ *endpoint fell silent
  * @paused: reading from the endpoint is paused for a slow client
  * @entry: entry in the proxy's list
  * @wait_entry: entry in the queue
  */
 struct fwd_exchange {
 	struct fwd *fwd;
-	struct fwd_caller *caller;
+	struct fwd_conn *conn;
 	struct catalog *catalog;
 	const struct catalog_route *route;
 	const char *service;
@@ -95,7 +96,7 @@
 	const struct model_profile *model;
 	const struct catalog_customer *customer;
 	char *id;
-	uint64_t work;
+	uint64_t fingerprint;
 	GString *request;
 	GByteArray *body;
 	bool head_only;
@@ -103,68 +104,68 @@
 	uint64_t arrived_ms;
 	uint64_t arrived_us;
 	uint64_t deadline_ms;
-	bool returned;
+	bool resubmitted;
 	enum exchange_state state;
 	struct endpoint *endpoint;
-	struct net_client *client;
+	struct net_client *upstream;
 	uint64_t sent_ms;
 	double expected_ms;
-	double extra_ms;
+	double overhead_ms;
 	unsigned running_at_send;
 	unsigned usable_at_send;
 	unsigned known_at_send;
-	double reading_at_send;
-	double mark;
+	double backlog_at_send;
+	double backlog_mark;
 	unsigned sends;
 	unsigned runs;
-	bool arrived;
+	bool reached;
 	struct fwd_tried tried[FWD_TRIED_MAX];
 	unsigned n_tried;
 	unsigned status;
 	GString *headers;
-	bool proof;
+	bool has_signature;
 	bool not_run;
 	bool streaming;
 	struct fwd_events events;
-	GByteArray *answer;
-	bool passing;
+	GByteArray *response_body;
+	bool passthrough;
 	uint64_t first_us;
 	uint64_t heard_ms;
-	bool reading;
+	bool in_backlog;
 	bool probe;
-	bool turn;
+	bool has_permit;
 	bool limit_held_back;
 	bool held_back;
 	bool resumed;
 	bool poison_probe;
-	bool lost;
+	bool crash_suspected;
 	bool paused;
 	TAILQ_ENTRY(fwd_exchange) entry;
 	TAILQ_ENTRY(fwd_exchange) wait_entry;
 };
 
-void fwd_exchange_start(struct fwd *, struct fwd_caller *);
-void fwd_exchange_caller_left(struct fwd_exchange *);
+void fwd_exchange_start(struct fwd *, struct fwd_conn *);
+void fwd_exchange_client_left(struct fwd_exchange *);
 void fwd_exchange_pause(struct fwd_exchange *, bool);
-void fwd_exchange_want(const struct fwd_exchange *, struct fwd_want *);
+void fwd_exchange_criteria(const struct fwd_exchange *, struct fwd_criteria *);
 void fwd_exchange_send(struct fwd_exchange *, const struct fwd_choice *);
 void fwd_exchange_tick(struct fwd_exchange *, uint64_t);
 void fwd_exchange_move(struct fwd_exchange *, bool, const char *);
-struct fwd_learned *fwd_exchange_learned(const struct fwd_exchange *);
-void fwd_exchange_discount(struct fwd_exchange *, bool);
+struct fwd_estimate *fwd_exchange_estimate(const struct fwd_exchange *);
+void fwd_exchange_end_send(struct fwd_exchange *, bool);
 
-/* fwd-admit.c: route, customer, service and model of a request. */
-bool fwd_admit(struct fwd_exchange *, const struct wire_request *,
+/* fwd-resolve.c: route, customer, service and model of a request. */
+bool fwd_resolve(struct fwd_exchange *, const struct wire_request *,
     const char *);
 
-/* fwd-try.c: sends, queues or refuses a request. */
-void fwd_exchange_try(struct fwd_exchange *);
+/* fwd-dispatch.c: sends, queues or refuses a request. */
+void fwd_exchange_dispatch(struct fwd_exchange *);
 
 /* fwd-end.c: end of an exchange. */
 void fwd_exchange_refuse(struct fwd_exchange *, unsigned, const char *,
     int64_t);
 void fwd_exchange_fail(struct fwd_exchange *, unsigned, const char *);
-void fwd_exchange_break(struct fwd_exchange *, const char *);
+void fwd_exchange_abort(struct fwd_exchange *, const char *);
 void fwd_exchange_give_up(struct fwd_exchange *, unsigned, const char *,
     int64_t);
 void fwd_exchange_deliver(struct fwd_exchange *);
@@ -172,30 +173,30 @@
 void fwd_exchange_free(struct fwd_exchange *);
 void fwd_exchange_release(struct fwd_exchange *);
 
-/* fwd-answer.c: response of an endpoint. */
-extern const struct net_client_ops fwd_answer_ops;
+/* fwd-response.c: response of an endpoint. */
+extern const struct net_client_ops fwd_response_ops;
 
-/* fwd-heard.c: feedback of an endpoint about itself. */
-void fwd_heard(struct fwd_exchange *, const struct wire_answer *);
-void fwd_heard_send(struct fwd_exchange *);
-void fwd_endpoint_rest(struct fwd_exchange *, uint64_t, const char *);
+/* fwd-feedback.c: feedback of an endpoint about itself. */
+void fwd_feedback_apply(struct fwd_exchange *, const struct wire_response *);
+void fwd_feedback_check_send(struct fwd_exchange *);
+void fwd_endpoint_cool_down(struct fwd_exchange *, uint64_t, const char *);
 
 /* fwd-poison.c: requests that crash endpoints. */
-void fwd_poison_lost(struct fwd_exchange *, bool);
-void fwd_poison_answered(struct fwd_exchange *);
+void fwd_poison_observe_crash(struct fwd_exchange *, bool);
+void fwd_poison_note_success(struct fwd_exchange *);
 bool fwd_poison_refuse(struct fwd_exchange *);
-void fwd_poison_over(struct fwd_exchange *);
+void fwd_poison_end_probe(struct fwd_exchange *);
 
 /* How long a silent endpoint is avoided: by then the platform has reported it
  * broken. */
-#define REST_SILENT_MS 5000
+#define COOLDOWN_SILENT_MS 5000
 
 /* fwd-silence.c: detection of silent endpoints. */
-void fwd_silence_look(struct fwd_exchange *, uint64_t);
+void fwd_silence_check(struct fwd_exchange *, uint64_t);
 
-/* fwd-again.c: retries. */
-bool fwd_exchange_repeatable(const struct fwd_exchange *);
+/* fwd-retry.c: retries. */
+bool fwd_exchange_retryable(const struct fwd_exchange *);
 bool fwd_exchange_movable(const struct fwd_exchange *);
-void fwd_exchange_again(struct fwd_exchange *, const char *);
+void fwd_exchange_retry(struct fwd_exchange *, const char *);
 
 #endif
--- a/src/fwd-expect.c
+++ b/src/fwd-expect.c
@@ -37,7 +37,7 @@
 
 /* Time of the decode steps in one pass. */
 static double
-writers_ms(const struct endpoint *ep, const struct fwd_work *work)
+writers_ms(const struct endpoint *ep, const struct fwd_workload *work)
 {
 	double running = fwd_expect_running(ep);
 
@@ -68,7 +68,7 @@
  * Return: the rate, or 0 if the profile has none.
  */
 double
-fwd_expect_rate(const struct endpoint *ep, const struct fwd_work *work)
+fwd_expect_rate(const struct endpoint *ep, const struct fwd_workload *work)
 {
 	return (work->engine->read_per_ms / work->model->pace / ep->slowness);
 }
@@ -76,14 +76,14 @@
 /* Time from a prompt's prefill to its first event: half a pass of the requests
  * that decode, then its own first steps. */
 static double
-after_ms(const struct endpoint *ep, const struct fwd_work *work)
+after_ms(const struct endpoint *ep, const struct fwd_workload *work)
 {
 	const struct engine_profile *e = work->engine;
 	double running = fwd_expect_running(ep);
 	double steps = step_ms(e, work->model, running + 1) * e->stride;
 
-	return (
-	    (writers_ms(ep, work) / 2 + steps) * ep->slowness + work->extra_ms);
+	return ((writers_ms(ep, work) / 2 + steps) * ep->slowness +
+	    work->overhead_ms);
 }
 
 /**
@@ -97,7 +97,7 @@
  * prompts.
  */
 double
-fwd_expect_backlog(const struct endpoint *ep, const struct fwd_work *work)
+fwd_expect_backlog(const struct endpoint *ep, const struct fwd_workload *work)
 {
 	double pending = ep->pending + ep->peer_pending;
 	double read = fwd_expect_rate(ep, work) * after_ms(ep, work);
@@ -120,7 +120,7 @@
  * Return: milliseconds from now.
  */
 double
-fwd_expect_first(const struct endpoint *ep, const struct fwd_work *work)
+fwd_expect_first(const struct endpoint *ep, const struct fwd_workload *work)
 {
 	const struct engine_profile *e = work->engine;
 	double backlog = fwd_expect_backlog(ep, work) + work->prompt;
@@ -141,26 +141,26 @@
 }
 
 /**
- * fwd_learn_first() - update the average overhead of first events.
+ * fwd_estimate_add_first() - update the average overhead of first events.
  * @learned: estimates of the model
  * @late_ms: delay of a first event beyond the profile's estimate
  */
 void
-fwd_learn_first(struct fwd_learned *learned, double late_ms)
+fwd_estimate_add_first(struct fwd_estimate *learned, double late_ms)
 {
 	late_ms = CLAMP(late_ms, 0, EXTRA_MOST_MS);
-	learned->extra_ms +=
-	    learn_weight(++learned->seen) * (late_ms - learned->extra_ms);
+	learned->overhead_ms += learn_weight(++learned->n_overhead) *
+	    (late_ms - learned->overhead_ms);
 }
 
 /**
- * fwd_learn_whole() - update the average duration of requests.
+ * fwd_estimate_add_duration() - update the average duration of requests.
  * @learned: estimates of the model or service
  * @whole_ms: time from the send to the end of the response
  */
 void
-fwd_learn_whole(struct fwd_learned *learned, double whole_ms)
+fwd_estimate_add_duration(struct fwd_estimate *learned, double whole_ms)
 {
-	learned->whole_ms +=
-	    learn_weight(++learned->ended) * (whole_ms - learned->whole_ms);
+	learned->duration_ms += learn_weight(++learned->n_duration) *
+	    (whole_ms - learned->duration_ms);
 }
--- a/src/fwd-heard.c
+++ b/src/fwd-feedback.c
@@ -10,13 +10,13 @@
 #include "fwd-exchange.h"
 
 /**
- * fwd_endpoint_rest() - start a cooldown of an endpoint: prefer others.
+ * fwd_endpoint_cool_down() - start a cooldown of an endpoint: prefer others.
  * @ex: the exchange, with its endpoint
  * @ms: length of the cooldown, which the endpoint did not ask for
  * @reason: reason for the log
  */
 void
-fwd_endpoint_rest(struct fwd_exchange *ex, uint64_t ms, const char *reason)
+fwd_endpoint_cool_down(struct fwd_exchange *ex, uint64_t ms, const char *reason)
 {
 	struct endpoint *ep = ex->endpoint;
 
@@ -38,14 +38,14 @@
 
 /* The endpoint requests a backoff: nothing from this daemon for a while. */
 static void
-heard_rest(struct fwd_exchange *ex, const struct said *said)
+heard_rest(struct fwd_exchange *ex, const struct feedback *said)
 {
 	struct endpoint *ep = ex->endpoint;
 	uint64_t ms =
 	    endpoint_rest_read(said->number, ex->fwd->set.rest_most_ms);
 
 	endpoint_rest_ask(&ep->rest, ms, heard_now(ex));
-	fwd_stats_count(&ex->fwd->stats, COUNT_RESTS);
+	fwd_stats_count(&ex->fwd->stats, COUNT_BACKOFFS);
 	event_log(LOG_NOTICE, "endpoint_asks_rest",
 	    "endpoint=%s started_ms=%lld asked=\"%.40s\" read=%s ms=%llu "
 	    "left_ms=%llu inflight=%u id=%s",
@@ -59,7 +59,7 @@
 
 /* The endpoint is draining; this incarnation won't accept requests again. */
 static void
-heard_leaving(struct fwd_exchange *ex, const struct said *said)
+heard_leaving(struct fwd_exchange *ex, const struct feedback *said)
 {
 	struct endpoint *ep = ex->endpoint;
 
@@ -68,7 +68,7 @@
 	/* Its entry in the store may tell that later, or not at all while the
 	 * store is unreachable. */
 	ep->draining = true;
-	fwd_stats_count(&ex->fwd->stats, COUNT_LEAVING);
+	fwd_stats_count(&ex->fwd->stats, COUNT_DRAINING);
 	event_log(LOG_NOTICE, "endpoint_leaves",
 	    "endpoint=%s started_ms=%lld entry_age_ms=%llu inflight=%u id=%s",
 	    ep->report.id, (long long)ep->report.started_ms,
@@ -87,13 +87,13 @@
 	    "inflight=%u id=%s",
 	    ep->report.id, (long long)ep->report.started_ms, asked,
 	    ep->limit.per_s, ep->inflight, ex->id);
-	if (ex->fwd->limited != NULL)
-		ex->fwd->limited(ex->fwd->limited_arg, ep);
+	if (ex->fwd->on_limit != NULL)
+		ex->fwd->on_limit(ex->fwd->on_limit_arg, ep);
 }
 
 /* The endpoint sets a rate limit, shared by all daemons. */
 static void
-heard_limit(struct fwd_exchange *ex, const struct said *said)
+heard_limit(struct fwd_exchange *ex, const struct feedback *said)
 {
 	struct endpoint_limit *limit = &ex->endpoint->limit;
 	double per_s = endpoint_limit_read(said->number, limit);
@@ -128,12 +128,12 @@
  * @unsaid: called for a response without it; NULL if that means nothing
  */
 static const struct heard_word {
-	void (*said)(struct fwd_exchange *, const struct said *);
+	void (*said)(struct fwd_exchange *, const struct feedback *);
 	void (*unsaid)(struct fwd_exchange *);
-} heard_words[SAID_WORDS] = {
-	[SAID_REST] = { heard_rest, NULL },
-	[SAID_LEAVING] = { heard_leaving, NULL },
-	[SAID_LIMIT] = { heard_limit, heard_no_limit },
+} heard_words[FEEDBACK_KINDS] = {
+	[FEEDBACK_BACKOFF] = { heard_rest, NULL },
+	[FEEDBACK_DRAINING] = { heard_leaving, NULL },
+	[FEEDBACK_LIMIT] = { heard_limit, heard_no_limit },
 };
 
 /* The endpoint accepted a request, which may have been a probe. */
@@ -156,20 +156,20 @@
 static void
 heard_refusal(struct fwd_exchange *ex)
 {
-	fwd_endpoint_rest(ex, endpoint_rest_refused(&ex->endpoint->rest),
+	fwd_endpoint_cool_down(ex, endpoint_rest_refused(&ex->endpoint->rest),
 	    "refused");
 }
 
 /**
- * fwd_heard() - apply the feedback in a response.
+ * fwd_feedback_apply() - apply the feedback in a response.
  * @ex: the exchange
  * @answer: decoded headers of the response; those of another incarnation tell
  *	nothing about the endpoint
  */
 void
-fwd_heard(struct fwd_exchange *ex, const struct wire_answer *answer)
+fwd_feedback_apply(struct fwd_exchange *ex, const struct wire_response *answer)
 {
-	const struct said *rest = &answer->said[SAID_REST];
+	const struct feedback *rest = &answer->feedback[FEEDBACK_BACKOFF];
 	const struct endpoint *ep = ex->endpoint;
 
 	if (answer->not_run)
@@ -185,15 +185,15 @@
 			ex->sent_ms));
 	if (answer->wrong_endpoint)
 		return;
-	for (enum said_word word = 0; word < SAID_WORDS; word++) {
-		if (answer->said[word].text != NULL)
-			heard_words[word].said(ex, &answer->said[word]);
+	for (enum feedback_kind word = 0; word < FEEDBACK_KINDS; word++) {
+		if (answer->feedback[word].text != NULL)
+			heard_words[word].said(ex, &answer->feedback[word]);
 		else if (heard_words[word].unsaid != NULL)
 			heard_words[word].unsaid(ex);
 	}
 	if (!answer->not_run)
 		heard_taken(ex);
-	else if (answer->at_fault == NULL &&
+	else if (answer->lost_member == NULL &&
 	    !endpoint_rest_holds(&ep->rest, clock_loop_ms(ex->fwd->loop)))
 		heard_refusal(ex);
 }
@@ -209,7 +209,7 @@
 	if (!limit->holds)
 		return;
 	fwd_stats_count(&ex->fwd->stats, COUNT_SENT_LIMITED);
-	if (ex->turn)
+	if (ex->has_permit)
 		return;
 	fwd_stats_count(&ex->fwd->stats, COUNT_SENT_OVER_SHARE);
 	event_log(LOG_WARNING, "sent_over_share",
@@ -220,12 +220,12 @@
 }
 
 /**
- * fwd_heard_send() - count and log a send that exceeds a rate limit or ignores
- *	a backoff.
+ * fwd_feedback_check_send() - count and log a send that exceeds a rate limit or
+ *ignores a backoff.
  * @ex: the exchange, with its endpoint
  */
 void
-fwd_heard_send(struct fwd_exchange *ex)
+fwd_feedback_check_send(struct fwd_exchange *ex)
 {
 	const struct endpoint *ep = ex->endpoint;
 	uint64_t now = clock_loop_ms(ex->fwd->loop);
@@ -233,7 +233,7 @@
 	heard_send_limited(ex);
 	if (!endpoint_rest_holds(&ep->rest, now))
 		return;
-	fwd_stats_count(&ex->fwd->stats, COUNT_SENT_IN_REST);
+	fwd_stats_count(&ex->fwd->stats, COUNT_SENT_IN_BACKOFF);
 	event_log(LOG_WARNING, "sent_in_rest",
 	    "id=%s endpoint=%s left_ms=%llu sends=%u usable=%u known=%u "
 	    "expected_ms=%.0f",
--- a/src/fwd-work.c
+++ b/src/fwd-fingerprint.c
@@ -2,7 +2,7 @@
 #include <glib.h>
 #include <string.h>
 
-#include "fwd-work.h"
+#include "fwd-fingerprint.h"
 
 /* Adds a string with its terminator, so that no two sequences of strings give
  * the same input to the hash. */
@@ -15,7 +15,7 @@
 }
 
 /**
- * fwd_work_fingerprint() - compute the fingerprint of a request.
+ * fwd_fingerprint_compute() - compute the fingerprint of a request.
  * @key: what identifies the request
  *
  * The fingerprint of the same request is the same at every daemon. It comes
@@ -25,7 +25,7 @@
  * Return: the fingerprint, never 0.
  */
 uint64_t
-fwd_work_fingerprint(const struct fwd_work_key *key)
+fwd_fingerprint_compute(const struct fwd_fingerprint_input *key)
 {
 	g_autoptr(GChecksum) sum = g_checksum_new(G_CHECKSUM_SHA256);
 	guint8 digest[32];
--- a/src/fwd-work.h
+++ b/src/fwd-fingerprint.h
@@ -1,15 +1,15 @@
 /* Fingerprint of a request, the same for each attempt at it. Pure. */
-#ifndef BL_FWD_WORK_H
-#define BL_FWD_WORK_H
+#ifndef BL_FWD_FINGERPRINT_H
+#define BL_FWD_FINGERPRINT_H
 
 #include <stddef.h>
 #include <stdint.h>
 
 /* Upper half of a fingerprint, as log lines and settings name it. */
-#define WORK_SHORT(work) ((uint32_t)((work) >> 32))
+#define FINGERPRINT_SHORT(work) ((uint32_t)((work) >> 32))
 
 /**
- * struct fwd_work_key - what a fingerprint is computed from.
+ * struct fwd_fingerprint_input - what a fingerprint is computed from.
  * @method: method of the request
  * @host: value of its Host header, or NULL
  * @target: path and query
@@ -17,7 +17,7 @@
  * @body: body of the request
  * @length: length of @body, in bytes
  */
-struct fwd_work_key {
+struct fwd_fingerprint_input {
 	const char *method;
 	const char *host;
 	const char *target;
@@ -26,6 +26,6 @@
 	size_t length;
 };
 
-uint64_t fwd_work_fingerprint(const struct fwd_work_key *);
+uint64_t fwd_fingerprint_compute(const struct fwd_fingerprint_input *);
 
 #endif
--- a/src/fwd-poison.c
+++ b/src/fwd-poison.c
@@ -44,7 +44,7 @@
 	event_log(LOG_NOTICE, event,
 	    "id=%s work=%08x ends=%u doubted=%u explained=%u left_ms=%lld "
 	    "blamed_for=%s",
-	    id, WORK_SHORT(w->work), verdict->ends, verdict->doubted,
+	    id, FINGERPRINT_SHORT(w->work), verdict->ends, verdict->doubted,
 	    verdict->explained,
 	    verdict->until_ms != 0 ? (long long)(verdict->until_ms - now) : -1,
 	    blamed);
@@ -87,48 +87,49 @@
 }
 
 /**
- * fwd_poison_lost() - record that an endpoint may have crashed while it had a
- *	request.
+ * fwd_poison_observe_crash() - record that an endpoint may have crashed while
+ *it had a request.
  * @ex: the exchange, with its endpoint
  * @silent: the endpoint fell silent; otherwise the connection broke
  */
 void
-fwd_poison_lost(struct fwd_exchange *ex, bool silent)
+fwd_poison_observe_crash(struct fwd_exchange *ex, bool silent)
 {
 	struct fwd *fwd = ex->fwd;
 	const struct endpoint *ep = ex->endpoint;
 	uint64_t now = clock_loop_ms(fwd->loop);
 	const struct poison_end end = poison_end_of(ep, silent, now);
-	bool news = poison_suspect(&fwd->dir->poison, ex->work, &end, now);
+	bool news =
+	    poison_suspect(&fwd->dir->poison, ex->fingerprint, &end, now);
 
 	fwd_stats_count(&fwd->stats, COUNT_LOST);
 	event_log(LOG_NOTICE, "work_lost",
 	    "id=%s work=%08x endpoint=%s started_ms=%lld sign=%s "
 	    "suspected=%d sent_ms_ago=%llu last_event=%lld inflight=%u "
 	    "peer_inflight=%u",
-	    ex->id, WORK_SHORT(ex->work), ep->report.id,
+	    ex->id, FINGERPRINT_SHORT(ex->fingerprint), ep->report.id,
 	    (long long)ep->report.started_ms, silent ? "silent" : "broken",
 	    news, (unsigned long long)(now - ex->sent_ms),
-	    (long long)ex->events.last, ep->inflight, ep->peer_inflight);
+	    (long long)ex->events.last_id, ep->inflight, ep->peer_inflight);
 }
 
 /**
- * fwd_poison_answered() - record that an endpoint completed a response.
+ * fwd_poison_note_success() - record that an endpoint completed a response.
  * @ex: the exchange
  *
  * A resumed response doesn't count: it tells nothing about what the beginning
  * of the request does to endpoints.
  */
 void
-fwd_poison_answered(struct fwd_exchange *ex)
+fwd_poison_note_success(struct fwd_exchange *ex)
 {
 	if (ex->resumed)
 		return;
-	if (!poison_answered(&ex->fwd->dir->poison, ex->work,
+	if (!poison_answered(&ex->fwd->dir->poison, ex->fingerprint,
 		clock_loop_ms(ex->fwd->loop)))
 		return;
 	event_log(LOG_INFO, "work_cleared", "id=%s work=%08x endpoint=%s",
-	    ex->id, WORK_SHORT(ex->work),
+	    ex->id, FINGERPRINT_SHORT(ex->fingerprint),
 	    ex->n_tried > 0 ? ex->tried[ex->n_tried - 1].endpoint->report.id :
 			      "-");
 }
@@ -141,7 +142,7 @@
 
 	if (list == NULL || list[0] == '\0')
 		return (false);
-	g_snprintf(name, sizeof name, "%08x", WORK_SHORT(work));
+	g_snprintf(name, sizeof name, "%08x", FINGERPRINT_SHORT(work));
 	return (strstr(list, name) != NULL);
 }
 
@@ -165,17 +166,17 @@
 }
 
 /**
- * fwd_poison_over() - end the probe of an exchange; another one may begin.
+ * fwd_poison_end_probe() - end the probe of an exchange; another one may begin.
  * @ex: the exchange
  */
 void
-fwd_poison_over(struct fwd_exchange *ex)
+fwd_poison_end_probe(struct fwd_exchange *ex)
 {
 	struct poison_work *w;
 
 	if (!ex->poison_probe)
 		return;
-	w = poison_find(&ex->fwd->dir->poison, ex->work);
+	w = poison_find(&ex->fwd->dir->poison, ex->fingerprint);
 	if (w != NULL)
 		w->probing = false;
 }
@@ -185,10 +186,10 @@
 work_quarantined(struct fwd_exchange *ex, uint64_t *until_ms)
 {
 	struct fwd *fwd = ex->fwd;
-	struct poison_work *w = poison_find(&fwd->dir->poison, ex->work);
+	struct poison_work *w = poison_find(&fwd->dir->poison, ex->fingerprint);
 	struct poison_verdict verdict;
 
-	if (w == NULL || work_listed(fwd->set.released_works, ex->work))
+	if (w == NULL || work_listed(fwd->set.released_works, ex->fingerprint))
 		return (false);
 	poison_look(fwd, w, &verdict, ex->id);
 	if (verdict.until_ms == 0)
@@ -215,7 +216,7 @@
 	uint64_t until = now + RETRY_OPERATOR_MS;
 	const char *reason = "work_quarantined";
 
-	if (work_listed(fwd->set.refused_works, ex->work))
+	if (work_listed(fwd->set.refused_works, ex->fingerprint))
 		reason = "work_refused_by_operator";
 	else if (!work_quarantined(ex, &until))
 		return (false);
--- a/src/fwd-silence.c
+++ b/src/fwd-silence.c
@@ -29,7 +29,7 @@
 		return (
 		    MAX(PLAIN_SILENCE_FACTOR * (double)ex->route->objective_ms,
 			PLAIN_SILENCE_LEAST_MS));
-	if (ex->reading)
+	if (ex->in_backlog)
 		return (MAX(SILENCE_FIRST_FACTOR * ex->expected_ms,
 		    SILENCE_FIRST_LEAST_MS));
 	gap = fwd_expect_gap(ex->endpoint, ex->engine, ex->model) *
@@ -45,7 +45,7 @@
 
 	/* A replica that sends events to other daemons is busy, not lost. */
 	heard = MAX(heard, ex->endpoint->peer_heard_ms);
-	if (ex->paused || now < ex->fwd->blind_until_ms)
+	if (ex->paused || now < ex->fwd->grace_until_ms)
 		return (false);
 	/* An endpoint without a model handles its requests independently, so
 	 * its other responses tell nothing about this one. */
@@ -73,26 +73,27 @@
 		    ep->inflight, ep->pending, ep->slowness, ex->id);
 		/* Its idle connections may be dead as well. */
 		net_pool_clear(&ep->pool);
-		ep->rest_until_ms = now + REST_SILENT_MS;
+		ep->rest_until_ms = now + COOLDOWN_SILENT_MS;
 		ep->warned_ms = now;
-		if (ex->fwd->suspect != NULL)
-			ex->fwd->suspect(ex->fwd->suspect_arg, ep);
+		if (ex->fwd->on_silent != NULL)
+			ex->fwd->on_silent(ex->fwd->on_silent_arg, ep);
 	}
-	if (ex->client->connected && !ex->lost) {
-		ex->lost = true;
-		fwd_poison_lost(ex, true);
+	if (ex->upstream->connected && !ex->crash_suspected) {
+		ex->crash_suspected = true;
+		fwd_poison_observe_crash(ex, true);
 	}
 	if (fwd_exchange_movable(ex))
-		fwd_exchange_move(ex, ex->client->connected, "endpoint_silent");
+		fwd_exchange_move(ex, ex->upstream->connected,
+		    "endpoint_silent");
 }
 
 /**
- * fwd_silence_look() - check whether the endpoint of an exchange is silent.
+ * fwd_silence_check() - check whether the endpoint of an exchange is silent.
  * @ex: the exchange; its connection to the endpoint is established
  * @now_ms: loop time
  */
 void
-fwd_silence_look(struct fwd_exchange *ex, uint64_t now_ms)
+fwd_silence_check(struct fwd_exchange *ex, uint64_t now_ms)
 {
 	if (exchange_is_silent(ex, now_ms))
 		exchange_silent(ex, now_ms);
--- a/src/fwd-wire.h
+++ b/src/fwd-wire.h
@@ -43,64 +43,65 @@
 };
 
 /**
- * enum said_word - feedback about itself that an endpoint may put into any
+ * enum feedback_kind - feedback about itself that an endpoint may put into any
  *	response.
- * @SAID_REST: backoff: this daemon is to send it nothing for this long, in ms
- * @SAID_LEAVING: 1 if it is draining: it completes what it has and accepts
+ * @FEEDBACK_BACKOFF: backoff: this daemon is to send it nothing for this long,
+ *in ms
+ * @FEEDBACK_DRAINING: 1 if it is draining: it completes what it has and accepts
  *	nothing new
- * @SAID_LIMIT: rate limit: requests per second that it accepts from all daemons
- *	together
- * @SAID_WORDS: number of kinds
+ * @FEEDBACK_LIMIT: rate limit: requests per second that it accepts from all
+ *daemons together
+ * @FEEDBACK_KINDS: number of kinds
  */
-enum said_word {
-	SAID_REST,
-	SAID_LEAVING,
-	SAID_LIMIT,
-	SAID_WORDS,
+enum feedback_kind {
+	FEEDBACK_BACKOFF,
+	FEEDBACK_DRAINING,
+	FEEDBACK_LIMIT,
+	FEEDBACK_KINDS,
 };
 
 /**
- * struct said - one item of feedback.
+ * struct feedback - one item of feedback.
  * @text: value of the header; NULL if the response doesn't have it
  * @number: the value as a number, in the unit of its kind; NAN if it is none
  */
-struct said {
+struct feedback {
 	const char *text;
 	double number;
 };
 
 /**
- * struct wire_answer - decoded headers of an endpoint's response.
+ * struct wire_response - decoded headers of an endpoint's response.
  * @id: id of the attempt that it responds to, or NULL
- * @proof: it has the endpoint's signature header
+ * @has_signature: it has the endpoint's signature header
  * @not_run: the endpoint did not run the request
  * @wrong_endpoint: the address belongs to another incarnation than the one
  *	that the request was meant for
- * @at_fault: id of another endpoint whose loss made it refuse, or NULL
- * @said: feedback about the endpoint, indexed by enum said_word
+ * @lost_member: id of another endpoint whose loss made it refuse, or NULL
+ * @feedback: feedback about the endpoint, indexed by enum feedback_kind
  */
-struct wire_answer {
+struct wire_response {
 	const char *id;
-	bool proof;
+	bool has_signature;
 	bool not_run;
 	bool wrong_endpoint;
-	const char *at_fault;
-	struct said said[SAID_WORDS];
+	const char *lost_member;
+	struct feedback feedback[FEEDBACK_KINDS];
 };
 
 /**
  * struct wire_ops - a platform adapter's functions for headers.
  * @read_request: decodes the headers of a request
- * @passes: returns whether a request header is forwarded unchanged
+ * @passes_header: returns whether a request header is forwarded unchanged
  * @write_forward: appends the headers that are set for the endpoint
- * @read_answer: decodes the status and headers of a response
+ * @read_response: decodes the status and headers of a response
  */
 struct wire_ops {
 	void (*read_request)(const struct net_head *, struct wire_request *);
-	bool (*passes)(const char *);
+	bool (*passes_header)(const char *);
 	void (*write_forward)(GString *, const struct wire_forward *);
-	void (*read_answer)(unsigned, const struct net_head *,
-	    struct wire_answer *);
+	void (*read_response)(unsigned, const struct net_head *,
+	    struct wire_response *);
 };
 
 #endif
--- a/src/fwd.c
+++ b/src/fwd.c
@@ -20,7 +20,7 @@
 on_connection(uv_stream_t *listener, int status)
 {
 	if (status == 0)
-		fwd_caller_accept(listener->data, listener);
+		fwd_conn_accept(listener->data, listener);
 }
 
 /* Checks the timeouts of all exchanges; each may end and free itself. */
@@ -40,11 +40,11 @@
 static void
 tick_callers(struct fwd *fwd, uint64_t now)
 {
-	struct fwd_caller *c, *next;
+	struct fwd_conn *c, *next;
 
-	for (c = TAILQ_FIRST(&fwd->callers); c != NULL; c = next) {
+	for (c = TAILQ_FIRST(&fwd->conns); c != NULL; c = next) {
 		next = TAILQ_NEXT(c, entry);
-		fwd_caller_tick(c, now);
+		fwd_conn_tick(c, now);
 	}
 }
 
@@ -57,7 +57,7 @@
 	while (ex != NULL) {
 		struct fwd_exchange *next = TAILQ_NEXT(ex, wait_entry);
 
-		fwd_exchange_try(ex);
+		fwd_exchange_dispatch(ex);
 		ex = next;
 	}
 }
@@ -70,7 +70,7 @@
 
 	if (fwd->last_tick_ms != 0 &&
 	    now - fwd->last_tick_ms > TICK_IDLE_MS + PAUSE_MS) {
-		fwd->blind_until_ms = now + BLIND_MS;
+		fwd->grace_until_ms = now + BLIND_MS;
 		event_log(LOG_NOTICE, "paused", "ms=%llu",
 		    (unsigned long long)(now - fwd->last_tick_ms));
 	}
@@ -93,35 +93,36 @@
 }
 
 /**
- * fwd_wake() - tick at the short interval again, now that an exchange exists.
+ * fwd_tick_soon() - tick at the short interval again, now that an exchange
+ * exists.
  * @fwd: the proxy
  */
 void
-fwd_wake(struct fwd *fwd)
+fwd_tick_soon(struct fwd *fwd)
 {
 	if (fwd->n_exchanges == 1)
 		uv_timer_start(&fwd->tick, on_tick, TICK_BUSY_MS, 0);
 }
 
 /**
- * fwd_kick() - dispatch queued exchanges and read pipelined requests in the
- *	next round of the loop.
+ * fwd_schedule_dispatch() - dispatch queued exchanges and read pipelined
+ *requests in the next round of the loop.
  * @fwd: the proxy
  */
 void
-fwd_kick(struct fwd *fwd)
+fwd_schedule_dispatch(struct fwd *fwd)
 {
-	if (!uv_is_active((uv_handle_t *)&fwd->kick))
-		uv_timer_start(&fwd->kick, on_kick, 0, 0);
+	if (!uv_is_active((uv_handle_t *)&fwd->dispatch_timer))
+		uv_timer_start(&fwd->dispatch_timer, on_kick, 0, 0);
 }
 
 /**
- * fwd_budget_of() - find or create the retry budget of a service.
+ * fwd_budget_get() - find or create the retry budget of a service.
  * @fwd: the proxy
  * @service: name of the service
  */
 struct fwd_budget *
-fwd_budget_of(struct fwd *fwd, const char *service)
+fwd_budget_get(struct fwd *fwd, const char *service)
 {
 	struct fwd_budget *b = g_hash_table_lookup(fwd->budgets, service);
 
@@ -133,18 +134,19 @@
 }
 
 /**
- * fwd_learned_of() - find or create the estimates of a model or service.
+ * fwd_estimate_get() - find or create the estimates of a model or service.
  * @fwd: the proxy
  * @name: name of the model, or of a service without models
  */
-struct fwd_learned *
-fwd_learned_of(struct fwd *fwd, const char *name)
+struct fwd_estimate *
+fwd_estimate_get(struct fwd *fwd, const char *name)
 {
-	struct fwd_learned *learned = g_hash_table_lookup(fwd->learned, name);
+	struct fwd_estimate *learned =
+	    g_hash_table_lookup(fwd->estimates, name);
 
 	if (learned == NULL) {
-		learned = g_new0(struct fwd_learned, 1);
-		g_hash_table_insert(fwd->learned, g_strdup(name), learned);
+		learned = g_new0(struct fwd_estimate, 1);
+		g_hash_table_insert(fwd->estimates, g_strdup(name), learned);
 	}
 	return (learned);
 }
@@ -164,19 +166,19 @@
 
 	fwd->loop = loop;
 	fwd->daemons = 1;
-	TAILQ_INIT(&fwd->callers);
+	TAILQ_INIT(&fwd->conns);
 	TAILQ_INIT(&fwd->exchanges);
 	TAILQ_INIT(&fwd->waiting);
 	fwd->budgets =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	fwd->learned =
+	fwd->estimates =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	fwd_stats_init(&fwd->stats);
 	uv_timer_init(loop, &fwd->tick);
-	uv_timer_init(loop, &fwd->kick);
+	uv_timer_init(loop, &fwd->dispatch_timer);
 	uv_tcp_init(loop, &fwd->listener);
 	fwd->tick.data = fwd;
-	fwd->kick.data = fwd;
+	fwd->dispatch_timer.data = fwd;
 	fwd->listener.data = fwd;
 	uv_timer_start(&fwd->tick, on_tick, TICK_IDLE_MS, 0);
 	rc = uv_tcp_bind(&fwd->listener, (const struct sockaddr *)addr, 0);
@@ -187,13 +189,13 @@
 }
 
 /**
- * fwd_leave() - close each client connection after its next response.
+ * fwd_drain() - close each client connection after its next response.
  * @fwd: the proxy
  */
 void
-fwd_leave(struct fwd *fwd)
+fwd_drain(struct fwd *fwd)
 {
-	fwd->leaving = true;
+	fwd->draining = true;
 }
 
 /**
@@ -203,44 +205,45 @@
 void
 fwd_stop_listening(struct fwd *fwd)
 {
-	if (fwd->closed)
+	if (fwd->listener_closed)
 		return;
-	fwd->closed = true;
+	fwd->listener_closed = true;
 	uv_close((uv_handle_t *)&fwd->listener, NULL);
 }
 
 /**
- * fwd_close_callers() - close client connections.
+ * fwd_close_conns() - close client connections.
  * @fwd: the proxy
  * @busy: also close those with a request in progress
  */
 void
-fwd_close_callers(struct fwd *fwd, bool busy)
+fwd_close_conns(struct fwd *fwd, bool busy)
 {
-	struct fwd_caller *c, *next;
+	struct fwd_conn *c, *next;
 
-	for (c = TAILQ_FIRST(&fwd->callers); c != NULL; c = next) {
+	for (c = TAILQ_FIRST(&fwd->conns); c != NULL; c = next) {
 		next = TAILQ_NEXT(c, entry);
 		if (c->exchange != NULL && busy)
-			fwd_exchange_break(c->exchange, "daemon_ends");
-		else if (c->exchange == NULL && !c->began && !c->stream.finish)
+			fwd_exchange_abort(c->exchange, "daemon_ends");
+		else if (c->exchange == NULL && !c->started &&
+		    !c->stream.finish)
 			net_stream_close(&c->stream);
 	}
 }
 
 /**
- * fwd_callers_quiet() - whether no client waits for anything.
+ * fwd_conns_drained() - whether no client waits for anything.
  * @fwd: the proxy
  *
  * Responses that are with the kernel need not be waited for: it goes on sending
  * them when the process has exited.
  */
 bool
-fwd_callers_quiet(const struct fwd *fwd)
+fwd_conns_drained(const struct fwd *fwd)
 {
-	const struct fwd_caller *c;
+	const struct fwd_conn *c;
 
-	TAILQ_FOREACH(c, &fwd->callers, entry) {
+	TAILQ_FOREACH(c, &fwd->conns, entry) {
 		if (!c->stream.closing && !c->stream.finish)
 			return (false);
 		if (c->stream.queued > 0)
--- a/src/mesh-poison.c
+++ b/src/mesh-poison.c
@@ -1,7 +1,7 @@
 /* Work that is suspected of ending endpoints: who is told, and what is taken.
  */
 #include "event-log.h"
-#include "fwd-work.h"
+#include "fwd-fingerprint.h"
 #include "mesh.h"
 
 /* What is new is told in every datagram for so long, so that some may be lost,
@@ -184,7 +184,7 @@
 		event_log(told_level(poison, told), "work_told",
 		    "work=%08x sign=%s endpoint_key=%08x started=%08x "
 		    "age_ms=%u peer=%s",
-		    WORK_SHORT(told->work),
+		    FINGERPRINT_SHORT(told->work),
 		    cleared	   ? "cleared" :
 			end.silent ? "silent" :
 				     "broken",
--- a/src/mesh-shares.c
+++ b/src/mesh-shares.c
@@ -131,7 +131,7 @@
 		mesh->lived_least = living;
 		mesh->lived_since_ms = mesh->now_ms;
 	}
-	return (fwd_sharers_note(&mesh->lived, steady, LIVED_SPAN_MS,
+	return (fwd_daemon_peak_update(&mesh->lived, steady, LIVED_SPAN_MS,
 	    mesh->now_ms));
 }
 
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -247,7 +247,7 @@
 	uint64_t behind_ms;
 	uint32_t cell_keys[MESH_MEMBERS_MAX];
 	unsigned n_cell_keys;
-	struct fwd_sharers lived;
+	struct fwd_daemon_peak lived;
 	unsigned lived_least;
 	uint64_t lived_since_ms;
 	uint64_t newcomer_ms;
--- a/tests/test-adapter.c
+++ b/tests/test-adapter.c
@@ -148,7 +148,7 @@
 		const char *name = net_head_name(&head, i);
 
 		if (!net_head_hop_by_hop(&head, i) &&
-		    platform_wire.passes(name))
+		    platform_wire.passes_header(name))
 			g_string_append_printf(out, " %s", name);
 	}
 	g_string_append_c(out, '\n');
@@ -157,7 +157,7 @@
 
 /* Prints a word of an endpoint, if it was said. */
 static void
-said_print(const struct said *said, const char *name, const char *unit,
+said_print(const struct feedback *said, const char *name, const char *unit,
     GString *out)
 {
 	if (said->text == NULL)
@@ -175,20 +175,20 @@
 {
 	char *at;
 	unsigned status = (unsigned)strtoul(rest, &at, 10);
-	struct wire_answer answer;
+	struct wire_response answer;
 	struct net_head head;
 
 	head_fill(&head, at + 1);
-	platform_wire.read_answer(status, &head, &answer);
+	platform_wire.read_response(status, &head, &answer);
 	g_string_append_printf(out,
 	    "id=%s proof=%d not_run=%d wrong_endpoint=%d at_fault=%s",
-	    answer.id != NULL ? answer.id : "-", answer.proof, answer.not_run,
-	    answer.wrong_endpoint,
-	    answer.at_fault != NULL ? answer.at_fault : "-");
-	if (answer.said[SAID_LEAVING].number == 1)
+	    answer.id != NULL ? answer.id : "-", answer.has_signature,
+	    answer.not_run, answer.wrong_endpoint,
+	    answer.lost_member != NULL ? answer.lost_member : "-");
+	if (answer.feedback[FEEDBACK_DRAINING].number == 1)
 		g_string_append(out, " leaving=1");
-	said_print(&answer.said[SAID_REST], "rest", " ms", out);
-	said_print(&answer.said[SAID_LIMIT], "limit", "/s", out);
+	said_print(&answer.feedback[FEEDBACK_BACKOFF], "rest", " ms", out);
+	said_print(&answer.feedback[FEEDBACK_LIMIT], "limit", "/s", out);
 	g_string_append_c(out, '\n');
 	net_head_clear(&head);
 }
