--- a/src/fwd-admission.c
+++ b/src/fwd-admission.c
@@ -18,12 +18,12 @@
  * at once. */
 #define RETRY_SPREAD 0.5
 /* Clients obey a time to retry up to this part of the time that they have. */
-#define RETRY_HEEDED (1.0 / 3)
+#define RETRY_OBEYED (1.0 / 3)
 #define MS_PER_S 1000
 
 /* Expected time until a slot becomes free for the request. */
 static double
-place_ms(const struct fwd_admission *a)
+slot_ms(const struct fwd_admission *a)
 {
 	if (a->choice->running <= 0)
 		return (INFINITY);
@@ -39,7 +39,7 @@
 
 /* Time until the first requested backoff of a matching endpoint ends. */
 static double
-opens_ms(const struct fwd_admission *a)
+backoff_ms(const struct fwd_admission *a)
 {
 	const struct endpoint *ep = a->choice->next_available;
 
@@ -54,16 +54,17 @@
  * backoff a single request probes the endpoint, so only one is queued for it.
  */
 static enum fwd_admission_verdict
-decide_closed(const struct fwd_admission *a)
+decide_unavailable(const struct fwd_admission *a)
 {
-	double opens = opens_ms(a);
+	double backoff = backoff_ms(a);
 	bool waits;
 
 	if (a->started)
-		waits = a->choice->next_available == NULL || opens < a->left_ms;
+		waits =
+		    a->choice->next_available == NULL || backoff < a->left_ms;
 	else
 		waits = a->ahead < 1 &&
-		    in_time(a, opens + (a->resubmitted ? 0 : a->first_ms));
+		    in_time(a, backoff + (a->resubmitted ? 0 : a->first_ms));
 	return (waits ? ADMIT_WAIT : ADMIT_REFUSE);
 }
 
@@ -82,7 +83,7 @@
 fwd_admission_decide(const struct fwd_admission *a)
 {
 	const struct fwd_choice *choice = a->choice;
-	double place = fmin(place_ms(a), choice->permit_ms);
+	double slot = fmin(slot_ms(a), choice->permit_ms);
 
 	if (choice->endpoint != NULL) {
 		/* While slots are free a late response is no reason to refuse,
@@ -94,15 +95,15 @@
 		return (ADMIT_REFUSE);
 	}
 	if (fwd_choice_all_unavailable(choice))
-		return (decide_closed(a));
+		return (decide_unavailable(a));
 	/* A request that was sent before is retried until its deadline. */
 	if (a->sends > 0)
-		return (only_limited(choice) && place >= a->left_ms ?
+		return (only_limited(choice) && slot >= a->left_ms ?
 			ADMIT_REFUSE :
 			ADMIT_WAIT);
 	if (choice->usable == 0 && choice->limited == 0)
 		return (ADMIT_REFUSE);
-	return (in_time(a, place + (a->resubmitted ? 0 : a->first_ms)) ?
+	return (in_time(a, slot + (a->resubmitted ? 0 : a->first_ms)) ?
 		ADMIT_WAIT :
 		ADMIT_REFUSE);
 }
@@ -128,7 +129,7 @@
 	/* Before the first backoff ends the client would be refused again. */
 	if (fwd_choice_all_unavailable(a->choice) &&
 	    a->choice->next_available != NULL)
-		retry =
-		    opens_ms(a) + spread * fmax(opens_ms(a), RETRY_PLAIN_MS);
-	return (llround(MIN(retry, MAX(a->left_ms, 0) * RETRY_HEEDED)));
+		retry = backoff_ms(a) +
+		    spread * fmax(backoff_ms(a), RETRY_PLAIN_MS);
+	return (llround(MIN(retry, MAX(a->left_ms, 0) * RETRY_OBEYED)));
 }
--- a/src/fwd-backlog.c
+++ b/src/fwd-backlog.c
@@ -11,9 +11,9 @@
 double
 fwd_backlog_tokens(const struct fwd_backlog *b, uint64_t now_ms)
 {
-	double passed = (double)(now_ms - MIN(b->at_ms, now_ms));
+	double elapsed_ms = (double)(now_ms - MIN(b->at_ms, now_ms));
 
-	return (MAX(b->tokens - passed * b->rate, 0));
+	return (MAX(b->tokens - elapsed_ms * b->rate, 0));
 }
 
 /* Sets the backlog as of a loop time. */
--- a/src/fwd-budget.c
+++ b/src/fwd-budget.c
@@ -8,16 +8,16 @@
 budget_advance(struct fwd_budget *b, const struct fwd_budget_rule *rule,
     uint64_t now_ms)
 {
-	uint64_t slot = now_ms * FWD_BUDGET_BUCKETS / rule->window_ms;
+	uint64_t bucket = now_ms * FWD_BUDGET_BUCKETS / rule->window_ms;
 
-	if (slot > b->bucket + FWD_BUDGET_BUCKETS)
-		b->bucket = slot - FWD_BUDGET_BUCKETS;
-	while (b->bucket < slot) {
+	if (bucket > b->bucket + FWD_BUDGET_BUCKETS)
+		b->bucket = bucket - FWD_BUDGET_BUCKETS;
+	while (b->bucket < bucket) {
 		b->bucket++;
 		b->requests[b->bucket % FWD_BUDGET_BUCKETS] = 0;
 		b->retries[b->bucket % FWD_BUDGET_BUCKETS] = 0;
 	}
-	return ((unsigned)(slot % FWD_BUDGET_BUCKETS));
+	return ((unsigned)(bucket % FWD_BUDGET_BUCKETS));
 }
 
 /**
@@ -47,17 +47,17 @@
     unsigned daemons, uint64_t now_ms)
 {
 	unsigned at = budget_advance(b, rule, now_ms);
-	unsigned requests = 0, repeats = 0;
-	double most;
+	unsigned requests = 0, retries = 0;
+	double allowed;
 
 	for (unsigned i = 0; i < FWD_BUDGET_BUCKETS; i++) {
 		requests += b->requests[i];
-		repeats += b->retries[i];
+		retries += b->retries[i];
 	}
-	most = FWD_BUDGET_MARGIN *
+	allowed = FWD_BUDGET_MARGIN *
 	    (rule->ratio * requests +
 		rule->slack / (daemons > 0 ? daemons : 1));
-	if (repeats + 1 > most)
+	if (retries + 1 > allowed)
 		return (false);
 	b->retries[at]++;
 	return (true);
@@ -66,9 +66,9 @@
 /**
  * fwd_daemon_peak_update() - update the peak with the daemons that are alive
  * now.
- * @s: the peak
+ * @p: the peak
  * @daemons: number of daemons known to be alive, this one included
- * @span_ms: window of the bound that the daemons share, in ms
+ * @window_ms: window of the bound that the daemons share, in ms
  * @now_ms: monotonic time
  *
  * A daemon that is partitioned, or has lost its relay, knows only few others,
@@ -78,16 +78,16 @@
  * Return: number of daemons to share the bound among.
  */
 unsigned
-fwd_daemon_peak_update(struct fwd_daemon_peak *s, unsigned daemons,
-    uint64_t span_ms, uint64_t now_ms)
+fwd_daemon_peak_update(struct fwd_daemon_peak *p, unsigned daemons,
+    uint64_t window_ms, uint64_t now_ms)
 {
-	uint64_t span = now_ms / MAX(span_ms, 1);
+	uint64_t window = now_ms / MAX(window_ms, 1);
 
-	if (span != s->window) {
-		s->peak[1] = span == s->window + 1 ? s->peak[0] : 0;
-		s->peak[0] = 0;
-		s->window = span;
+	if (window != p->window) {
+		p->peak[1] = window == p->window + 1 ? p->peak[0] : 0;
+		p->peak[0] = 0;
+		p->window = window;
 	}
-	s->peak[0] = MAX(s->peak[0], daemons);
-	return (MAX(s->peak[0], s->peak[1]));
+	p->peak[0] = MAX(p->peak[0], daemons);
+	return (MAX(p->peak[0], p->peak[1]));
 }
--- a/src/fwd-choose.c
+++ b/src/fwd-choose.c
@@ -28,32 +28,32 @@
 
 /*
  * Endpoints with a free slot:
- * @sure: without any restriction
- * @turns: with a rate limit of which this daemon has a permit, as only few
+ * @unrestricted: without any restriction
+ * @permitted: with a rate limit of which this daemon has a permit, as only few
  *	daemons have
- * @doubted: in probing after a backoff or refusal: they have not accepted a
+ * @probing: in probing after a backoff or refusal: they have not accepted a
  *	request since
  */
-struct found {
-	GPtrArray *sure;
-	GPtrArray *turns;
-	GPtrArray *doubted;
+struct eligible {
+	GPtrArray *unrestricted;
+	GPtrArray *permitted;
+	GPtrArray *probing;
 };
 
 /*
- * Whether an endpoint has failed the request; with @again, only within the last
- * TRIED_AGAIN_MS.
+ * Whether an endpoint has failed the request; with @recently, only within the
+ * last TRIED_AGAIN_MS.
  */
 static bool
-want_tried(const struct fwd_criteria *want, const struct endpoint *ep,
-    bool again)
+criteria_tried(const struct fwd_criteria *criteria, const struct endpoint *ep,
+    bool recently)
 {
-	for (unsigned i = 0; i < want->n_tried; i++) {
-		const struct fwd_tried *tried = &want->tried[i];
+	for (unsigned i = 0; i < criteria->n_tried; i++) {
+		const struct fwd_tried *tried = &criteria->tried[i];
 
 		if (tried->endpoint == ep &&
-		    (!again ||
-			want->now_ms - tried->failed_ms < TRIED_AGAIN_MS))
+		    (!recently ||
+			criteria->now_ms - tried->failed_ms < TRIED_AGAIN_MS))
 			return (true);
 	}
 	return (false);
@@ -61,59 +61,59 @@
 
 /* Whether an endpoint is of the request's service and serves its model. */
 static bool
-endpoint_fits(const struct endpoint *ep, const struct fwd_criteria *want)
+endpoint_matches(const struct endpoint *ep, const struct fwd_criteria *criteria)
 {
-	if (strcmp(ep->report.service, want->service) != 0)
+	if (strcmp(ep->report.service, criteria->service) != 0)
 		return (false);
-	if (want->model == NULL)
+	if (criteria->model == NULL)
 		return (true);
 	return (ep->report.rank == 0 && ep->report.state == GROUP_OPEN &&
 	    ep->report.model != NULL &&
-	    strcmp(ep->report.model, want->model->name) == 0);
+	    strcmp(ep->report.model, criteria->model->name) == 0);
 }
 
 /**
  * fwd_criteria_workload() - a request's workload for an engine.
- * @want: the request's criteria, with its engine and model
+ * @criteria: the request's criteria, with its engine and model
  * @prompt: length of the prompt to estimate for, in tokens
- * @work: filled in
+ * @workload: filled in
  */
 void
-fwd_criteria_workload(const struct fwd_criteria *want, double prompt,
-    struct fwd_workload *work)
+fwd_criteria_workload(const struct fwd_criteria *criteria, double prompt,
+    struct fwd_workload *workload)
 {
-	work->engine = want->engine;
-	work->model = want->model;
-	work->prompt = prompt;
-	work->overhead_ms = want->overhead_ms;
-	work->now_ms = want->now_ms;
+	workload->engine = criteria->engine;
+	workload->model = criteria->model;
+	workload->prompt = prompt;
+	workload->overhead_ms = criteria->overhead_ms;
+	workload->now_ms = criteria->now_ms;
 }
 
 /* Cost of an endpoint for a request; lower is better. */
 static double
-endpoint_cost(const struct endpoint *ep, const struct fwd_criteria *want,
+endpoint_cost(const struct endpoint *ep, const struct fwd_criteria *criteria,
     double *first)
 {
-	bool across = g_strcmp0(ep->report.domain, want->domain) != 0;
-	struct fwd_workload work;
+	bool remote = g_strcmp0(ep->report.domain, criteria->domain) != 0;
+	struct fwd_workload workload;
 
 	*first = 0;
-	if (want->model != NULL) {
-		fwd_criteria_workload(want, want->prompt, &work);
-		*first = fwd_expect_first(ep, &work);
+	if (criteria->model != NULL) {
+		fwd_criteria_workload(criteria, criteria->prompt, &workload);
+		*first = fwd_expect_first(ep, &workload);
 		return (*first * (1 + ERROR_WEIGHT * ep->error_rate) +
-		    (across ? CROSS_DOMAIN_MS : 0));
+		    (remote ? CROSS_DOMAIN_MS : 0));
 	}
 	return (fwd_expect_running(ep) / MAX(ep->report.slots, 1) +
-	    ERROR_WEIGHT * ep->error_rate + (across ? CROSS_DOMAIN_LOAD : 0));
+	    ERROR_WEIGHT * ep->error_rate + (remote ? CROSS_DOMAIN_LOAD : 0));
 }
 
 /* Maximum number of requests that an endpoint should have at once. */
 static double
-endpoint_places(const struct endpoint *ep, const struct fwd_criteria *want)
+endpoint_slots(const struct endpoint *ep, const struct fwd_criteria *criteria)
 {
-	if (want->engine != NULL)
-		return (want->engine->slots);
+	if (criteria->engine != NULL)
+		return (criteria->engine->slots);
 	return (MAX(ep->report.slots, 1));
 }
 
@@ -122,28 +122,28 @@
 enum last_resort {
 	RESORT_NONE,
 	RESORT_TRIED,
-	RESORT_RESTING,
+	RESORT_COOLDOWN,
 };
 
 /* Whether an endpoint may be chosen. As a last resort a cooldown, which this
  * daemon assumed, may be ignored; a backoff that was requested may not. */
 static bool
-resort_takes(const struct endpoint *ep, uint64_t now_ms,
+resort_allows(const struct endpoint *ep, uint64_t now_ms,
     enum last_resort resort)
 {
-	if (resort == RESORT_RESTING)
+	if (resort == RESORT_COOLDOWN)
 		return (endpoint_open(ep, now_ms));
 	return (endpoint_usable(ep, now_ms));
 }
 
 /* Notes an endpoint that has requested a backoff or is draining. */
 static void
-choice_note_closed(struct fwd_choice *choice, const struct endpoint *ep,
+choice_note_unavailable(struct fwd_choice *choice, const struct endpoint *ep,
     uint64_t now_ms)
 {
-	bool rests = endpoint_rest_holds(&ep->rest, now_ms);
+	bool in_backoff = endpoint_rest_holds(&ep->rest, now_ms);
 
-	if (!rests && !ep->draining)
+	if (!in_backoff && !ep->draining)
 		return;
 	choice->unavailable++;
 	if (ep->draining)
@@ -156,11 +156,11 @@
 /* Whether this daemon has a permit of the endpoint's rate limit for the
  * request; if not, notes when it will have one. */
 static bool
-choice_note_turn(struct fwd_choice *choice, const struct endpoint *ep,
-    const struct fwd_criteria *want)
+choice_check_limit(struct fwd_choice *choice, const struct endpoint *ep,
+    const struct fwd_criteria *criteria)
 {
-	double ms =
-	    endpoint_limit_turn_ms(&ep->limit, want->ahead, want->now_ms);
+	double ms = endpoint_limit_turn_ms(&ep->limit, criteria->ahead,
+	    criteria->now_ms);
 
 	if (ms <= 0)
 		return (true);
@@ -175,14 +175,14 @@
 
 /* Adds an endpoint with a free slot to the array that it belongs to. */
 static void
-found_add(const struct found *found, struct endpoint *ep)
+eligible_add(const struct eligible *eligible, struct endpoint *ep)
 {
 	if (endpoint_rest_doubted(&ep->rest))
-		g_ptr_array_add(found->doubted, ep);
+		g_ptr_array_add(eligible->probing, ep);
 	else if (ep->limit.holds)
-		g_ptr_array_add(found->turns, ep);
+		g_ptr_array_add(eligible->permitted, ep);
 	else
-		g_ptr_array_add(found->sure, ep);
+		g_ptr_array_add(eligible->unrestricted, ep);
 }
 
 /*
@@ -190,8 +190,8 @@
  * a last resort also those that did, or those in a cooldown.
  */
 static void
-collect(const struct fleet *fleet, const struct fwd_criteria *want,
-    enum last_resort resort, const struct found *found,
+collect(const struct fleet *fleet, const struct fwd_criteria *criteria,
+    enum last_resort resort, const struct eligible *eligible,
     struct fwd_choice *choice)
 {
 	struct endpoint *ep;
@@ -207,37 +207,37 @@
 	choice->permit_ms = INFINITY;
 	choice->limits_per_s = 0;
 	TAILQ_FOREACH(ep, &fleet->endpoints, entry) {
-		if (!endpoint_fits(ep, want) || ep->gone)
+		if (!endpoint_matches(ep, criteria) || ep->gone)
 			continue;
 		choice->known++;
-		choice_note_closed(choice, ep, want->now_ms);
-		if (!resort_takes(ep, want->now_ms, resort) ||
-		    want_tried(want, ep, resort == RESORT_TRIED) ||
-		    !choice_note_turn(choice, ep, want))
+		choice_note_unavailable(choice, ep, criteria->now_ms);
+		if (!resort_allows(ep, criteria->now_ms, resort) ||
+		    criteria_tried(criteria, ep, resort == RESORT_TRIED) ||
+		    !choice_check_limit(choice, ep, criteria))
 			continue;
 		choice->usable++;
 		choice->running += fwd_expect_running(ep);
 		choice->any_usable = ep;
-		if (fwd_expect_running(ep) < endpoint_places(ep, want) &&
+		if (fwd_expect_running(ep) < endpoint_slots(ep, criteria) &&
 		    endpoint_rest_has_room(&ep->rest))
-			found_add(found, ep);
+			eligible_add(eligible, ep);
 	}
 }
 
 /* Moves the endpoints of this daemon's failure domain to the front. Returns
  * their number. */
 static unsigned
-near_first(GPtrArray *found, const struct fwd_criteria *want)
+local_first(GPtrArray *eligible, const struct fwd_criteria *criteria)
 {
 	unsigned n = 0;
 
-	for (guint i = 0; i < found->len; i++) {
-		struct endpoint *ep = found->pdata[i];
+	for (guint i = 0; i < eligible->len; i++) {
+		struct endpoint *ep = eligible->pdata[i];
 
-		if (g_strcmp0(ep->report.domain, want->domain) != 0)
+		if (g_strcmp0(ep->report.domain, criteria->domain) != 0)
 			continue;
-		found->pdata[i] = found->pdata[n];
-		found->pdata[n++] = ep;
+		eligible->pdata[i] = eligible->pdata[n];
+		eligible->pdata[n++] = ep;
 	}
 	return (n);
 }
@@ -245,16 +245,17 @@
 /* Moves random candidates of the range [first, end) to the start of the range.
  * Returns the end of the candidates. */
 static unsigned
-draw_candidates(GPtrArray *found, unsigned first, unsigned end, uint32_t *draw)
+draw_candidates(GPtrArray *eligible, unsigned first, unsigned end,
+    uint32_t *draw)
 {
 	unsigned n = MIN(end - first, CANDIDATES);
 
 	for (unsigned i = first; i < first + n; i++) {
 		unsigned k = i + *draw % (end - i);
-		void *swap = found->pdata[i];
+		void *swap = eligible->pdata[i];
 
-		found->pdata[i] = found->pdata[k];
-		found->pdata[k] = swap;
+		eligible->pdata[i] = eligible->pdata[k];
+		eligible->pdata[k] = swap;
 		*draw = *draw / 7 + *draw * 2654435761u;
 	}
 	return (first + n);
@@ -262,21 +263,22 @@
 
 /* Compares the candidates in the range [first, end) with the best so far. */
 static void
-compare(const GPtrArray *found, unsigned first, unsigned end,
-    const struct fwd_criteria *want, struct fwd_choice *choice, double *best)
+compare(const GPtrArray *eligible, unsigned first, unsigned end,
+    const struct fwd_criteria *criteria, struct fwd_choice *choice,
+    double *best)
 {
 	for (unsigned i = first; i < end; i++) {
-		struct endpoint *ep = found->pdata[i];
-		double expected, cost = endpoint_cost(ep, want, &expected);
+		struct endpoint *ep = eligible->pdata[i];
+		double expected, cost = endpoint_cost(ep, criteria, &expected);
 
 		if (cost >= *best)
 			continue;
 		*best = cost;
 		choice->endpoint = ep;
 		choice->first_ms = expected;
-		choice->overhead_ms = want->overhead_ms;
+		choice->overhead_ms = criteria->overhead_ms;
 		choice->load =
-		    fwd_expect_running(ep) / endpoint_places(ep, want);
+		    fwd_expect_running(ep) / endpoint_slots(ep, criteria);
 	}
 }
 
@@ -295,51 +297,51 @@
 /* Compares random candidates of this and of other failure domains with the best
  * so far. */
 static void
-choose_among(GPtrArray *found, const struct fwd_criteria *want,
+choose_among(GPtrArray *eligible, const struct fwd_criteria *criteria,
     struct fwd_choice *choice, uint32_t *draw, double *best)
 {
-	unsigned near = near_first(found, want);
-	unsigned end = draw_candidates(found, 0, near, draw);
+	unsigned n_local = local_first(eligible, criteria);
+	unsigned end = draw_candidates(eligible, 0, n_local, draw);
 
-	compare(found, 0, end, want, choice, best);
-	end = draw_candidates(found, near, found->len, draw);
-	compare(found, near, end, want, choice, best);
+	compare(eligible, 0, end, criteria, choice, best);
+	end = draw_candidates(eligible, n_local, eligible->len, draw);
+	compare(eligible, n_local, end, criteria, choice, best);
 }
 
 /**
  * fwd_choose() - choose an endpoint for a request.
  * @fleet: the endpoints
- * @want: what the request requires of an endpoint
+ * @criteria: what the request requires of an endpoint
  * @choice: filled in
  */
 void
-fwd_choose(const struct fleet *fleet, const struct fwd_criteria *want,
+fwd_choose(const struct fleet *fleet, const struct fwd_criteria *criteria,
     struct fwd_choice *choice)
 {
-	g_autoptr(GPtrArray) sure = g_ptr_array_new();
-	g_autoptr(GPtrArray) turns = g_ptr_array_new();
-	g_autoptr(GPtrArray) doubted = g_ptr_array_new();
-	const struct found found = { sure, turns, doubted };
+	g_autoptr(GPtrArray) unrestricted = g_ptr_array_new();
+	g_autoptr(GPtrArray) permitted = g_ptr_array_new();
+	g_autoptr(GPtrArray) probing = g_ptr_array_new();
+	const struct eligible eligible = { unrestricted, permitted, probing };
 	double best = INFINITY;
-	uint32_t draw = want->draw;
+	uint32_t draw = criteria->draw;
 
 	memset(choice, 0, sizeof *choice);
-	collect(fleet, want, RESORT_NONE, &found, choice);
-	if (choice->usable == 0 && want->n_tried > 0)
-		collect(fleet, want, RESORT_TRIED, &found, choice);
+	collect(fleet, criteria, RESORT_NONE, &eligible, choice);
+	if (choice->usable == 0 && criteria->n_tried > 0)
+		collect(fleet, criteria, RESORT_TRIED, &eligible, choice);
 	/* If all are in a cooldown, one that may fail is better than none. */
-	if (choice->usable == 0 && want->model == NULL)
-		collect(fleet, want, RESORT_RESTING, &found, choice);
+	if (choice->usable == 0 && criteria->model == NULL)
+		collect(fleet, criteria, RESORT_COOLDOWN, &eligible, choice);
 	/* By cost alone, an endpoint in probing whose load is as low as that of
 	 * the others would never get a request again. A retry doesn't probe. */
-	if (want->n_tried == 0 && want->draw % PROBE_ONE_IN == 0)
-		choose_among(doubted, want, choice, &draw, &best);
+	if (criteria->n_tried == 0 && criteria->draw % PROBE_ONE_IN == 0)
+		choose_among(probing, criteria, choice, &draw, &best);
 	if (choice->endpoint != NULL)
 		return;
 	/* First, so that of equal endpoints one with a rate limit is chosen:
 	 * only its responses tell when the limit has ended. */
-	compare(turns, 0, turns->len, want, choice, &best);
-	choose_among(sure, want, choice, &draw, &best);
+	compare(permitted, 0, permitted->len, criteria, choice, &best);
+	choose_among(unrestricted, criteria, choice, &draw, &best);
 	if (choice->endpoint == NULL || choice->load >= FWD_BUSY_LOAD)
-		choose_among(doubted, want, choice, &draw, &best);
+		choose_among(probing, criteria, choice, &draw, &best);
 }
--- a/src/fwd-conn.c
+++ b/src/fwd-conn.c
@@ -7,36 +7,36 @@
 #include "fwd-exchange.h"
 
 /* Pipelined bytes from which on reading from the client is paused. */
-#define HELD_BYTES 65536
+#define PIPELINED_MAX_BYTES 65536
 /* Output queued for a slow client from which on its endpoint is paused. */
 #define OUT_PAUSE_BYTES 262144
 /* Limits and timeouts until the first configuration is known. */
-#define HEADER_BYTES_FIRST 16384
-#define BODY_BYTES_FIRST (4 << 20)
-#define HEADER_FIRST_MS 3000
-#define IDLE_FIRST_MS 15000
+#define HEADER_BYTES_DEFAULT 16384
+#define BODY_BYTES_DEFAULT (4 << 20)
+#define HEADER_DEFAULT_MS 3000
+#define IDLE_DEFAULT_MS 15000
 
 /* How long a client may take to read a response that ends its connection. */
 #define LINGER_MS 1000
 
-static const struct caller_limits limits_first = { HEADER_BYTES_FIRST,
-	BODY_BYTES_FIRST, HEADER_FIRST_MS, IDLE_FIRST_MS };
+static const struct caller_limits limits_default = { HEADER_BYTES_DEFAULT,
+	BODY_BYTES_DEFAULT, HEADER_DEFAULT_MS, IDLE_DEFAULT_MS };
 
 static const char continue_text[] = "HTTP/1.1 100 Continue\r\n\r\n";
 
-static void caller_run(struct fwd_conn *);
+static void conn_run_pipelined(struct fwd_conn *);
 
 static const struct caller_limits *
-caller_limits_now(const struct fwd_conn *c)
+conn_limits(const struct fwd_conn *c)
 {
 	const struct catalog *catalog = c->fwd->dir->catalog;
 
-	return (catalog != NULL ? &catalog->limits : &limits_first);
+	return (catalog != NULL ? &catalog->limits : &limits_default);
 }
 
 /* Makes the parser stop; the request is refused with @status. */
 static int
-caller_bad(struct fwd_conn *c, unsigned status)
+conn_reject(struct fwd_conn *c, unsigned status)
 {
 	c->error_status = status;
 	return (-1);
@@ -55,12 +55,12 @@
 }
 
 static int
-caller_head_fits(struct fwd_conn *c)
+conn_check_head(struct fwd_conn *c)
 {
 	if (c->head.too_large ||
-	    (int64_t)c->head.text->len > caller_limits_now(c)->header_bytes)
-		return (
-		    caller_bad(c, HTTP_STATUS_REQUEST_HEADER_FIELDS_TOO_LARGE));
+	    (int64_t)c->head.text->len > conn_limits(c)->header_bytes)
+		return (conn_reject(c,
+		    HTTP_STATUS_REQUEST_HEADER_FIELDS_TOO_LARGE));
 	return (0);
 }
 
@@ -70,7 +70,7 @@
 	struct fwd_conn *c = parser->data;
 
 	net_head_add_target(&c->head, at, length);
-	return (caller_head_fits(c));
+	return (conn_check_head(c));
 }
 
 static int
@@ -84,9 +84,9 @@
 	/* http_parser accepts a space in a header name; other parsers would
 	 * read it as another name. */
 	if (memchr(at, ' ', length) != NULL)
-		return (caller_bad(c, HTTP_STATUS_BAD_REQUEST));
+		return (conn_reject(c, HTTP_STATUS_BAD_REQUEST));
 	net_head_add_name(&c->head, at, length);
-	return (caller_head_fits(c));
+	return (conn_check_head(c));
 }
 
 static int
@@ -97,7 +97,7 @@
 	if (c->body->len > 0)
 		return (0);
 	net_head_add_value(&c->head, at, length);
-	return (caller_head_fits(c));
+	return (conn_check_head(c));
 }
 
 static int
@@ -109,8 +109,8 @@
 	net_head_close_value(&c->head);
 	c->head_only = parser->method == HTTP_HEAD;
 	if (parser->flags & F_CONTENTLENGTH &&
-	    parser->content_length > (uint64_t)caller_limits_now(c)->body_bytes)
-		return (caller_bad(c, HTTP_STATUS_PAYLOAD_TOO_LARGE));
+	    parser->content_length > (uint64_t)conn_limits(c)->body_bytes)
+		return (conn_reject(c, HTTP_STATUS_PAYLOAD_TOO_LARGE));
 	expect = net_head_find(&c->head, "expect");
 	if (expect != NULL && strcasecmp(expect, "100-continue") == 0)
 		net_stream_write(&c->stream, continue_text,
@@ -123,8 +123,8 @@
 {
 	struct fwd_conn *c = parser->data;
 
-	if ((int64_t)(c->body->len + length) > caller_limits_now(c)->body_bytes)
-		return (caller_bad(c, HTTP_STATUS_PAYLOAD_TOO_LARGE));
+	if ((int64_t)(c->body->len + length) > conn_limits(c)->body_bytes)
+		return (conn_reject(c, HTTP_STATUS_PAYLOAD_TOO_LARGE));
 	g_byte_array_append(c->body, (const guint8 *)at, (guint)length);
 	return (0);
 }
@@ -152,7 +152,7 @@
 
 /* Refuses input that is not a valid request, and ends the connection. */
 static void
-caller_refuse_input(struct fwd_conn *c)
+conn_refuse_input(struct fwd_conn *c)
 {
 	unsigned status =
 	    c->error_status != 0 ? c->error_status : HTTP_STATUS_BAD_REQUEST;
@@ -166,7 +166,7 @@
 
 /* Parses bytes until a request is complete. Returns how many were used. */
 static size_t
-caller_parse(struct fwd_conn *c, const char *at, size_t length)
+conn_parse(struct fwd_conn *c, const char *at, size_t length)
 {
 	size_t used =
 	    http_parser_execute(&c->parser, &request_settings, at, length);
@@ -178,7 +178,7 @@
 		return (used);
 	}
 	if (rc != HPE_OK || used != length) {
-		caller_refuse_input(c);
+		conn_refuse_input(c);
 		return (length);
 	}
 	return (used);
@@ -186,7 +186,7 @@
 
 /* Starts an exchange for the request that was read. */
 static void
-caller_start(struct fwd_conn *c)
+conn_start_exchange(struct fwd_conn *c)
 {
 	c->complete = false;
 	c->started = false;
@@ -196,7 +196,7 @@
 
 /* Parses pipelined bytes until a request is in progress. */
 static void
-caller_run(struct fwd_conn *c)
+conn_run_pipelined(struct fwd_conn *c)
 {
 	while (c->exchange == NULL && !c->stream.closing && !c->stream.finish &&
 	    c->pipelined->len > 0) {
@@ -204,25 +204,25 @@
 		size_t used;
 
 		c->pipelined = g_string_new(NULL);
-		used = caller_parse(c, bytes->str, bytes->len);
+		used = conn_parse(c, bytes->str, bytes->len);
 		if (c->stream.closing || c->stream.finish)
 			return;
 		g_string_append_len(c->pipelined, bytes->str + used,
 		    (gssize)(bytes->len - used));
 		if (c->complete)
-			caller_start(c);
+			conn_start_exchange(c);
 	}
 }
 
 static void
-caller_readable(struct net_stream *stream, const char *at, size_t length)
+conn_readable(struct net_stream *stream, const char *at, size_t length)
 {
 	struct fwd_conn *c = stream->owner;
 
 	if (c->stream.finish)
 		return;
 	if (c->exchange == NULL && c->pipelined->len == 0) {
-		size_t used = caller_parse(c, at, length);
+		size_t used = conn_parse(c, at, length);
 
 		if (c->stream.closing || c->stream.finish)
 			return;
@@ -231,14 +231,14 @@
 	}
 	g_string_append_len(c->pipelined, at, (gssize)length);
 	if (c->complete)
-		caller_start(c);
-	caller_run(c);
-	if (c->pipelined != NULL && c->pipelined->len > HELD_BYTES)
+		conn_start_exchange(c);
+	conn_run_pipelined(c);
+	if (c->pipelined != NULL && c->pipelined->len > PIPELINED_MAX_BYTES)
 		net_stream_read(stream, false);
 }
 
 static void
-caller_ended(struct net_stream *stream, bool clean)
+conn_ended(struct net_stream *stream, bool clean)
 {
 	struct fwd_conn *c = stream->owner;
 
@@ -249,7 +249,7 @@
 }
 
 static void
-caller_drained(struct net_stream *stream)
+conn_output_drained(struct net_stream *stream)
 {
 	struct fwd_conn *c = stream->owner;
 
@@ -258,7 +258,7 @@
 }
 
 static void
-caller_closed(struct net_stream *stream)
+conn_closed(struct net_stream *stream)
 {
 	struct fwd_conn *c = stream->owner;
 
@@ -271,16 +271,16 @@
 }
 
 static void
-caller_connected(struct net_stream *stream)
+conn_connected(struct net_stream *stream)
 {
 }
 
-static const struct net_stream_ops caller_ops = {
-	.connected = caller_connected,
-	.readable = caller_readable,
-	.ended = caller_ended,
-	.drained = caller_drained,
-	.closed = caller_closed,
+static const struct net_stream_ops conn_ops = {
+	.connected = conn_connected,
+	.readable = conn_readable,
+	.ended = conn_ended,
+	.drained = conn_output_drained,
+	.closed = conn_closed,
 };
 
 /**
@@ -303,14 +303,14 @@
 	c->parser.data = c;
 	TAILQ_INSERT_TAIL(&fwd->conns, c, entry);
 	fwd_stats_count(&fwd->stats, COUNT_CONNECTIONS);
-	net_stream_init(&c->stream, fwd->loop, &caller_ops, c);
+	net_stream_init(&c->stream, fwd->loop, &conn_ops, c);
 	if (net_stream_accept(&c->stream, listener) != 0)
 		net_stream_close(&c->stream);
 }
 
 /* Writes the status line and the headers that every response has. */
 static void
-caller_write_head(struct fwd_conn *c, unsigned status, const char *headers)
+conn_write_head(struct fwd_conn *c, unsigned status, const char *headers)
 {
 	g_string_append_printf(c->out, "HTTP/1.1 %u %s\r\n", status,
 	    http_status_str(status));
@@ -324,7 +324,7 @@
 
 /* Waits for the next request after a response, or ends the connection. */
 static void
-caller_answered(struct fwd_conn *c)
+conn_end_response(struct fwd_conn *c)
 {
 	c->exchange = NULL;
 	c->since_ms = clock_loop_ms(c->fwd->loop);
@@ -355,14 +355,14 @@
 	bool bodiless = status == HTTP_STATUS_NO_CONTENT ||
 	    status == HTTP_STATUS_NOT_MODIFIED;
 
-	caller_write_head(c, status, headers);
+	conn_write_head(c, status, headers);
 	if (!bodiless)
 		g_string_append_printf(c->out, "Content-Length: %zu\r\n",
 		    length);
 	g_string_append(c->out, "\r\n");
 	if (length > 0 && !bodiless && !c->head_only)
 		g_string_append_len(c->out, body, (gssize)length);
-	caller_answered(c);
+	conn_end_response(c);
 }
 
 /**
@@ -396,7 +396,7 @@
 	c->chunked = c->parser.http_major > 1 || c->parser.http_minor >= 1;
 	if (!c->chunked)
 		c->keep_alive = false;
-	caller_write_head(c, status, headers);
+	conn_write_head(c, status, headers);
 	if (c->chunked)
 		g_string_append(c->out, "Transfer-Encoding: chunked\r\n");
 	g_string_append(c->out, "\r\n");
@@ -446,7 +446,7 @@
 {
 	if (c->chunked && !c->head_only)
 		g_string_append(c->out, "0\r\n\r\n");
-	caller_answered(c);
+	conn_end_response(c);
 }
 
 /**
@@ -475,7 +475,7 @@
 void
 fwd_conn_tick(struct fwd_conn *c, uint64_t now_ms)
 {
-	const struct caller_limits *limits = caller_limits_now(c);
+	const struct caller_limits *limits = conn_limits(c);
 	uint64_t waited = now_ms - c->since_ms;
 
 	if (c->exchange != NULL || c->stream.closing)
@@ -486,13 +486,13 @@
 		return;
 	}
 	if (c->pipelined->len > 0) {
-		caller_run(c);
+		conn_run_pipelined(c);
 		return;
 	}
 	if (c->started && waited > (uint64_t)limits->header_ms &&
 	    c->body->len == 0) {
 		c->error_status = HTTP_STATUS_REQUEST_TIMEOUT;
-		caller_refuse_input(c);
+		conn_refuse_input(c);
 	} else if (waited > (uint64_t)limits->idle_ms) {
 		net_stream_close(&c->stream);
 	}
--- a/src/fwd-dispatch.c
+++ b/src/fwd-dispatch.c
@@ -9,7 +9,7 @@
 
 /* Number of requests queued before this one for the same slots. */
 static unsigned
-exchange_ahead(const struct fwd_exchange *ex)
+exchange_count_ahead(const struct fwd_exchange *ex)
 {
 	const struct fwd_exchange *other;
 	unsigned ahead = 0;
@@ -25,29 +25,29 @@
 
 /* Fills in the input of the decision on a request. */
 static void
-exchange_admission(const struct fwd_exchange *ex,
-    const struct fwd_criteria *want, const struct fwd_choice *choice,
+exchange_fill_admission(const struct fwd_exchange *ex,
+    const struct fwd_criteria *criteria, const struct fwd_choice *choice,
     struct fwd_admission *a)
 {
 	const struct endpoint *ep =
 	    choice->endpoint != NULL ? choice->endpoint : choice->any_usable;
-	struct fwd_workload work;
+	struct fwd_workload workload;
 
 	if (ep == NULL)
 		ep = choice->next_permit != NULL ? choice->next_permit :
 						   choice->next_available;
 	memset(a, 0, sizeof *a);
-	a->criteria = want;
+	a->criteria = criteria;
 	a->choice = choice;
 	a->objective_ms = (double)ex->route->objective_ms;
-	a->waited_ms = (double)(want->now_ms - ex->arrived_ms);
+	a->waited_ms = (double)(criteria->now_ms - ex->arrived_ms);
 	a->left_ms =
-	    (double)(ex->deadline_ms - MIN(want->now_ms, ex->deadline_ms));
+	    (double)(ex->deadline_ms - MIN(criteria->now_ms, ex->deadline_ms));
 	a->resubmitted = ex->resubmitted;
 	a->sends = ex->sends;
 	a->started = ex->runs > 0 || ex->first_us > 0;
 	a->duration_ms = fwd_exchange_estimate(ex)->duration_ms;
-	a->ahead = (double)want->ahead * MAX(ex->fwd->daemons, 1);
+	a->ahead = (double)criteria->ahead * MAX(ex->fwd->daemons, 1);
 	a->draw = random_u32();
 	if (ep == NULL)
 		return;
@@ -56,14 +56,14 @@
 		return;
 	/* Estimated for a prompt of at most the usual size, so that large ones
 	 * are admitted too. */
-	fwd_criteria_workload(want, MIN(ex->prompt, ex->engine->usual_prompt),
-	    &work);
-	a->first_ms = fwd_expect_first(ep, &work);
+	fwd_criteria_workload(criteria,
+	    MIN(ex->prompt, ex->engine->usual_prompt), &workload);
+	a->first_ms = fwd_expect_first(ep, &workload);
 }
 
 /* Returns why a request gets no slot, for the log. */
 static const char *
-no_place_reason(const struct fwd_choice *choice)
+no_slot_reason(const struct fwd_choice *choice)
 {
 	if (fwd_choice_all_unavailable(choice))
 		return (choice->next_available != NULL ? "endpoints_rest" :
@@ -75,7 +75,7 @@
 
 /* Refuses a request that can't be served in time. */
 static void
-exchange_no_place(struct fwd_exchange *ex, const struct fwd_admission *a)
+exchange_refuse_no_slot(struct fwd_exchange *ex, const struct fwd_admission *a)
 {
 	const struct fwd_choice *choice = a->choice;
 	const struct endpoint *ep = choice->next_permit != NULL ?
@@ -86,7 +86,7 @@
 	event_log(LOG_NOTICE, "no_place",
 	    "id=%s service=%s known=%u usable=%u closed=%u limited=%u "
 	    "turn_ms=%.0f limits_per_s=%.2f endpoint=%s "
-	    "load=%.2f first_ms=%.0f whole_ms=%.0f ahead=%.0f returned=%d "
+	    "load=%.2f first_ms=%.0f whole_ms=%.0f ahead=%.0f resubmitted=%d "
 	    "retry_ms=%lld",
 	    ex->id, ex->service, choice->known, choice->usable,
 	    choice->unavailable, choice->limited,
@@ -95,12 +95,12 @@
 	    choice->load, a->first_ms, a->duration_ms, a->ahead, a->resubmitted,
 	    (long long)retry);
 	fwd_exchange_give_up(ex, HTTP_STATUS_BAD_GATEWAY,
-	    no_place_reason(choice), retry);
+	    no_slot_reason(choice), retry);
 }
 
 /* Inserts a request into the queue, by priority. */
 static void
-exchange_queue(struct fwd_exchange *ex)
+exchange_enqueue(struct fwd_exchange *ex)
 {
 	struct fwd_exchange *at;
 	int priority = ex->route->priority;
@@ -125,15 +125,15 @@
 {
 	struct fwd_choice choice;
 	struct fwd_admission a;
-	struct fwd_criteria want;
+	struct fwd_criteria criteria;
 
 	if (ex->state != EXCHANGE_WAITING)
-		exchange_queue(ex);
+		exchange_enqueue(ex);
 	if (fwd_poison_refuse(ex))
 		return;
-	fwd_exchange_criteria(ex, &want);
-	want.ahead = exchange_ahead(ex);
-	fwd_choose(&ex->fwd->dir->fleet, &want, &choice);
+	fwd_exchange_criteria(ex, &criteria);
+	criteria.ahead = exchange_count_ahead(ex);
+	fwd_choose(&ex->fwd->dir->fleet, &criteria, &choice);
 	if (choice.unavailable > 0 && !ex->held_back) {
 		ex->held_back = true;
 		fwd_stats_count(&ex->fwd->stats, COUNT_HELD_BACK);
@@ -142,13 +142,13 @@
 		ex->limit_held_back = true;
 		fwd_stats_count(&ex->fwd->stats, COUNT_LIMIT_HELD_BACK);
 	}
-	exchange_admission(ex, &want, &choice, &a);
+	exchange_fill_admission(ex, &criteria, &choice, &a);
 	switch (fwd_admission_decide(&a)) {
 	case ADMIT_SEND:
 		fwd_exchange_send(ex, &choice);
 		break;
 	case ADMIT_REFUSE:
-		exchange_no_place(ex, &a);
+		exchange_refuse_no_slot(ex, &a);
 		break;
 	case ADMIT_WAIT:
 		break;
--- a/src/fwd-end.c
+++ b/src/fwd-end.c
@@ -101,13 +101,13 @@
 fwd_exchange_refuse(struct fwd_exchange *ex, unsigned status,
     const char *reason, int64_t retry_ms)
 {
-	struct fwd_conn *caller = ex->conn;
+	struct fwd_conn *conn = ex->conn;
 
 	fwd_stats_count(&ex->fwd->stats, COUNT_REFUSED);
 	end_log(ex, LOG_NOTICE, "request_refused", status, reason);
 	fwd_exchange_free(ex);
-	if (caller != NULL)
-		fwd_conn_refuse(caller, status, NULL, retry_ms);
+	if (conn != NULL)
+		fwd_conn_refuse(conn, status, NULL, retry_ms);
 }
 
 /**
@@ -119,13 +119,13 @@
 void
 fwd_exchange_fail(struct fwd_exchange *ex, unsigned status, const char *reason)
 {
-	struct fwd_conn *caller = ex->conn;
+	struct fwd_conn *conn = ex->conn;
 
 	fwd_stats_count(&ex->fwd->stats, COUNT_FAILED);
 	end_log(ex, LOG_NOTICE, "request_failed", status, reason);
 	fwd_exchange_free(ex);
-	if (caller != NULL)
-		fwd_conn_refuse(caller, status, NULL, -1);
+	if (conn != NULL)
+		fwd_conn_refuse(conn, status, NULL, -1);
 }
 
 /**
@@ -137,13 +137,13 @@
 void
 fwd_exchange_abort(struct fwd_exchange *ex, const char *reason)
 {
-	struct fwd_conn *caller = ex->conn;
+	struct fwd_conn *conn = ex->conn;
 
 	fwd_stats_count(&ex->fwd->stats, COUNT_BROKEN_OFF);
 	end_log(ex, LOG_NOTICE, "request_broken_off", ex->status, reason);
 	fwd_exchange_free(ex);
-	if (caller != NULL)
-		fwd_conn_abort(caller);
+	if (conn != NULL)
+		fwd_conn_abort(conn);
 }
 
 /**
@@ -168,7 +168,7 @@
 
 /* Counts and logs a complete response. */
 static void
-end_answered(struct fwd_exchange *ex)
+end_completed(struct fwd_exchange *ex)
 {
 	uint64_t now_us = clock_now_us();
 
@@ -188,15 +188,15 @@
 void
 fwd_exchange_deliver(struct fwd_exchange *ex)
 {
-	struct fwd_conn *caller = ex->conn;
+	struct fwd_conn *conn = ex->conn;
 	g_autoptr(GString) headers = g_string_new(ex->headers->str);
 	g_autoptr(GByteArray) body = g_byte_array_ref(ex->response_body);
 	unsigned status = ex->status;
 
-	end_answered(ex);
+	end_completed(ex);
 	fwd_exchange_free(ex);
-	if (caller != NULL)
-		fwd_conn_respond(caller, status, headers->str, body->data,
+	if (conn != NULL)
+		fwd_conn_respond(conn, status, headers->str, body->data,
 		    body->len);
 }
 
@@ -207,10 +207,10 @@
 void
 fwd_exchange_finish(struct fwd_exchange *ex)
 {
-	struct fwd_conn *caller = ex->conn;
+	struct fwd_conn *conn = ex->conn;
 
-	end_answered(ex);
+	end_completed(ex);
 	fwd_exchange_free(ex);
-	if (caller != NULL)
-		fwd_conn_end(caller);
+	if (conn != NULL)
+		fwd_conn_end(conn);
 }
--- a/src/fwd-exchange.c
+++ b/src/fwd-exchange.c
@@ -11,33 +11,33 @@
  * find out. Before it is sent there is this wait for the reset of a peer that
  * accepts no more; the round trip to another failure domain takes a few ms. */
 #define ONCE_HOLD_MS 5
-#define IDLE_MOST_MS 60000
+#define IDLE_MAX_MS 60000
 /* A host that has not accepted a connection within this time is down. A lost
  * packet is retransmitted after a second, which is longer than most latency
  * objectives. */
-#define CONNECT_MS 350
+#define CONNECT_TIMEOUT_MS 350
 /* Time to retry for a request whose deadline passed before it was sent. */
 #define RETRY_LATE_MS 100
 
 /* Adds the prompt to the endpoint's prefill backlog. */
 static void
-exchange_note_prompt(struct fwd_exchange *ex)
+exchange_add_backlog(struct fwd_exchange *ex)
 {
 	struct endpoint *ep = ex->endpoint;
-	struct fwd_criteria want;
-	struct fwd_workload work;
+	struct fwd_criteria criteria;
+	struct fwd_workload workload;
 
-	fwd_exchange_criteria(ex, &want);
-	fwd_criteria_workload(&want, ex->prompt, &work);
-	ex->backlog_at_send = fwd_expect_backlog(ep, &work);
+	fwd_exchange_criteria(ex, &criteria);
+	fwd_criteria_workload(&criteria, ex->prompt, &workload);
+	ex->backlog_at_send = fwd_expect_backlog(ep, &workload);
 	ex->backlog_mark = fwd_backlog_add(&ep->backlog, ex->prompt,
-	    fwd_expect_rate(ep, &work), want.now_ms);
+	    fwd_expect_rate(ep, &workload), criteria.now_ms);
 	ep->pending += ex->prompt;
 }
 
 /* Takes a slot at the endpoint. */
 static void
-exchange_hold(struct fwd_exchange *ex, const struct fwd_choice *choice)
+exchange_take_slot(struct fwd_exchange *ex, const struct fwd_choice *choice)
 {
 	struct endpoint *ep = choice->endpoint;
 
@@ -51,7 +51,7 @@
 	    endpoint_limit_take(&ep->limit, clock_loop_ms(ex->fwd->loop));
 	ex->in_backlog = ex->model != NULL;
 	if (ex->in_backlog)
-		exchange_note_prompt(ex);
+		exchange_add_backlog(ex);
 	ep->inflight++;
 	ex->expected_ms = choice->first_ms;
 	ex->overhead_ms = choice->overhead_ms;
@@ -69,7 +69,7 @@
 
 /* Builds the request as it is sent to the endpoint. */
 static GString *
-exchange_text(const struct fwd_exchange *ex)
+exchange_build_request(const struct fwd_exchange *ex)
 {
 	GString *text =
 	    g_string_new_len(ex->request->str, (gssize)ex->request->len);
@@ -104,13 +104,13 @@
 	bool once = !fwd_exchange_retryable(ex);
 	/* A retry uses a new connection: the idle ones may all have failed
 	 * together. */
-	uint64_t idle = once || ex->sends > 0 ? 0 : IDLE_MOST_MS;
+	uint64_t idle = once || ex->sends > 0 ? 0 : IDLE_MAX_MS;
 	const struct endpoint_limit *limit = &choice->endpoint->limit;
 	g_autoptr(GString) text = NULL;
 
 	TAILQ_REMOVE(&fwd->waiting, ex, wait_entry);
 	ex->state = ex->first_us > 0 ? EXCHANGE_ANSWERING : EXCHANGE_SENT;
-	exchange_hold(ex, choice);
+	exchange_take_slot(ex, choice);
 	exchange_note_tried(ex);
 	ex->sends++;
 	ex->sent_ms = clock_loop_ms(fwd->loop);
@@ -139,30 +139,31 @@
 	    limit->holds ? limit->per_s : -1,
 	    (unsigned long long)(limit->holds ? ex->sent_ms - limit->said_ms :
 						0));
-	text = exchange_text(ex);
+	text = exchange_build_request(ex);
 	net_client_send(ex->upstream, text->str, text->len, ex->head_only);
 }
 
 /**
  * fwd_exchange_criteria() - what a request requires of an endpoint.
  * @ex: the exchange
- * @want: filled in
+ * @criteria: filled in
  */
 void
-fwd_exchange_criteria(const struct fwd_exchange *ex, struct fwd_criteria *want)
+fwd_exchange_criteria(const struct fwd_exchange *ex,
+    struct fwd_criteria *criteria)
 {
-	memset(want, 0, sizeof *want);
-	want->service = ex->service;
-	want->engine = ex->model != NULL ? ex->engine : NULL;
-	want->model = ex->model;
-	want->prompt = ex->prompt;
+	memset(criteria, 0, sizeof *criteria);
+	criteria->service = ex->service;
+	criteria->engine = ex->model != NULL ? ex->engine : NULL;
+	criteria->model = ex->model;
+	criteria->prompt = ex->prompt;
 	if (ex->model != NULL)
-		want->overhead_ms = fwd_exchange_estimate(ex)->overhead_ms;
-	want->domain = ex->fwd->set.domain;
-	want->tried = ex->tried;
-	want->n_tried = ex->n_tried;
-	want->now_ms = clock_loop_ms(ex->fwd->loop);
-	want->draw = random_u32();
+		criteria->overhead_ms = fwd_exchange_estimate(ex)->overhead_ms;
+	criteria->domain = ex->fwd->set.domain;
+	criteria->tried = ex->tried;
+	criteria->n_tried = ex->n_tried;
+	criteria->now_ms = clock_loop_ms(ex->fwd->loop);
+	criteria->draw = random_u32();
 }
 
 /**
@@ -179,31 +180,31 @@
 /**
  * fwd_exchange_start() - start an exchange for a request that was read.
  * @fwd: the proxy
- * @caller: connection of the client
+ * @conn: connection of the client
  */
 void
-fwd_exchange_start(struct fwd *fwd, struct fwd_conn *caller)
+fwd_exchange_start(struct fwd *fwd, struct fwd_conn *conn)
 {
 	struct fwd_exchange *ex = g_new0(struct fwd_exchange, 1);
 	const char *method =
-	    http_method_str((enum http_method)caller->parser.method);
+	    http_method_str((enum http_method)conn->parser.method);
 	struct wire_request req;
 
 	/* The age of the configuration is judged by the current time, not by
 	 * that at which this round of the loop began: the process may have been
 	 * stopped since. */
 	uv_update_time(fwd->loop);
-	fwd->wire->read_request(&caller->head, &req);
+	fwd->wire->read_request(&conn->head, &req);
 	ex->fwd = fwd;
-	ex->conn = caller;
-	caller->exchange = ex;
+	ex->conn = conn;
+	conn->exchange = ex;
 	ex->id = g_strdup(req.id != NULL ? req.id : "-");
 	ex->request = g_string_sized_new(512);
 	ex->headers = g_string_new(NULL);
 	ex->response_body = g_byte_array_new();
-	ex->body = g_steal_pointer(&caller->body);
-	caller->body = g_byte_array_new();
-	ex->head_only = caller->head_only;
+	ex->body = g_steal_pointer(&conn->body);
+	conn->body = g_byte_array_new();
+	ex->head_only = conn->head_only;
 	ex->arrived_ms = clock_loop_ms(fwd->loop);
 	ex->arrived_us = clock_now_us();
 	ex->state = EXCHANGE_DONE;
@@ -296,7 +297,7 @@
 /* Whether the request has a permit, should the endpoint have set a rate limit
  * since it was chosen. */
 static bool
-exchange_has_turn(struct fwd_exchange *ex, uint64_t now_ms)
+exchange_has_permit(struct fwd_exchange *ex, uint64_t now_ms)
 {
 	struct endpoint_limit *limit = &ex->endpoint->limit;
 
@@ -308,7 +309,7 @@
 
 /* Checks a request whose connection to the endpoint is not established yet. */
 static void
-exchange_connecting(struct fwd_exchange *ex, uint64_t now_ms)
+exchange_check_connect(struct fwd_exchange *ex, uint64_t now_ms)
 {
 	/* A response to another request asked for a backoff or told that the
 	 * endpoint is draining. */
@@ -316,11 +317,11 @@
 		fwd_exchange_move(ex, false, "endpoint_closed");
 		return;
 	}
-	if (!exchange_has_turn(ex, now_ms)) {
+	if (!exchange_has_permit(ex, now_ms)) {
 		fwd_exchange_move(ex, false, "endpoint_limited");
 		return;
 	}
-	if (now_ms - ex->sent_ms <= CONNECT_MS ||
+	if (now_ms - ex->sent_ms <= CONNECT_TIMEOUT_MS ||
 	    now_ms < ex->fwd->grace_until_ms)
 		return;
 	ex->endpoint->rest_until_ms = now_ms + COOLDOWN_SILENT_MS;
@@ -345,5 +346,5 @@
 	if (ex->upstream->connected)
 		fwd_silence_check(ex, now_ms);
 	else
-		exchange_connecting(ex, now_ms);
+		exchange_check_connect(ex, now_ms);
 }
--- a/src/fwd-expect.c
+++ b/src/fwd-expect.c
@@ -3,13 +3,13 @@
 
 /* Weight of the newest response in the averages of a model; hundreds come in a
  * few seconds, so a few late ones hardly show. */
-#define LEARN_ALPHA 0.02
+#define AVERAGE_ALPHA 0.02
 /* Up to this number of responses the average is their arithmetic mean: each
  * counts more while there are few. */
-#define LEARN_FIRST 10
+#define AVERAGE_MEAN_COUNT 10
 /* A larger overhead is due to the endpoint, a dead or slow host, and not to the
  * model. */
-#define EXTRA_MOST_MS 400.0
+#define OVERHEAD_MAX_MS 400.0
 /* The profile gives the time for a million pairs of tokens. */
 #define PAIRS_UNIT 1e6
 
@@ -37,14 +37,14 @@
 
 /* Time of the decode steps in one pass. */
 static double
-writers_ms(const struct endpoint *ep, const struct fwd_workload *work)
+decode_pass_ms(const struct endpoint *ep, const struct fwd_workload *workload)
 {
 	double running = fwd_expect_running(ep);
 
 	if (running < 1)
 		return (0);
-	return (
-	    step_ms(work->engine, work->model, running) * work->engine->stride);
+	return (step_ms(workload->engine, workload->model, running) *
+	    workload->engine->stride);
 }
 
 /**
@@ -63,33 +63,34 @@
 /**
  * fwd_expect_rate() - prefill rate of an endpoint, in tokens per millisecond.
  * @ep: the endpoint
- * @work: a request for it
+ * @workload: a request for it
  *
  * Return: the rate, or 0 if the profile has none.
  */
 double
-fwd_expect_rate(const struct endpoint *ep, const struct fwd_workload *work)
+fwd_expect_rate(const struct endpoint *ep, const struct fwd_workload *workload)
 {
-	return (work->engine->read_per_ms / work->model->pace / ep->slowness);
+	return (workload->engine->read_per_ms / workload->model->pace /
+	    ep->slowness);
 }
 
 /* Time from a prompt's prefill to its first event: half a pass of the requests
  * that decode, then its own first steps. */
 static double
-after_ms(const struct endpoint *ep, const struct fwd_workload *work)
+after_prefill_ms(const struct endpoint *ep, const struct fwd_workload *workload)
 {
-	const struct engine_profile *e = work->engine;
+	const struct engine_profile *e = workload->engine;
 	double running = fwd_expect_running(ep);
-	double steps = step_ms(e, work->model, running + 1) * e->stride;
+	double steps = step_ms(e, workload->model, running + 1) * e->stride;
 
-	return ((writers_ms(ep, work) / 2 + steps) * ep->slowness +
-	    work->overhead_ms);
+	return ((decode_pass_ms(ep, workload) / 2 + steps) * ep->slowness +
+	    workload->overhead_ms);
 }
 
 /**
  * fwd_expect_backlog() - prefill backlog of an endpoint, in tokens.
  * @ep: the endpoint
- * @work: a request for it
+ * @workload: a request for it
  *
  * Of the prompts without a first event, a busy endpoint has prefilled as much
  * as it can between the end of a prompt's prefill and the first event. The
@@ -97,19 +98,21 @@
  * prompts.
  */
 double
-fwd_expect_backlog(const struct endpoint *ep, const struct fwd_workload *work)
+fwd_expect_backlog(const struct endpoint *ep,
+    const struct fwd_workload *workload)
 {
 	double pending = ep->pending + ep->peer_pending;
-	double read = fwd_expect_rate(ep, work) * after_ms(ep, work);
+	double prefilled =
+	    fwd_expect_rate(ep, workload) * after_prefill_ms(ep, workload);
 
-	return (MAX(fwd_backlog_tokens(&ep->backlog, work->now_ms),
-	    pending - read));
+	return (MAX(fwd_backlog_tokens(&ep->backlog, workload->now_ms),
+	    pending - prefilled));
 }
 
 /**
  * fwd_expect_first() - expected time to the first event of a request.
  * @ep: the endpoint
- * @work: the request
+ * @workload: the request
  *
  * A request waits for half a pass of the requests that decode, then for the
  * prefill of the prompts before its own and of its own, then for its own first
@@ -120,47 +123,47 @@
  * Return: milliseconds from now.
  */
 double
-fwd_expect_first(const struct endpoint *ep, const struct fwd_workload *work)
+fwd_expect_first(const struct endpoint *ep, const struct fwd_workload *workload)
 {
-	const struct engine_profile *e = work->engine;
-	double backlog = fwd_expect_backlog(ep, work) + work->prompt;
-	double pairs = work->prompt * work->prompt / 2 / PAIRS_UNIT;
-	double read = pairs * e->pairs_per_m_ms * work->model->pace;
-	double rate = fwd_expect_rate(ep, work);
+	const struct engine_profile *e = workload->engine;
+	double backlog = fwd_expect_backlog(ep, workload) + workload->prompt;
+	double pairs = workload->prompt * workload->prompt / 2 / PAIRS_UNIT;
+	double prefill = pairs * e->pairs_per_m_ms * workload->model->pace;
+	double rate = fwd_expect_rate(ep, workload);
 
 	if (rate > 0)
-		read += backlog / rate;
-	return (read + after_ms(ep, work));
+		prefill += backlog / rate;
+	return (prefill + after_prefill_ms(ep, workload));
 }
 
 /* Weight of the newest of @seen values in an average. */
 static double
-learn_weight(unsigned seen)
+average_weight(unsigned seen)
 {
-	return (seen <= LEARN_FIRST ? 1.0 / seen : LEARN_ALPHA);
+	return (seen <= AVERAGE_MEAN_COUNT ? 1.0 / seen : AVERAGE_ALPHA);
 }
 
 /**
  * fwd_estimate_add_first() - update the average overhead of first events.
- * @learned: estimates of the model
- * @late_ms: delay of a first event beyond the profile's estimate
+ * @estimate: estimates of the model
+ * @overhead: delay of a first event beyond the profile's estimate
  */
 void
-fwd_estimate_add_first(struct fwd_estimate *learned, double late_ms)
+fwd_estimate_add_first(struct fwd_estimate *estimate, double overhead)
 {
-	late_ms = CLAMP(late_ms, 0, EXTRA_MOST_MS);
-	learned->overhead_ms += learn_weight(++learned->n_overhead) *
-	    (late_ms - learned->overhead_ms);
+	overhead = CLAMP(overhead, 0, OVERHEAD_MAX_MS);
+	estimate->overhead_ms += average_weight(++estimate->n_overhead) *
+	    (overhead - estimate->overhead_ms);
 }
 
 /**
  * fwd_estimate_add_duration() - update the average duration of requests.
- * @learned: estimates of the model or service
- * @whole_ms: time from the send to the end of the response
+ * @estimate: estimates of the model or service
+ * @duration: time from the send to the end of the response
  */
 void
-fwd_estimate_add_duration(struct fwd_estimate *learned, double whole_ms)
+fwd_estimate_add_duration(struct fwd_estimate *estimate, double duration)
 {
-	learned->duration_ms += learn_weight(++learned->n_duration) *
-	    (whole_ms - learned->duration_ms);
+	estimate->duration_ms += average_weight(++estimate->n_duration) *
+	    (duration - estimate->duration_ms);
 }
--- a/src/fwd-feedback.c
+++ b/src/fwd-feedback.c
@@ -30,7 +30,7 @@
 /* Current time. Feedback holds from now on, and the loop's time is that at
  * which this round began. */
 static uint64_t
-heard_now(const struct fwd_exchange *ex)
+feedback_now(const struct fwd_exchange *ex)
 {
 	uv_update_time(ex->fwd->loop);
 	return (clock_loop_ms(ex->fwd->loop));
@@ -38,19 +38,18 @@
 
 /* The endpoint requests a backoff: nothing from this daemon for a while. */
 static void
-heard_rest(struct fwd_exchange *ex, const struct feedback *said)
+feedback_backoff(struct fwd_exchange *ex, const struct feedback *fb)
 {
 	struct endpoint *ep = ex->endpoint;
-	uint64_t ms =
-	    endpoint_rest_read(said->number, ex->fwd->set.rest_most_ms);
+	uint64_t ms = endpoint_rest_read(fb->number, ex->fwd->set.rest_most_ms);
 
-	endpoint_rest_ask(&ep->rest, ms, heard_now(ex));
+	endpoint_rest_ask(&ep->rest, ms, feedback_now(ex));
 	fwd_stats_count(&ex->fwd->stats, COUNT_BACKOFFS);
 	event_log(LOG_NOTICE, "endpoint_asks_rest",
 	    "endpoint=%s started_ms=%lld asked=\"%.40s\" read=%s ms=%llu "
 	    "left_ms=%llu inflight=%u id=%s",
-	    ep->report.id, (long long)ep->report.started_ms, said->text,
-	    isnan(said->number) ? "no" : "yes", (unsigned long long)ms,
+	    ep->report.id, (long long)ep->report.started_ms, fb->text,
+	    isnan(fb->number) ? "no" : "yes", (unsigned long long)ms,
 	    (unsigned long long)(MAX(ep->rest.until_ms,
 				     clock_loop_ms(ex->fwd->loop)) -
 		clock_loop_ms(ex->fwd->loop)),
@@ -59,11 +58,11 @@
 
 /* The endpoint is draining; this incarnation won't accept requests again. */
 static void
-heard_leaving(struct fwd_exchange *ex, const struct feedback *said)
+feedback_draining(struct fwd_exchange *ex, const struct feedback *fb)
 {
 	struct endpoint *ep = ex->endpoint;
 
-	if (said->number != 1 || ep->draining)
+	if (fb->number != 1 || ep->draining)
 		return;
 	/* Its entry in the store may tell that later, or not at all while the
 	 * store is unreachable. */
@@ -78,7 +77,8 @@
 
 /* Logs a changed rate limit, and has other daemons notified. */
 static void
-limit_changed(struct fwd_exchange *ex, const char *event, const char *asked)
+feedback_limit_changed(struct fwd_exchange *ex, const char *event,
+    const char *asked)
 {
 	struct endpoint *ep = ex->endpoint;
 
@@ -93,58 +93,58 @@
 
 /* The endpoint sets a rate limit, shared by all daemons. */
 static void
-heard_limit(struct fwd_exchange *ex, const struct feedback *said)
+feedback_limit(struct fwd_exchange *ex, const struct feedback *fb)
 {
 	struct endpoint_limit *limit = &ex->endpoint->limit;
-	double per_s = endpoint_limit_read(said->number, limit);
-	bool unread = isnan(said->number);
-	bool news = unread && !limit->unread;
+	double per_s = endpoint_limit_read(fb->number, limit);
+	bool unread = isnan(fb->number);
+	bool changed = unread && !limit->unread;
 
 	limit->unread = unread;
-	limit->heard_ms = heard_now(ex);
-	news |= endpoint_limit_name(limit, per_s, limit->heard_ms);
-	if (!news)
+	limit->heard_ms = feedback_now(ex);
+	changed |= endpoint_limit_name(limit, per_s, limit->heard_ms);
+	if (!changed)
 		return;
 	fwd_stats_count(&ex->fwd->stats, COUNT_LIMITS);
-	limit_changed(ex, "endpoint_names_limit", said->text);
+	feedback_limit_changed(ex, "endpoint_names_limit", fb->text);
 }
 
 /* The response names no rate limit: one that was set before has ended. */
 static void
-heard_no_limit(struct fwd_exchange *ex)
+feedback_no_limit(struct fwd_exchange *ex)
 {
 	struct endpoint_limit *limit = &ex->endpoint->limit;
 
 	if (!endpoint_limit_outlived(limit, ex->sent_ms))
 		return;
-	limit->heard_ms = heard_now(ex);
+	limit->heard_ms = feedback_now(ex);
 	if (endpoint_limit_lift(limit, limit->heard_ms))
-		limit_changed(ex, "endpoint_lifts_limit", "");
+		feedback_limit_changed(ex, "endpoint_lifts_limit", "");
 }
 
 /**
  * struct heard_word - handler of one kind of feedback.
- * @said: called for a response with such feedback
- * @unsaid: called for a response without it; NULL if that means nothing
+ * @present: called for a response with such feedback
+ * @absent: called for a response without it; NULL if that means nothing
  */
-static const struct heard_word {
-	void (*said)(struct fwd_exchange *, const struct feedback *);
-	void (*unsaid)(struct fwd_exchange *);
-} heard_words[FEEDBACK_KINDS] = {
-	[FEEDBACK_BACKOFF] = { heard_rest, NULL },
-	[FEEDBACK_DRAINING] = { heard_leaving, NULL },
-	[FEEDBACK_LIMIT] = { heard_limit, heard_no_limit },
+static const struct feedback_handler {
+	void (*present)(struct fwd_exchange *, const struct feedback *);
+	void (*absent)(struct fwd_exchange *);
+} feedback_handlers[FEEDBACK_KINDS] = {
+	[FEEDBACK_BACKOFF] = { feedback_backoff, NULL },
+	[FEEDBACK_DRAINING] = { feedback_draining, NULL },
+	[FEEDBACK_LIMIT] = { feedback_limit, feedback_no_limit },
 };
 
 /* The endpoint accepted a request, which may have been a probe. */
 static void
-heard_taken(struct fwd_exchange *ex)
+feedback_accepted(struct fwd_exchange *ex)
 {
-	struct endpoint_rest *rest = &ex->endpoint->rest;
+	struct endpoint_rest *backoff = &ex->endpoint->rest;
 
-	endpoint_rest_taken(rest);
+	endpoint_rest_taken(backoff);
 	if (ex->probe)
-		endpoint_rest_probed(rest, true);
+		endpoint_rest_probed(backoff, true);
 	ex->probe = false;
 }
 
@@ -154,7 +154,7 @@
  * two requests of three while replicas had free slots.
  */
 static void
-heard_refusal(struct fwd_exchange *ex)
+feedback_refused(struct fwd_exchange *ex)
 {
 	fwd_endpoint_cool_down(ex, endpoint_rest_refused(&ex->endpoint->rest),
 	    "refused");
@@ -163,45 +163,47 @@
 /**
  * fwd_feedback_apply() - apply the feedback in a response.
  * @ex: the exchange
- * @answer: decoded headers of the response; those of another incarnation tell
+ * @response: decoded headers of the response; those of another incarnation tell
  *	nothing about the endpoint
  */
 void
-fwd_feedback_apply(struct fwd_exchange *ex, const struct wire_response *answer)
+fwd_feedback_apply(struct fwd_exchange *ex,
+    const struct wire_response *response)
 {
-	const struct feedback *rest = &answer->feedback[FEEDBACK_BACKOFF];
+	const struct feedback *backoff = &response->feedback[FEEDBACK_BACKOFF];
 	const struct endpoint *ep = ex->endpoint;
 
-	if (answer->not_run)
+	if (response->not_run)
 		event_log(LOG_INFO, "request_not_run",
 		    "id=%s endpoint=%s status=%u rest=\"%.40s\" "
 		    "expected_ms=%.0f running=%u usable=%u known=%u sends=%u "
 		    "age_ms=%llu",
 		    ex->id, ep->report.id, ex->status,
-		    rest->text != NULL ? rest->text : "-", ex->expected_ms,
-		    ex->running_at_send, ex->usable_at_send, ex->known_at_send,
-		    ex->sends,
+		    backoff->text != NULL ? backoff->text : "-",
+		    ex->expected_ms, ex->running_at_send, ex->usable_at_send,
+		    ex->known_at_send, ex->sends,
 		    (unsigned long long)(clock_loop_ms(ex->fwd->loop) -
 			ex->sent_ms));
-	if (answer->wrong_endpoint)
+	if (response->wrong_endpoint)
 		return;
-	for (enum feedback_kind word = 0; word < FEEDBACK_KINDS; word++) {
-		if (answer->feedback[word].text != NULL)
-			heard_words[word].said(ex, &answer->feedback[word]);
-		else if (heard_words[word].unsaid != NULL)
-			heard_words[word].unsaid(ex);
+	for (enum feedback_kind kind = 0; kind < FEEDBACK_KINDS; kind++) {
+		if (response->feedback[kind].text != NULL)
+			feedback_handlers[kind].present(ex,
+			    &response->feedback[kind]);
+		else if (feedback_handlers[kind].absent != NULL)
+			feedback_handlers[kind].absent(ex);
 	}
-	if (!answer->not_run)
-		heard_taken(ex);
-	else if (answer->lost_member == NULL &&
+	if (!response->not_run)
+		feedback_accepted(ex);
+	else if (response->lost_member == NULL &&
 	    !endpoint_rest_holds(&ep->rest, clock_loop_ms(ex->fwd->loop)))
-		heard_refusal(ex);
+		feedback_refused(ex);
 }
 
 /* Counts a request to an endpoint with a rate limit; logs it if it is sent
  * without a permit. */
 static void
-heard_send_limited(struct fwd_exchange *ex)
+feedback_check_limit(struct fwd_exchange *ex)
 {
 	const struct endpoint *ep = ex->endpoint;
 	const struct endpoint_limit *limit = &ep->limit;
@@ -230,7 +232,7 @@
 	const struct endpoint *ep = ex->endpoint;
 	uint64_t now = clock_loop_ms(ex->fwd->loop);
 
-	heard_send_limited(ex);
+	feedback_check_limit(ex);
 	if (!endpoint_rest_holds(&ep->rest, now))
 		return;
 	fwd_stats_count(&ex->fwd->stats, COUNT_SENT_IN_BACKOFF);
--- a/src/fwd-fingerprint.c
+++ b/src/fwd-fingerprint.c
@@ -7,16 +7,17 @@
 /* Adds a string with its terminator, so that no two sequences of strings give
  * the same input to the hash. */
 static void
-sum_word(GChecksum *sum, const char *word)
+sum_add_string(GChecksum *sum, const char *string)
 {
-	if (word == NULL)
-		word = "";
-	g_checksum_update(sum, (const guchar *)word, (gssize)strlen(word) + 1);
+	if (string == NULL)
+		string = "";
+	g_checksum_update(sum, (const guchar *)string,
+	    (gssize)strlen(string) + 1);
 }
 
 /**
  * fwd_fingerprint_compute() - compute the fingerprint of a request.
- * @key: what identifies the request
+ * @input: what identifies the request
  *
  * The fingerprint of the same request is the same at every daemon. It comes
  * from a cryptographic hash, so that no client can make a request that is taken
@@ -25,21 +26,21 @@
  * Return: the fingerprint, never 0.
  */
 uint64_t
-fwd_fingerprint_compute(const struct fwd_fingerprint_input *key)
+fwd_fingerprint_compute(const struct fwd_fingerprint_input *input)
 {
 	g_autoptr(GChecksum) sum = g_checksum_new(G_CHECKSUM_SHA256);
 	guint8 digest[32];
 	gsize length = sizeof digest;
-	uint64_t work;
+	uint64_t fingerprint;
 
-	sum_word(sum, key->method);
-	sum_word(sum, key->host);
-	sum_word(sum, key->target);
-	sum_word(sum, key->customer);
-	if (key->length > 0)
-		g_checksum_update(sum, key->body, (gssize)key->length);
+	sum_add_string(sum, input->method);
+	sum_add_string(sum, input->host);
+	sum_add_string(sum, input->target);
+	sum_add_string(sum, input->customer);
+	if (input->length > 0)
+		g_checksum_update(sum, input->body, (gssize)input->length);
 	g_checksum_get_digest(sum, digest, &length);
-	memcpy(&work, digest, sizeof work);
-	work = GUINT64_FROM_BE(work);
-	return (work != 0 ? work : 1);
+	memcpy(&fingerprint, digest, sizeof fingerprint);
+	fingerprint = GUINT64_FROM_BE(fingerprint);
+	return (fingerprint != 0 ? fingerprint : 1);
 }
--- a/src/fwd-fingerprint.h
+++ b/src/fwd-fingerprint.h
@@ -6,7 +6,7 @@
 #include <stdint.h>
 
 /* Upper half of a fingerprint, as log lines and settings name it. */
-#define FINGERPRINT_SHORT(work) ((uint32_t)((work) >> 32))
+#define FINGERPRINT_SHORT(fingerprint) ((uint32_t)((fingerprint) >> 32))
 
 /**
  * struct fwd_fingerprint_input - what a fingerprint is computed from.
--- a/src/fwd-poison.c
+++ b/src/fwd-poison.c
@@ -6,7 +6,7 @@
 #include "fwd-exchange.h"
 
 /* Eight hexadecimal digits and the terminator. */
-#define WORK_NAME_BYTES 9
+#define FINGERPRINT_TEXT_BYTES 9
 /* Time to retry for a request that the operator has refused. */
 #define RETRY_OPERATOR_MS 600000
 /* Size of the log field that lists crashed endpoints. */
@@ -15,14 +15,14 @@
 /* Formats the endpoints whose crashes a request is blamed for, each with the
  * age of the crash in ms. */
 static void
-blamed_print(const struct fleet *fleet, const struct poison_work *w,
+blamed_format(const struct fleet *fleet, const struct poison_work *suspect,
     uint64_t now_ms, char *out, size_t size)
 {
 	size_t used = 0;
 
 	out[0] = '\0';
-	for (unsigned i = 0; i < w->n_ends && used < size; i++) {
-		const struct poison_end *end = &w->ends[i];
+	for (unsigned i = 0; i < suspect->n_ends && used < size; i++) {
+		const struct poison_end *end = &suspect->ends[i];
 		const struct endpoint *ep = fleet_find_key(fleet, end->key);
 
 		used += (size_t)g_snprintf(out + used, size - used,
@@ -34,38 +34,38 @@
 
 /* Logs a verdict with all that it is based on. */
 static void
-poison_log(struct fwd *fwd, const struct poison_work *w,
+suspect_log(struct fwd *fwd, const struct poison_work *suspect,
     const struct poison_verdict *verdict, const char *event, const char *id)
 {
 	uint64_t now = clock_loop_ms(fwd->loop);
 	char blamed[BLAMED_BYTES];
 
-	blamed_print(&fwd->dir->fleet, w, now, blamed, sizeof blamed);
+	blamed_format(&fwd->dir->fleet, suspect, now, blamed, sizeof blamed);
 	event_log(LOG_NOTICE, event,
-	    "id=%s work=%08x ends=%u doubted=%u explained=%u left_ms=%lld "
+	    "id=%s work=%08x ends=%u unconfirmed=%u explained=%u left_ms=%lld "
 	    "blamed_for=%s",
-	    id, FINGERPRINT_SHORT(w->work), verdict->ends, verdict->doubted,
-	    verdict->explained,
+	    id, FINGERPRINT_SHORT(suspect->work), verdict->ends,
+	    verdict->doubted, verdict->explained,
 	    verdict->until_ms != 0 ? (long long)(verdict->until_ms - now) : -1,
 	    blamed);
 }
 
 /* Evaluates a suspect; logs it if it became quarantined or was released. */
 static void
-poison_look(struct fwd *fwd, struct poison_work *w,
+suspect_evaluate(struct fwd *fwd, struct poison_work *suspect,
     struct poison_verdict *verdict, const char *id)
 {
 	bool quarantined;
 
-	poison_judge(&fwd->dir->poison, &fwd->dir->fleet, w,
+	poison_judge(&fwd->dir->poison, &fwd->dir->fleet, suspect,
 	    clock_loop_ms(fwd->loop), verdict);
 	quarantined = verdict->until_ms != 0;
-	if (quarantined == w->quarantined)
+	if (quarantined == suspect->quarantined)
 		return;
-	w->quarantined = quarantined;
+	suspect->quarantined = quarantined;
 	if (quarantined)
 		fwd_stats_count(&fwd->stats, COUNT_QUARANTINED);
-	poison_log(fwd, w, verdict,
+	suspect_log(fwd, suspect, verdict,
 	    quarantined ? "work_quarantined" : "work_released", id);
 }
 
@@ -78,11 +78,11 @@
 fwd_poison_sweep(struct fwd *fwd)
 {
 	struct poison_verdict verdict;
-	struct poison_work *w;
+	struct poison_work *suspect;
 
-	TAILQ_FOREACH(w, &fwd->dir->poison.works, entry) {
-		if (w->quarantined || w->n_ends >= POISON_ENDS)
-			poison_look(fwd, w, &verdict, "-");
+	TAILQ_FOREACH(suspect, &fwd->dir->poison.works, entry) {
+		if (suspect->quarantined || suspect->n_ends >= POISON_ENDS)
+			suspect_evaluate(fwd, suspect, &verdict, "-");
 	}
 }
 
@@ -99,7 +99,7 @@
 	const struct endpoint *ep = ex->endpoint;
 	uint64_t now = clock_loop_ms(fwd->loop);
 	const struct poison_end end = poison_end_of(ep, silent, now);
-	bool news =
+	bool is_new =
 	    poison_suspect(&fwd->dir->poison, ex->fingerprint, &end, now);
 
 	fwd_stats_count(&fwd->stats, COUNT_LOST);
@@ -109,7 +109,7 @@
 	    "peer_inflight=%u",
 	    ex->id, FINGERPRINT_SHORT(ex->fingerprint), ep->report.id,
 	    (long long)ep->report.started_ms, silent ? "silent" : "broken",
-	    news, (unsigned long long)(now - ex->sent_ms),
+	    is_new, (unsigned long long)(now - ex->sent_ms),
 	    (long long)ex->events.last_id, ep->inflight, ep->peer_inflight);
 }
 
@@ -136,13 +136,13 @@
 
 /* Whether a fingerprint is in the list of a setting. */
 static bool
-work_listed(const char *list, uint64_t work)
+fingerprint_listed(const char *list, uint64_t fingerprint)
 {
-	char name[WORK_NAME_BYTES];
+	char name[FINGERPRINT_TEXT_BYTES];
 
 	if (list == NULL || list[0] == '\0')
 		return (false);
-	g_snprintf(name, sizeof name, "%08x", FINGERPRINT_SHORT(work));
+	g_snprintf(name, sizeof name, "%08x", FINGERPRINT_SHORT(fingerprint));
 	return (strstr(list, name) != NULL);
 }
 
@@ -151,17 +151,17 @@
  * daemon that the verdict has chosen for it.
  */
 static bool
-probe_begin(struct fwd_exchange *ex, struct poison_work *w,
+probe_begin(struct fwd_exchange *ex, struct poison_work *suspect,
     const struct poison_verdict *verdict)
 {
 	if (ex->poison_probe)
 		return (true);
-	if (w->probing || verdict->probe_ms == 0 ||
+	if (suspect->probing || verdict->probe_ms == 0 ||
 	    clock_loop_ms(ex->fwd->loop) < verdict->probe_ms)
 		return (false);
-	w->probing = true;
+	suspect->probing = true;
 	ex->poison_probe = true;
-	poison_log(ex->fwd, w, verdict, "work_probed", ex->id);
+	suspect_log(ex->fwd, suspect, verdict, "work_probed", ex->id);
 	return (true);
 }
 
@@ -172,32 +172,34 @@
 void
 fwd_poison_end_probe(struct fwd_exchange *ex)
 {
-	struct poison_work *w;
+	struct poison_work *suspect;
 
 	if (!ex->poison_probe)
 		return;
-	w = poison_find(&ex->fwd->dir->poison, ex->fingerprint);
-	if (w != NULL)
-		w->probing = false;
+	suspect = poison_find(&ex->fwd->dir->poison, ex->fingerprint);
+	if (suspect != NULL)
+		suspect->probing = false;
 }
 
 /* Whether the request is quarantined and is no probe; if so, until when. */
 static bool
-work_quarantined(struct fwd_exchange *ex, uint64_t *until_ms)
+request_quarantined(struct fwd_exchange *ex, uint64_t *until_ms)
 {
 	struct fwd *fwd = ex->fwd;
-	struct poison_work *w = poison_find(&fwd->dir->poison, ex->fingerprint);
+	struct poison_work *suspect =
+	    poison_find(&fwd->dir->poison, ex->fingerprint);
 	struct poison_verdict verdict;
 
-	if (w == NULL || work_listed(fwd->set.released_works, ex->fingerprint))
+	if (suspect == NULL ||
+	    fingerprint_listed(fwd->set.released_works, ex->fingerprint))
 		return (false);
-	poison_look(fwd, w, &verdict, ex->id);
+	suspect_evaluate(fwd, suspect, &verdict, ex->id);
 	if (verdict.until_ms == 0)
 		return (false);
 	*until_ms = verdict.until_ms;
-	if (probe_begin(ex, w, &verdict))
+	if (probe_begin(ex, suspect, &verdict))
 		return (false);
-	poison_log(fwd, w, &verdict, "work_refused", ex->id);
+	suspect_log(fwd, suspect, &verdict, "work_refused", ex->id);
 	return (true);
 }
 
@@ -216,9 +218,9 @@
 	uint64_t until = now + RETRY_OPERATOR_MS;
 	const char *reason = "work_quarantined";
 
-	if (work_listed(fwd->set.refused_works, ex->fingerprint))
+	if (fingerprint_listed(fwd->set.refused_works, ex->fingerprint))
 		reason = "work_refused_by_operator";
-	else if (!work_quarantined(ex, &until))
+	else if (!request_quarantined(ex, &until))
 		return (false);
 	fwd_stats_count(&fwd->stats, COUNT_REFUSED_POISON);
 	fwd_exchange_give_up(ex, HTTP_STATUS_BAD_GATEWAY, reason,
--- a/src/fwd-resolve.c
+++ b/src/fwd-resolve.c
@@ -14,11 +14,11 @@
  */
 #define RETRY_STARTED_MS 700
 /* Maximum time for a request, whatever the client and the route allow. */
-#define DEADLINE_MOST_MS 600000
+#define DEADLINE_MAX_MS 600000
 
 /* Refuses a request that can't be judged without a fresh configuration. */
 static bool
-admit_stale(struct fwd_exchange *ex, const char *reason, uint64_t age)
+resolve_stale(struct fwd_exchange *ex, const char *reason, uint64_t age)
 {
 	event_log(LOG_NOTICE, "config_stale", "id=%s reason=%s age_ms=%lld",
 	    ex->id, reason, age > INT64_MAX ? -1LL : (long long)age);
@@ -29,11 +29,11 @@
 
 /* Denies a request for good if the configuration is fresh enough for that. */
 static bool
-admit_deny(struct fwd_exchange *ex, unsigned status, const char *reason,
+resolve_deny(struct fwd_exchange *ex, unsigned status, const char *reason,
     uint64_t age)
 {
 	if (age > ex->fwd->set.deny_proof_ms)
-		return (admit_stale(ex, reason, age));
+		return (resolve_stale(ex, reason, age));
 	fwd_stats_count(&ex->fwd->stats, COUNT_DENIED);
 	event_log(LOG_INFO, "request_denied",
 	    "id=%s status=%u reason=%s version=%lld age_ms=%llu", ex->id,
@@ -49,23 +49,23 @@
  * either case an unknown key is denied for good only after such a verification.
  */
 static bool
-admit_customer(struct fwd_exchange *ex, const char *key, uint64_t age)
+resolve_customer(struct fwd_exchange *ex, const char *key, uint64_t age)
 {
 	if (!ex->catalog->with_customers || ex->route->open)
 		return (true);
 	if (key != NULL)
 		ex->customer = g_hash_table_lookup(ex->catalog->keys, key);
 	if (ex->customer == NULL)
-		return (admit_deny(ex, HTTP_STATUS_UNAUTHORIZED, "unknown_key",
-		    age));
+		return (resolve_deny(ex, HTTP_STATUS_UNAUTHORIZED,
+		    "unknown_key", age));
 	if (ex->fwd->set.keys_fail_closed && age > ex->fwd->set.key_proof_ms)
-		return (admit_stale(ex, "key_unproved", age));
+		return (resolve_stale(ex, "key_unproved", age));
 	return (true);
 }
 
 /* Finds the service, and the model where the service has engines. */
 static bool
-admit_service(struct fwd_exchange *ex, const struct wire_request *req)
+resolve_service(struct fwd_exchange *ex, const struct wire_request *req)
 {
 	uint64_t draw = XXH3_64bits(ex->id, strlen(ex->id));
 	const struct catalog_service *service;
@@ -94,23 +94,23 @@
 
 /* Sets the deadline from the limits of the client and the route. */
 static void
-admit_times(struct fwd_exchange *ex, const struct wire_request *req)
+resolve_deadline(struct fwd_exchange *ex, const struct wire_request *req)
 {
-	int64_t life = ex->route->timeout_ms;
+	int64_t timeout = ex->route->timeout_ms;
 
 	if (req->deadline_ms >= 0)
-		life = MIN(life, req->deadline_ms);
-	life = MIN(life, DEADLINE_MOST_MS);
-	ex->deadline_ms = ex->arrived_ms + (uint64_t)life;
+		timeout = MIN(timeout, req->deadline_ms);
+	timeout = MIN(timeout, DEADLINE_MAX_MS);
+	ex->deadline_ms = ex->arrived_ms + (uint64_t)timeout;
 	/* The deadline shows that the client has waited longer than the
 	 * objective, so this is its retry. */
 	ex->resubmitted =
-	    life + ex->route->objective_ms < ex->route->timeout_ms;
+	    timeout + ex->route->objective_ms < ex->route->timeout_ms;
 }
 
 /* Writes the request line and the headers that are forwarded unchanged. */
 static void
-admit_request_text(struct fwd_exchange *ex, const char *method)
+resolve_request_text(struct fwd_exchange *ex, const char *method)
 {
 	const struct net_head *head = &ex->conn->head;
 
@@ -136,7 +136,7 @@
 
 /* Computes the fingerprint of the request. */
 static uint64_t
-admit_work(const struct fwd_exchange *ex, const char *method)
+resolve_fingerprint(const struct fwd_exchange *ex, const char *method)
 {
 	const struct net_head *head = &ex->conn->head;
 	const struct fwd_fingerprint_input key = {
@@ -169,19 +169,20 @@
 	uint64_t age = dir_config_age(ex->fwd->dir, ex->arrived_ms);
 
 	if (ex->catalog == NULL)
-		return (admit_stale(ex, "no_configuration", age));
+		return (resolve_stale(ex, "no_configuration", age));
 	if (req->id == NULL || host == NULL) {
 		fwd_exchange_fail(ex, HTTP_STATUS_BAD_REQUEST, "no_id_or_host");
 		return (false);
 	}
 	ex->route = catalog_find_route(ex->catalog, host, path);
 	if (ex->route == NULL)
-		return (admit_deny(ex, HTTP_STATUS_NOT_FOUND, "no_route", age));
-	admit_times(ex, req);
-	if (!admit_customer(ex, req->key, age) || !admit_service(ex, req))
+		return (
+		    resolve_deny(ex, HTTP_STATUS_NOT_FOUND, "no_route", age));
+	resolve_deadline(ex, req);
+	if (!resolve_customer(ex, req->key, age) || !resolve_service(ex, req))
 		return (false);
-	ex->fingerprint = admit_work(ex, method);
-	admit_request_text(ex, method);
+	ex->fingerprint = resolve_fingerprint(ex, method);
+	resolve_request_text(ex, method);
 	fwd_events_init(&ex->events, req->last_event);
 	return (true);
 }
--- a/src/fwd-response.c
+++ b/src/fwd-response.c
@@ -7,22 +7,22 @@
 
 /* Responses up to this size are buffered until they are complete, so that a
  * truncated one can be retried; larger ones are passed on as they arrive. */
-#define HELD_ANSWER_BYTES 262144
+#define BUFFERED_RESPONSE_BYTES 262144
 /* Weight of the newest response in an endpoint's error rate. */
 #define ERROR_ALPHA 0.1
 /* Weight of the newest gap in an endpoint's slowness, and bounds of that. */
 #define SLOWNESS_ALPHA 0.03
-#define SLOWNESS_LEAST 0.5
-#define SLOWNESS_MOST 20.0
+#define SLOWNESS_MIN 0.5
+#define SLOWNESS_MAX 20.0
 /* Consecutive failures that start a cooldown of an endpoint, and its length. */
-#define FAILURES_TO_REST 2
-#define REST_MS 1000
+#define FAILURES_TO_COOLDOWN 2
+#define COOLDOWN_FAILURES_MS 1000
 /* Cooldown of an endpoint to which no connection could be made, from the first
  * failure on. */
-#define REST_UNREACHED_MS 500
+#define COOLDOWN_UNREACHED_MS 500
 /* Cooldown of a group's head that lost a member; it is reported as broken
  * within the stall timeout. */
-#define REST_BROKEN_MS 1500
+#define COOLDOWN_BROKEN_MS 1500
 
 static bool
 status_is_success(unsigned status)
@@ -33,7 +33,7 @@
 
 /* Keeps the header lines of a response for the client. */
 static void
-answer_keep_headers(struct fwd_exchange *ex, const struct net_head *head)
+response_keep_headers(struct fwd_exchange *ex, const struct net_head *head)
 {
 	/* A resumed response keeps the headers of its first endpoint. */
 	if (ex->first_us > 0)
@@ -49,41 +49,41 @@
 
 /* Updates an endpoint's error rate and its count of consecutive failures. */
 static void
-endpoint_judge(struct endpoint *ep, bool failed)
+endpoint_count_outcome(struct endpoint *ep, bool failed)
 {
 	ep->error_rate += ERROR_ALPHA * ((failed ? 1.0 : 0.0) - ep->error_rate);
 	ep->failures = failed ? ep->failures + 1 : 0;
 }
 
 static enum net_verdict
-answer_head(void *owner, unsigned status, const struct net_head *head)
+on_response_head(void *owner, unsigned status, const struct net_head *head)
 {
 	struct fwd_exchange *ex = owner;
-	struct wire_response answer;
+	struct wire_response response;
 
-	ex->fwd->wire->read_response(status, head, &answer);
-	if (answer.id != NULL && strcmp(answer.id, ex->id) != 0) {
+	ex->fwd->wire->read_response(status, head, &response);
+	if (response.id != NULL && strcmp(response.id, ex->id) != 0) {
 		fwd_stats_count(&ex->fwd->stats, COUNT_STRAY_ANSWERS);
 		event_log(LOG_NOTICE, "stray_answer",
 		    "id=%s answers=%s "
 		    "endpoint=%s",
-		    ex->id, answer.id, ex->endpoint->report.id);
+		    ex->id, response.id, ex->endpoint->report.id);
 		return (NET_SKIP);
 	}
 	ex->heard_ms = clock_loop_ms(ex->fwd->loop);
-	if (!answer.wrong_endpoint)
+	if (!response.wrong_endpoint)
 		ex->endpoint->heard_ms = ex->heard_ms;
 	ex->status = status;
-	ex->has_signature = answer.has_signature;
-	ex->not_run = answer.not_run;
-	fwd_feedback_apply(ex, &answer);
-	if (answer.wrong_endpoint)
+	ex->has_signature = response.has_signature;
+	ex->not_run = response.not_run;
+	fwd_feedback_apply(ex, &response);
+	if (response.wrong_endpoint)
 		fleet_gone(ex->endpoint);
-	if (answer.not_run && answer.lost_member != NULL)
-		fwd_endpoint_cool_down(ex, REST_BROKEN_MS, "member_lost");
+	if (response.not_run && response.lost_member != NULL)
+		fwd_endpoint_cool_down(ex, COOLDOWN_BROKEN_MS, "member_lost");
 	ex->streaming = ex->route->repeat == REPEAT_STREAM &&
 	    status_is_success(status) && ex->has_signature;
-	answer_keep_headers(ex, head);
+	response_keep_headers(ex, head);
 	return (NET_TAKE);
 }
 
@@ -92,9 +92,9 @@
  * profile's estimate goes into the measured overhead of the model.
  */
 static void
-answer_first_event(struct fwd_exchange *ex)
+response_first_event(struct fwd_exchange *ex)
 {
-	struct fwd_estimate *learned;
+	struct fwd_estimate *estimate;
 	uint64_t now = clock_loop_ms(ex->fwd->loop);
 
 	if (!ex->in_backlog)
@@ -102,14 +102,14 @@
 	ex->in_backlog = false;
 	fwd_backlog_confirm(&ex->endpoint->backlog, ex->backlog_mark, now);
 	ex->endpoint->pending = MAX(ex->endpoint->pending - ex->prompt, 0);
-	learned = fwd_estimate_get(ex->fwd, ex->model->name);
-	fwd_estimate_add_first(learned,
+	estimate = fwd_estimate_get(ex->fwd, ex->model->name);
+	fwd_estimate_add_first(estimate,
 	    (double)(now - ex->sent_ms) - ex->expected_ms + ex->overhead_ms);
 }
 
 /* Updates an endpoint's slowness from the time since the last event. */
 static void
-answer_learn_gap(struct fwd_exchange *ex, uint64_t now)
+response_update_slowness(struct fwd_exchange *ex, uint64_t now)
 {
 	struct endpoint *ep = ex->endpoint;
 	double expected, ratio;
@@ -122,26 +122,26 @@
 		return;
 	ratio = (double)(now - ex->heard_ms) / expected;
 	ep->slowness += SLOWNESS_ALPHA * (ratio - ep->slowness);
-	ep->slowness = CLAMP(ep->slowness, SLOWNESS_LEAST, SLOWNESS_MOST);
+	ep->slowness = CLAMP(ep->slowness, SLOWNESS_MIN, SLOWNESS_MAX);
 }
 
 /* Passes one event on to the client. */
 static void
-answer_pass_event(struct fwd_exchange *ex, size_t length)
+response_pass_event(struct fwd_exchange *ex, size_t length)
 {
-	struct fwd_conn *caller = ex->conn;
+	struct fwd_conn *conn = ex->conn;
 
 	if (ex->state == EXCHANGE_SENT) {
 		ex->first_us = clock_now_us();
 		ex->state = EXCHANGE_ANSWERING;
-		fwd_conn_begin(caller, ex->status, ex->headers->str);
+		fwd_conn_begin(conn, ex->status, ex->headers->str);
 	}
-	fwd_conn_write(caller, ex->events.buf->str, length);
+	fwd_conn_write(conn, ex->events.buf->str, length);
 }
 
 /* Passes all complete events on. Returns false if one was missing. */
 static bool
-answer_pass_events(struct fwd_exchange *ex)
+response_pass_events(struct fwd_exchange *ex)
 {
 	enum fwd_event_verdict verdict;
 	size_t length;
@@ -153,38 +153,38 @@
 			return (false);
 		}
 		if (verdict == FWD_EVENT_PASS)
-			answer_pass_event(ex, length);
+			response_pass_event(ex, length);
 		fwd_events_drop(&ex->events, length);
 	}
 	return (true);
 }
 
 static void
-answer_stream(struct fwd_exchange *ex, const char *at, size_t length)
+response_stream(struct fwd_exchange *ex, const char *at, size_t length)
 {
 	uint64_t now = clock_loop_ms(ex->fwd->loop);
 
-	answer_learn_gap(ex, now);
-	answer_first_event(ex);
+	response_update_slowness(ex, now);
+	response_first_event(ex);
 	ex->heard_ms = now;
 	ex->endpoint->heard_ms = now;
 	if (!fwd_events_add(&ex->events, at, length)) {
 		fwd_exchange_move(ex, true, "event_too_large");
 		return;
 	}
-	if (answer_pass_events(ex) && ex->conn != NULL)
+	if (response_pass_events(ex) && ex->conn != NULL)
 		fwd_conn_flush(ex->conn);
 }
 
 static void
-answer_body(void *owner, const char *at, size_t length)
+on_response_body(void *owner, const char *at, size_t length)
 {
 	struct fwd_exchange *ex = owner;
 
 	if (ex->conn == NULL)
 		return;
 	if (ex->streaming) {
-		answer_stream(ex, at, length);
+		response_stream(ex, at, length);
 		return;
 	}
 	ex->heard_ms = clock_loop_ms(ex->fwd->loop);
@@ -194,7 +194,7 @@
 	g_byte_array_append(ex->response_body, (const guint8 *)at,
 	    (guint)length);
 	if (!ex->passthrough &&
-	    (ex->response_body->len <= HELD_ANSWER_BYTES || ex->not_run ||
+	    (ex->response_body->len <= BUFFERED_RESPONSE_BYTES || ex->not_run ||
 		!ex->has_signature))
 		return;
 	if (!ex->passthrough) {
@@ -211,7 +211,7 @@
 
 /* Ends a stream. It is complete only if it ends with a complete event. */
 static void
-answer_stream_done(struct fwd_exchange *ex)
+response_end_stream(struct fwd_exchange *ex)
 {
 	if (ex->events.buf->len > 0 || ex->first_us == 0) {
 		fwd_exchange_retry(ex, "cut_in_event");
@@ -222,7 +222,7 @@
 
 /* Whether to retry after a complete response that is not a success. */
 static bool
-answer_worth_another(struct fwd_exchange *ex)
+response_is_retryable(struct fwd_exchange *ex)
 {
 	if (ex->status < HTTP_STATUS_INTERNAL_SERVER_ERROR && ex->has_signature)
 		return (false);
@@ -234,7 +234,7 @@
 }
 
 static void
-answer_done(void *owner)
+on_response_done(void *owner)
 {
 	struct fwd_exchange *ex = owner;
 	struct endpoint *ep = ex->endpoint;
@@ -258,51 +258,51 @@
 	ex->reached = true;
 	fwd_estimate_add_duration(fwd_exchange_estimate(ex),
 	    (double)(clock_loop_ms(ex->fwd->loop) - ex->sent_ms));
-	endpoint_judge(ep,
+	endpoint_count_outcome(ep,
 	    bad || ex->status >= HTTP_STATUS_INTERNAL_SERVER_ERROR);
 	fwd_exchange_release(ex);
 	if (ex->streaming)
-		answer_stream_done(ex);
+		response_end_stream(ex);
 	else if (ex->passthrough)
 		fwd_exchange_finish(ex);
 	else if (ex->first_us > 0)
 		fwd_exchange_retry(ex, "not_resumed");
-	else if (bad || answer_worth_another(ex))
+	else if (bad || response_is_retryable(ex))
 		fwd_exchange_retry(ex, bad ? "no_proof" : "endpoint_error");
 	else
 		fwd_exchange_deliver(ex);
 }
 
 static void
-answer_failed(void *owner, enum net_failure why)
+on_response_failed(void *owner, enum net_failure failure)
 {
 	struct fwd_exchange *ex = owner;
 	struct endpoint *ep = ex->endpoint;
 
 	ex->upstream = NULL;
-	if (why == NET_BROKEN)
+	if (failure == NET_BROKEN)
 		fwd_poison_observe_crash(ex, false);
 	if (ex->conn == NULL) {
 		fwd_exchange_free(ex);
 		return;
 	}
-	endpoint_judge(ep, true);
-	fwd_exchange_end_send(ex, why != NET_UNREACHED);
-	if (why == NET_UNREACHED) {
-		fwd_endpoint_cool_down(ex, REST_UNREACHED_MS, "unreached");
-	} else if (ep->failures >= FAILURES_TO_REST) {
-		fwd_endpoint_cool_down(ex, REST_MS, "failures");
+	endpoint_count_outcome(ep, true);
+	fwd_exchange_end_send(ex, failure != NET_UNREACHED);
+	if (failure == NET_UNREACHED) {
+		fwd_endpoint_cool_down(ex, COOLDOWN_UNREACHED_MS, "unreached");
+	} else if (ep->failures >= FAILURES_TO_COOLDOWN) {
+		fwd_endpoint_cool_down(ex, COOLDOWN_FAILURES_MS, "failures");
 	}
 	fwd_exchange_release(ex);
 	fwd_exchange_retry(ex,
-	    why == NET_UNREACHED  ? "unreached" :
-		why == NET_BROKEN ? "connection_lost" :
-				    "no_answer_in_protocol");
+	    failure == NET_UNREACHED  ? "unreached" :
+		failure == NET_BROKEN ? "connection_lost" :
+					"no_answer_in_protocol");
 }
 
 const struct net_client_ops fwd_response_ops = {
-	.head = answer_head,
-	.body = answer_body,
-	.done = answer_done,
-	.failed = answer_failed,
+	.head = on_response_head,
+	.body = on_response_body,
+	.done = on_response_done,
+	.failed = on_response_failed,
 };
--- a/src/fwd-retry.c
+++ b/src/fwd-retry.c
@@ -8,7 +8,7 @@
 /* Maximum number of sends of one request, whatever their outcome. */
 #define SENDS_MAX 5
 /* A retry needs at least this much time before the deadline. */
-#define LEFT_LEAST_MS 40
+#define LEFT_MIN_MS 40
 /* Time to retry for the client after every endpoint asked has refused. */
 #define RETRY_REFUSED_MS 150
 
@@ -42,7 +42,7 @@
 
 /* Returns why a request must not be retried, or NULL if it may be. */
 static const char *
-again_obstacle(struct fwd_exchange *ex)
+retry_obstacle(struct fwd_exchange *ex)
 {
 	struct fwd *fwd = ex->fwd;
 	uint64_t now = clock_loop_ms(fwd->loop);
@@ -55,7 +55,7 @@
 		return ("attempts");
 	if (ex->sends >= SENDS_MAX)
 		return ("sends");
-	if (now + LEFT_LEAST_MS >= ex->deadline_ms)
+	if (now + LEFT_MIN_MS >= ex->deadline_ms)
 		return ("deadline");
 	if (ex->runs > 0 &&
 	    !poison_repeatable(&fwd->dir->poison, &fwd->dir->fleet,
@@ -73,7 +73,7 @@
 fwd_exchange_retry(struct fwd_exchange *ex, const char *reason)
 {
 	struct fwd *fwd = ex->fwd;
-	const char *obstacle = again_obstacle(ex);
+	const char *obstacle = retry_obstacle(ex);
 
 	if (ex->n_tried > 0)
 		ex->tried[ex->n_tried - 1].failed_ms = clock_loop_ms(fwd->loop);
--- a/src/fwd-silence.c
+++ b/src/fwd-silence.c
@@ -5,36 +5,36 @@
 /* Timeout of a stream between events: this multiple of the expected gap, and at
  * least this. */
 #define SILENCE_FACTOR 5.0
-#define SILENCE_LEAST_MS 300
+#define SILENCE_MIN_MS 300
 /* Timeout before the first event: this multiple of the expected time to it, and
  * at least this. */
 #define SILENCE_FIRST_FACTOR 3.0
-#define SILENCE_FIRST_LEAST_MS 500
+#define SILENCE_FIRST_MIN_MS 500
 /* For this time after another daemon's warning about an endpoint the timeouts
  * are multiplied by this. */
 #define WARNED_MS 1500
-#define WARNED_SHARE 0.6
+#define WARNED_FACTOR 0.6
 /* Timeout of an endpoint without a model: this multiple of the route's latency
  * objective, and at least this. */
 #define PLAIN_SILENCE_FACTOR 2.0
-#define PLAIN_SILENCE_LEAST_MS 700
+#define PLAIN_SILENCE_MIN_MS 700
 
 /* How long an endpoint may be silent before this request is moved. */
 static double
-exchange_silence_ms(const struct fwd_exchange *ex)
+exchange_silence_timeout(const struct fwd_exchange *ex)
 {
 	double gap;
 
 	if (ex->model == NULL)
 		return (
 		    MAX(PLAIN_SILENCE_FACTOR * (double)ex->route->objective_ms,
-			PLAIN_SILENCE_LEAST_MS));
+			PLAIN_SILENCE_MIN_MS));
 	if (ex->in_backlog)
 		return (MAX(SILENCE_FIRST_FACTOR * ex->expected_ms,
-		    SILENCE_FIRST_LEAST_MS));
+		    SILENCE_FIRST_MIN_MS));
 	gap = fwd_expect_gap(ex->endpoint, ex->engine, ex->model) *
 	    ex->engine->stride;
-	return (MAX(SILENCE_FACTOR * gap, SILENCE_LEAST_MS));
+	return (MAX(SILENCE_FACTOR * gap, SILENCE_MIN_MS));
 }
 
 /* Whether the endpoint has sent nothing to any daemon for too long. */
@@ -51,15 +51,15 @@
 	 * its other responses tell nothing about this one. */
 	if (ex->model == NULL)
 		heard = ex->heard_ms;
-	return ((double)(now - MIN(heard, now)) > exchange_silence_ms(ex) *
-		(now - ex->endpoint->avoided_ms < WARNED_MS ? WARNED_SHARE :
+	return ((double)(now - MIN(heard, now)) > exchange_silence_timeout(ex) *
+		(now - ex->endpoint->avoided_ms < WARNED_MS ? WARNED_FACTOR :
 							      1));
 }
 
 /* Starts a cooldown of a silent endpoint, warns others and moves the request if
  * that is allowed. */
 static void
-exchange_silent(struct fwd_exchange *ex, uint64_t now)
+exchange_handle_silence(struct fwd_exchange *ex, uint64_t now)
 {
 	struct endpoint *ep = ex->endpoint;
 
@@ -96,5 +96,5 @@
 fwd_silence_check(struct fwd_exchange *ex, uint64_t now_ms)
 {
 	if (exchange_is_silent(ex, now_ms))
-		exchange_silent(ex, now_ms);
+		exchange_handle_silence(ex, now_ms);
 }
--- a/src/fwd-stats.c
+++ b/src/fwd-stats.c
@@ -73,7 +73,7 @@
 /* Finds or creates the histograms of a name; NULL if there are too many names.
  */
 static struct fwd_latency *
-stats_label(GHashTable *table, const char *name)
+stats_latency(GHashTable *table, const char *name)
 {
 	struct fwd_latency *label = g_hash_table_lookup(table, name);
 
@@ -85,7 +85,7 @@
 }
 
 static void
-label_add(struct fwd_latency *label, uint64_t first_us, uint64_t whole_us)
+latency_add(struct fwd_latency *label, uint64_t first_us, uint64_t whole_us)
 {
 	if (label == NULL)
 		return;
@@ -105,9 +105,9 @@
 fwd_stats_add_latency(struct fwd_stats *stats, const char *route,
     const char *customer, uint64_t first_us, uint64_t whole_us)
 {
-	label_add(stats_label(stats->routes, route), first_us, whole_us);
+	latency_add(stats_latency(stats->routes, route), first_us, whole_us);
 	if (customer != NULL)
-		label_add(stats_label(stats->customers, customer), first_us,
+		latency_add(stats_latency(stats->customers, customer), first_us,
 		    whole_us);
 }
 
@@ -126,7 +126,7 @@
 }
 
 static void
-print_labels(GString *out, const char *kind, GHashTable *table)
+print_latencies(GString *out, const char *kind, GHashTable *table)
 {
 	GHashTableIter iter;
 	gpointer name, value;
@@ -154,6 +154,6 @@
 	for (size_t i = 0; i < COUNT_KINDS; i++)
 		g_string_append_printf(out, "banklift_%s_total %llu\n",
 		    count_names[i], (unsigned long long)stats->counts[i]);
-	print_labels(out, "route", stats->routes);
-	print_labels(out, "customer", stats->customers);
+	print_latencies(out, "route", stats->routes);
+	print_latencies(out, "customer", stats->customers);
 }
--- a/src/fwd.c
+++ b/src/fwd.c
@@ -5,7 +5,7 @@
 #include "event-log.h"
 #include "fwd-exchange.h"
 
-#define BACKLOG 512
+#define LISTEN_BACKLOG 512
 /* Tick interval while there are exchanges; a tenth of the shortest timeout that
  * depends on it. */
 #define TICK_BUSY_MS 25
@@ -14,7 +14,7 @@
 #define PAUSE_MS 200
 /* Time after a pause in which the data that has queued up is read before any
  * endpoint is judged silent. */
-#define BLIND_MS 400
+#define PAUSE_GRACE_MS 400
 
 static void
 on_connection(uv_stream_t *listener, int status)
@@ -38,7 +38,7 @@
 }
 
 static void
-tick_callers(struct fwd *fwd, uint64_t now)
+tick_conns(struct fwd *fwd, uint64_t now)
 {
 	struct fwd_conn *c, *next;
 
@@ -50,7 +50,7 @@
 
 /* Dispatches the queued exchanges, the most urgent first. */
 static void
-try_waiting(struct fwd *fwd)
+dispatch_waiting(struct fwd *fwd)
 {
 	struct fwd_exchange *ex = TAILQ_FIRST(&fwd->waiting);
 
@@ -70,26 +70,26 @@
 
 	if (fwd->last_tick_ms != 0 &&
 	    now - fwd->last_tick_ms > TICK_IDLE_MS + PAUSE_MS) {
-		fwd->grace_until_ms = now + BLIND_MS;
+		fwd->grace_until_ms = now + PAUSE_GRACE_MS;
 		event_log(LOG_NOTICE, "paused", "ms=%llu",
 		    (unsigned long long)(now - fwd->last_tick_ms));
 	}
 	fwd->last_tick_ms = now;
 	tick_exchanges(fwd, now);
-	try_waiting(fwd);
-	tick_callers(fwd, now);
+	dispatch_waiting(fwd);
+	tick_conns(fwd, now);
 	uv_timer_start(timer, on_tick,
 	    fwd->n_exchanges > 0 ? TICK_BUSY_MS : TICK_IDLE_MS, 0);
 }
 
 /* Dispatches queued exchanges and reads pipelined requests. */
 static void
-on_kick(uv_timer_t *timer)
+on_dispatch(uv_timer_t *timer)
 {
 	struct fwd *fwd = timer->data;
 
-	try_waiting(fwd);
-	tick_callers(fwd, clock_loop_ms(fwd->loop));
+	dispatch_waiting(fwd);
+	tick_conns(fwd, clock_loop_ms(fwd->loop));
 }
 
 /**
@@ -113,7 +113,7 @@
 fwd_schedule_dispatch(struct fwd *fwd)
 {
 	if (!uv_is_active((uv_handle_t *)&fwd->dispatch_timer))
-		uv_timer_start(&fwd->dispatch_timer, on_kick, 0, 0);
+		uv_timer_start(&fwd->dispatch_timer, on_dispatch, 0, 0);
 }
 
 /**
@@ -141,14 +141,14 @@
 struct fwd_estimate *
 fwd_estimate_get(struct fwd *fwd, const char *name)
 {
-	struct fwd_estimate *learned =
+	struct fwd_estimate *estimate =
 	    g_hash_table_lookup(fwd->estimates, name);
 
-	if (learned == NULL) {
-		learned = g_new0(struct fwd_estimate, 1);
-		g_hash_table_insert(fwd->estimates, g_strdup(name), learned);
+	if (estimate == NULL) {
+		estimate = g_new0(struct fwd_estimate, 1);
+		g_hash_table_insert(fwd->estimates, g_strdup(name), estimate);
 	}
-	return (learned);
+	return (estimate);
 }
 
 /**
@@ -183,7 +183,7 @@
 	uv_timer_start(&fwd->tick, on_tick, TICK_IDLE_MS, 0);
 	rc = uv_tcp_bind(&fwd->listener, (const struct sockaddr *)addr, 0);
 	if (rc == 0)
-		rc = uv_listen((uv_stream_t *)&fwd->listener, BACKLOG,
+		rc = uv_listen((uv_stream_t *)&fwd->listener, LISTEN_BACKLOG,
 		    on_connection);
 	return (rc);
 }
