--- a/src/fwd-stats.c
+++ b/src/fwd-stats.c
@@ -75,22 +75,22 @@
 static struct fwd_latency *
 stats_latency(GHashTable *table, const char *name)
 {
-	struct fwd_latency *label = g_hash_table_lookup(table, name);
+	struct fwd_latency *latency = g_hash_table_lookup(table, name);
 
-	if (label != NULL || g_hash_table_size(table) >= FWD_STATS_LABELS_MAX)
-		return (label);
-	label = g_new0(struct fwd_latency, 1);
-	g_hash_table_insert(table, g_strdup(name), label);
-	return (label);
+	if (latency != NULL || g_hash_table_size(table) >= FWD_STATS_LABELS_MAX)
+		return (latency);
+	latency = g_new0(struct fwd_latency, 1);
+	g_hash_table_insert(table, g_strdup(name), latency);
+	return (latency);
 }
 
 static void
-latency_add(struct fwd_latency *label, uint64_t first_us, uint64_t whole_us)
+latency_add(struct fwd_latency *latency, uint64_t first_us, uint64_t total_us)
 {
-	if (label == NULL)
+	if (latency == NULL)
 		return;
-	histogram_add(&label->first_us, first_us);
-	histogram_add(&label->whole_us, whole_us);
+	histogram_add(&latency->first_us, first_us);
+	histogram_add(&latency->total_us, total_us);
 }
 
 /**
@@ -99,16 +99,16 @@
  * @route: name of the route
  * @customer: name of the customer, or NULL
  * @first_us: time from the arrival of the request to the first byte
- * @whole_us: time from the arrival of the request to the end
+ * @total_us: time from the arrival of the request to the end
  */
 void
 fwd_stats_add_latency(struct fwd_stats *stats, const char *route,
-    const char *customer, uint64_t first_us, uint64_t whole_us)
+    const char *customer, uint64_t first_us, uint64_t total_us)
 {
-	latency_add(stats_latency(stats->routes, route), first_us, whole_us);
+	latency_add(stats_latency(stats->routes, route), first_us, total_us);
 	if (customer != NULL)
 		latency_add(stats_latency(stats->customers, customer), first_us,
-		    whole_us);
+		    total_us);
 }
 
 static void
@@ -133,12 +133,12 @@
 
 	g_hash_table_iter_init(&iter, table);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
-		struct fwd_latency *label = value;
+		struct fwd_latency *latency = value;
 
 		print_histogram(out, "first_byte", kind, name,
-		    &label->first_us);
+		    &latency->first_us);
 		print_histogram(out, "whole_answer", kind, name,
-		    &label->whole_us);
+		    &latency->total_us);
 	}
 }
 
--- a/src/fwd-stats.h
+++ b/src/fwd-stats.h
@@ -46,11 +46,11 @@
 /**
  * struct fwd_latency - latency histograms of one route or customer.
  * @first_us: from the arrival of a request to the first byte of its response
- * @whole_us: from the arrival of a request to the end of its response
+ * @total_us: from the arrival of a request to the end of its response
  */
 struct fwd_latency {
 	struct histogram first_us;
-	struct histogram whole_us;
+	struct histogram total_us;
 };
 
 /**
--- a/src/fwd-wire.h
+++ b/src/fwd-wire.h
@@ -13,7 +13,7 @@
  * @model: name of the requested model, or NULL
  * @deadline_ms: how long the client waits; -1 if not given
  * @prompt_tokens: length of the prompt; 0 if not given
- * @answer_tokens: maximum length of the response, in tokens; 0 if not given
+ * @response_tokens: maximum length of the response, in tokens; 0 if not given
  * @last_event: the client has the events up to this id; -1 for none
  */
 struct wire_request {
@@ -22,7 +22,7 @@
 	const char *model;
 	int64_t deadline_ms;
 	double prompt_tokens;
-	double answer_tokens;
+	double response_tokens;
 	int64_t last_event;
 };
 
--- a/tests/test-adapter.c
+++ b/tests/test-adapter.c
@@ -142,7 +142,7 @@
 	    "id=%s key=%s model=%s deadline=%lld tokens=%.0f,%.0f last=%lld\n",
 	    req.id != NULL ? req.id : "-", req.key != NULL ? req.key : "-",
 	    req.model != NULL ? req.model : "-", (long long)req.deadline_ms,
-	    req.prompt_tokens, req.answer_tokens, (long long)req.last_event);
+	    req.prompt_tokens, req.response_tokens, (long long)req.last_event);
 	g_string_append(out, "passes:");
 	for (unsigned i = 0; i < head.n_fields; i++) {
 		const char *name = net_head_name(&head, i);
