--- a/src/edge.c
+++ b/src/edge.c
@@ -352,7 +352,7 @@
 	    (e->mesh.relay == NULL || e->mesh.relay->config_version < version))
 		mesh_tell_now(&e->mesh);
 	e->told_version = version;
-	if (!TAILQ_EMPTY(&e->fwd.waiting))
+	if (!TAILQ_EMPTY(&e->fwd.queue))
 		fwd_schedule_dispatch(&e->fwd);
 	keeper_look_soon(&e->keeper);
 }
--- a/src/fwd-admission.c
+++ b/src/fwd-admission.c
@@ -65,7 +65,7 @@
 	else
 		waits = a->ahead < 1 &&
 		    in_time(a, backoff + (a->resubmitted ? 0 : a->first_ms));
-	return (waits ? ADMIT_WAIT : ADMIT_REFUSE);
+	return (waits ? ADMIT_QUEUE : ADMIT_REFUSE);
 }
 
 /* Whether rate limits alone keep matching endpoints from having the request. */
@@ -100,11 +100,11 @@
 	if (a->sends > 0)
 		return (only_limited(choice) && slot >= a->left_ms ?
 			ADMIT_REFUSE :
-			ADMIT_WAIT);
+			ADMIT_QUEUE);
 	if (choice->usable == 0 && choice->limited == 0)
 		return (ADMIT_REFUSE);
 	return (in_time(a, slot + (a->resubmitted ? 0 : a->first_ms)) ?
-		ADMIT_WAIT :
+		ADMIT_QUEUE :
 		ADMIT_REFUSE);
 }
 
--- a/src/fwd-admission.h
+++ b/src/fwd-admission.h
@@ -7,18 +7,18 @@
 /**
  * enum fwd_admission_verdict - decision on a request.
  * @ADMIT_SEND: send it to the chosen endpoint
- * @ADMIT_WAIT: queue it; a slot is expected to become free in time
+ * @ADMIT_QUEUE: queue it; a slot is expected to become free in time
  * @ADMIT_REFUSE: it can't be served in time; refuse it with a time to retry
  */
 enum fwd_admission_verdict {
 	ADMIT_SEND,
-	ADMIT_WAIT,
+	ADMIT_QUEUE,
 	ADMIT_REFUSE,
 };
 
 /**
  * struct fwd_admission - input of the decision on a request without an
- *endpoint.
+ *	endpoint.
  * @criteria: what it requires of an endpoint
  * @choice: the endpoint chosen for it, if any
  * @first_ms: expected time to the first event of a request of usual size at
@@ -33,7 +33,7 @@
  * @duration_ms: average time for which a request of its kind occupies a slot
  * @ahead: requests queued before it for the same slots, at all daemons;
  *	permits of rate limits are this daemon's own, so @criteria has the
- *number for those
+ *	number for those
  * @draw: random number
  */
 struct fwd_admission {
--- a/src/fwd-choose.c
+++ b/src/fwd-choose.c
@@ -284,7 +284,7 @@
 
 /**
  * fwd_choice_all_unavailable() - whether all matching endpoints have requested
- *a backoff or are draining.
+ *	a backoff or are draining.
  * @choice: the choice
  */
 bool
--- a/src/fwd-choose.h
+++ b/src/fwd-choose.h
@@ -58,7 +58,7 @@
  * @running: requests running at all usable endpoints
  * @any_usable: any usable endpoint that matches, full or not, or NULL
  * @next_available: of the endpoints that requested a backoff, the one whose
- *backoff ends first, or NULL
+ *	backoff ends first, or NULL
  * @unavailable: matching endpoints that requested a backoff or are draining
  * @known: all matching endpoints: those of the service that serve the model
  * @usable: matching endpoints that may have the request, full or not
@@ -66,7 +66,7 @@
  *	of their rate limit
  * @next_permit: of these, the one with the earliest permit, or NULL
  * @permit_ms: time until that permit; INFINITY if this daemon has no share of
- *any limit
+ *	any limit
  * @limits_per_s: sum of the limits of the endpoints counted in @limited, in
  *	requests per second from all daemons together
  */
--- a/src/fwd-dispatch.c
+++ b/src/fwd-dispatch.c
@@ -14,7 +14,7 @@
 	const struct fwd_exchange *other;
 	unsigned ahead = 0;
 
-	TAILQ_FOREACH(other, &ex->fwd->waiting, wait_entry) {
+	TAILQ_FOREACH(other, &ex->fwd->queue, queue_entry) {
 		if (other == ex)
 			break;
 		ahead += other->model == ex->model &&
@@ -105,15 +105,15 @@
 	struct fwd_exchange *at;
 	int priority = ex->route->priority;
 
-	ex->state = EXCHANGE_WAITING;
-	TAILQ_FOREACH(at, &ex->fwd->waiting, wait_entry) {
+	ex->state = EXCHANGE_QUEUED;
+	TAILQ_FOREACH(at, &ex->fwd->queue, queue_entry) {
 		if (at->route->priority > priority)
 			break;
 	}
 	if (at != NULL)
-		TAILQ_INSERT_BEFORE(at, ex, wait_entry);
+		TAILQ_INSERT_BEFORE(at, ex, queue_entry);
 	else
-		TAILQ_INSERT_TAIL(&ex->fwd->waiting, ex, wait_entry);
+		TAILQ_INSERT_TAIL(&ex->fwd->queue, ex, queue_entry);
 }
 
 /**
@@ -127,7 +127,7 @@
 	struct fwd_admission a;
 	struct fwd_criteria criteria;
 
-	if (ex->state != EXCHANGE_WAITING)
+	if (ex->state != EXCHANGE_QUEUED)
 		exchange_enqueue(ex);
 	if (fwd_poison_refuse(ex))
 		return;
@@ -150,7 +150,7 @@
 	case ADMIT_REFUSE:
 		exchange_refuse_no_slot(ex, &a);
 		break;
-	case ADMIT_WAIT:
+	case ADMIT_QUEUE:
 		break;
 	}
 }
--- a/src/fwd-end.c
+++ b/src/fwd-end.c
@@ -56,7 +56,7 @@
 	ex->in_backlog = false;
 	ep->refs--;
 	ex->endpoint = NULL;
-	if (!TAILQ_EMPTY(&ex->fwd->waiting))
+	if (!TAILQ_EMPTY(&ex->fwd->queue))
 		fwd_schedule_dispatch(ex->fwd);
 }
 
@@ -67,8 +67,8 @@
 void
 fwd_exchange_free(struct fwd_exchange *ex)
 {
-	if (ex->state == EXCHANGE_WAITING)
-		TAILQ_REMOVE(&ex->fwd->waiting, ex, wait_entry);
+	if (ex->state == EXCHANGE_QUEUED)
+		TAILQ_REMOVE(&ex->fwd->queue, ex, queue_entry);
 	ex->state = EXCHANGE_DONE;
 	fwd_poison_end_probe(ex);
 	if (ex->upstream != NULL) {
--- a/src/fwd-exchange.c
+++ b/src/fwd-exchange.c
@@ -108,8 +108,8 @@
 	const struct endpoint_limit *limit = &choice->endpoint->limit;
 	g_autoptr(GString) text = NULL;
 
-	TAILQ_REMOVE(&fwd->waiting, ex, wait_entry);
-	ex->state = ex->first_us > 0 ? EXCHANGE_ANSWERING : EXCHANGE_SENT;
+	TAILQ_REMOVE(&fwd->queue, ex, queue_entry);
+	ex->state = ex->first_us > 0 ? EXCHANGE_RESPONDING : EXCHANGE_SENT;
 	exchange_take_slot(ex, choice);
 	exchange_note_tried(ex);
 	ex->sends++;
@@ -341,7 +341,7 @@
 		    RETRY_LATE_MS);
 		return;
 	}
-	if (ex->state == EXCHANGE_WAITING || ex->upstream == NULL)
+	if (ex->state == EXCHANGE_QUEUED || ex->upstream == NULL)
 		return;
 	if (ex->upstream->connected)
 		fwd_silence_check(ex, now_ms);
--- a/src/fwd-exchange.h
+++ b/src/fwd-exchange.h
@@ -10,15 +10,15 @@
 
 /**
  * enum exchange_state - state of an exchange.
- * @EXCHANGE_WAITING: queued; no endpoint has the request
+ * @EXCHANGE_QUEUED: queued; no endpoint has the request
  * @EXCHANGE_SENT: an endpoint has it; nothing was passed to the client
- * @EXCHANGE_ANSWERING: part of the response was passed to the client
+ * @EXCHANGE_RESPONDING: part of the response was passed to the client
  * @EXCHANGE_DONE: over, or not queued yet
  */
 enum exchange_state {
-	EXCHANGE_WAITING,
+	EXCHANGE_QUEUED,
 	EXCHANGE_SENT,
-	EXCHANGE_ANSWERING,
+	EXCHANGE_RESPONDING,
 	EXCHANGE_DONE,
 };
 
@@ -43,7 +43,7 @@
  *	histograms
  * @deadline_ms: loop time at which the exchange must be over
  * @resubmitted: the client resubmitted the request after a refusal: less time
- *is left to it than a new one has
+ *	is left to it than a new one has
  * @state: state of the exchange
  * @endpoint: the endpoint that has the request, or NULL
  * @upstream: connection to the endpoint, or NULL
@@ -55,7 +55,7 @@
  * @known_at_send: endpoints that matched at the send, usable or not
  * @backlog_at_send: the endpoint's prefill backlog at the send, in tokens
  * @backlog_mark: position of the prompt in that backlog, for
- *fwd_backlog_confirm()
+ *	fwd_backlog_confirm()
  * @sends: number of times the request was sent
  * @runs: number of sends after which it may have run
  * @reached: the last send may have reached its endpoint
@@ -81,10 +81,10 @@
  * @poison_probe: the request probes whether a quarantined fingerprint still
  *	crashes endpoints
  * @crash_suspected: the fingerprint was reported as a suspect since the
- *endpoint fell silent
+ *	endpoint fell silent
  * @paused: reading from the endpoint is paused for a slow client
  * @entry: entry in the proxy's list
- * @wait_entry: entry in the queue
+ * @queue_entry: entry in the queue
  */
 struct fwd_exchange {
 	struct fwd *fwd;
@@ -141,7 +141,7 @@
 	bool crash_suspected;
 	bool paused;
 	TAILQ_ENTRY(fwd_exchange) entry;
-	TAILQ_ENTRY(fwd_exchange) wait_entry;
+	TAILQ_ENTRY(fwd_exchange) queue_entry;
 };
 
 void fwd_exchange_start(struct fwd *, struct fwd_conn *);
--- a/src/fwd-expect.c
+++ b/src/fwd-expect.c
@@ -146,24 +146,24 @@
 /**
  * fwd_estimate_add_first() - update the average overhead of first events.
  * @estimate: estimates of the model
- * @overhead: delay of a first event beyond the profile's estimate
+ * @overhead_ms: delay of a first event beyond the profile's estimate
  */
 void
-fwd_estimate_add_first(struct fwd_estimate *estimate, double overhead)
+fwd_estimate_add_first(struct fwd_estimate *estimate, double overhead_ms)
 {
-	overhead = CLAMP(overhead, 0, OVERHEAD_MAX_MS);
+	overhead_ms = CLAMP(overhead_ms, 0, OVERHEAD_MAX_MS);
 	estimate->overhead_ms += average_weight(++estimate->n_overhead) *
-	    (overhead - estimate->overhead_ms);
+	    (overhead_ms - estimate->overhead_ms);
 }
 
 /**
  * fwd_estimate_add_duration() - update the average duration of requests.
  * @estimate: estimates of the model or service
- * @duration: time from the send to the end of the response
+ * @duration_ms: time from the send to the end of the response
  */
 void
-fwd_estimate_add_duration(struct fwd_estimate *estimate, double duration)
+fwd_estimate_add_duration(struct fwd_estimate *estimate, double duration_ms)
 {
 	estimate->duration_ms += average_weight(++estimate->n_duration) *
-	    (duration - estimate->duration_ms);
+	    (duration_ms - estimate->duration_ms);
 }
--- a/src/fwd-feedback.c
+++ b/src/fwd-feedback.c
@@ -123,7 +123,7 @@
 }
 
 /**
- * struct heard_word - handler of one kind of feedback.
+ * struct feedback_handler - handler of one kind of feedback.
  * @present: called for a response with such feedback
  * @absent: called for a response without it; NULL if that means nothing
  */
@@ -223,7 +223,7 @@
 
 /**
  * fwd_feedback_check_send() - count and log a send that exceeds a rate limit or
- *ignores a backoff.
+ *	ignores a backoff.
  * @ex: the exchange, with its endpoint
  */
 void
--- a/src/fwd-poison.c
+++ b/src/fwd-poison.c
@@ -88,7 +88,7 @@
 
 /**
  * fwd_poison_observe_crash() - record that an endpoint may have crashed while
- *it had a request.
+ *	it had a request.
  * @ex: the exchange, with its endpoint
  * @silent: the endpoint fell silent; otherwise the connection broke
  */
@@ -148,7 +148,7 @@
 
 /*
  * Lets one request with a quarantined fingerprint through as a probe, at the
- * daemon that the verdict has chosen for it.
+ * daemon that saw the newest crash.
  */
 static bool
 probe_begin(struct fwd_exchange *ex, struct poison_work *suspect,
--- a/src/fwd-resolve.c
+++ b/src/fwd-resolve.c
@@ -139,7 +139,7 @@
 resolve_fingerprint(const struct fwd_exchange *ex, const char *method)
 {
 	const struct net_head *head = &ex->conn->head;
-	const struct fwd_fingerprint_input key = {
+	const struct fwd_fingerprint_input input = {
 		.method = method,
 		.host = net_head_find(head, "host"),
 		.target = net_head_target(head),
@@ -148,7 +148,7 @@
 		.length = ex->body->len,
 	};
 
-	return (fwd_fingerprint_compute(&key));
+	return (fwd_fingerprint_compute(&input));
 }
 
 /**
--- a/src/fwd-response.c
+++ b/src/fwd-response.c
@@ -133,7 +133,7 @@
 
 	if (ex->state == EXCHANGE_SENT) {
 		ex->first_us = clock_now_us();
-		ex->state = EXCHANGE_ANSWERING;
+		ex->state = EXCHANGE_RESPONDING;
 		fwd_conn_begin(conn, ex->status, ex->headers->str);
 	}
 	fwd_conn_write(conn, ex->events.buf->str, length);
@@ -199,7 +199,7 @@
 		return;
 	if (!ex->passthrough) {
 		ex->passthrough = true;
-		ex->state = EXCHANGE_ANSWERING;
+		ex->state = EXCHANGE_RESPONDING;
 		ex->first_us = clock_now_us();
 		fwd_conn_begin(ex->conn, ex->status, ex->headers->str);
 	}
--- a/src/fwd-wire.h
+++ b/src/fwd-wire.h
@@ -46,11 +46,11 @@
  * enum feedback_kind - feedback about itself that an endpoint may put into any
  *	response.
  * @FEEDBACK_BACKOFF: backoff: this daemon is to send it nothing for this long,
- *in ms
+ *	in ms
  * @FEEDBACK_DRAINING: 1 if it is draining: it completes what it has and accepts
  *	nothing new
  * @FEEDBACK_LIMIT: rate limit: requests per second that it accepts from all
- *daemons together
+ *	daemons together
  * @FEEDBACK_KINDS: number of kinds
  */
 enum feedback_kind {
--- a/src/fwd.c
+++ b/src/fwd.c
@@ -50,12 +50,12 @@
 
 /* Dispatches the queued exchanges, the most urgent first. */
 static void
-dispatch_waiting(struct fwd *fwd)
+dispatch_queue(struct fwd *fwd)
 {
-	struct fwd_exchange *ex = TAILQ_FIRST(&fwd->waiting);
+	struct fwd_exchange *ex = TAILQ_FIRST(&fwd->queue);
 
 	while (ex != NULL) {
-		struct fwd_exchange *next = TAILQ_NEXT(ex, wait_entry);
+		struct fwd_exchange *next = TAILQ_NEXT(ex, queue_entry);
 
 		fwd_exchange_dispatch(ex);
 		ex = next;
@@ -76,7 +76,7 @@
 	}
 	fwd->last_tick_ms = now;
 	tick_exchanges(fwd, now);
-	dispatch_waiting(fwd);
+	dispatch_queue(fwd);
 	tick_conns(fwd, now);
 	uv_timer_start(timer, on_tick,
 	    fwd->n_exchanges > 0 ? TICK_BUSY_MS : TICK_IDLE_MS, 0);
@@ -88,7 +88,7 @@
 {
 	struct fwd *fwd = timer->data;
 
-	dispatch_waiting(fwd);
+	dispatch_queue(fwd);
 	tick_conns(fwd, clock_loop_ms(fwd->loop));
 }
 
@@ -106,7 +106,7 @@
 
 /**
  * fwd_schedule_dispatch() - dispatch queued exchanges and read pipelined
- *requests in the next round of the loop.
+ *	requests in the next round of the loop.
  * @fwd: the proxy
  */
 void
@@ -168,7 +168,7 @@
 	fwd->daemons = 1;
 	TAILQ_INIT(&fwd->conns);
 	TAILQ_INIT(&fwd->exchanges);
-	TAILQ_INIT(&fwd->waiting);
+	TAILQ_INIT(&fwd->queue);
 	fwd->budgets =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	fwd->estimates =
--- a/src/fwd.h
+++ b/src/fwd.h
@@ -52,12 +52,12 @@
  * @dispatch_timer: one-shot timer that dispatches queued exchanges
  * @conns: client connections
  * @exchanges: all exchanges that are not done
- * @waiting: exchanges that are queued without an endpoint, the most urgent
+ * @queue: exchanges that are queued without an endpoint, the most urgent
  *	first
  * @n_exchanges: length of @exchanges
  * @budgets: service name to struct fwd_budget
  * @estimates: name of a model, or of a service without models, to struct
- *	fwd_learned
+ *	fwd_estimate
  * @daemons: number of daemons that share the retry budget
  * @draining: the daemon is shutting down; connections are closed after their
  *	response
@@ -81,7 +81,7 @@
 	uv_timer_t dispatch_timer;
 	struct fwd_conn_list conns;
 	struct fwd_exchange_list exchanges;
-	struct fwd_exchange_list waiting;
+	struct fwd_exchange_list queue;
 	unsigned n_exchanges;
 	GHashTable *budgets;
 	GHashTable *estimates;
