--- a/src/fwd-silence.c
+++ b/src/fwd-silence.c
@@ -47,8 +47,8 @@
 	heard = MAX(heard, ex->endpoint->peer_heard_ms);
 	if (ex->paused || now < ex->fwd->grace_until_ms)
 		return (false);
-	/* An endpoint without a model handles its requests independently, so
-	 * its other responses tell nothing about this one. */
+	/* Other responses of an endpoint without a model tell nothing about
+	 * this one. */
 	if (ex->model == NULL)
 		heard = ex->heard_ms;
 	return ((double)(now - MIN(heard, now)) > exchange_silence_timeout(ex) *
