--- a/src/fwd-admission.c
+++ b/src/fwd-admission.c
@@ -45,8 +45,8 @@
 
 	if (ep == NULL)
 		return (INFINITY);
-	return ((double)(ep->rest.until_ms -
-	    MIN(a->criteria->now_ms, ep->rest.until_ms)));
+	return ((double)(ep->backoff.until_ms -
+	    MIN(a->criteria->now_ms, ep->backoff.until_ms)));
 }
 
 /*
--- a/src/fwd-choose.c
+++ b/src/fwd-choose.c
@@ -132,7 +132,7 @@
     enum last_resort resort)
 {
 	if (resort == RESORT_COOLDOWN)
-		return (endpoint_open(ep, now_ms));
+		return (endpoint_accepts(ep, now_ms));
 	return (endpoint_usable(ep, now_ms));
 }
 
@@ -141,7 +141,7 @@
 choice_note_unavailable(struct fwd_choice *choice, const struct endpoint *ep,
     uint64_t now_ms)
 {
-	bool in_backoff = endpoint_rest_holds(&ep->rest, now_ms);
+	bool in_backoff = endpoint_backoff_active(&ep->backoff, now_ms);
 
 	if (!in_backoff && !ep->draining)
 		return;
@@ -149,7 +149,7 @@
 	if (ep->draining)
 		return;
 	if (choice->next_available == NULL ||
-	    ep->rest.until_ms < choice->next_available->rest.until_ms)
+	    ep->backoff.until_ms < choice->next_available->backoff.until_ms)
 		choice->next_available = ep;
 }
 
@@ -159,7 +159,7 @@
 choice_check_limit(struct fwd_choice *choice, const struct endpoint *ep,
     const struct fwd_criteria *criteria)
 {
-	double ms = endpoint_limit_turn_ms(&ep->limit, criteria->ahead,
+	double ms = endpoint_limit_wait_ms(&ep->limit, criteria->ahead,
 	    criteria->now_ms);
 
 	if (ms <= 0)
@@ -177,9 +177,9 @@
 static void
 eligible_add(const struct eligible *eligible, struct endpoint *ep)
 {
-	if (endpoint_rest_doubted(&ep->rest))
+	if (endpoint_backoff_probing(&ep->backoff))
 		g_ptr_array_add(eligible->probing, ep);
-	else if (ep->limit.holds)
+	else if (ep->limit.active)
 		g_ptr_array_add(eligible->permitted, ep);
 	else
 		g_ptr_array_add(eligible->unrestricted, ep);
@@ -219,7 +219,7 @@
 		choice->running += fwd_expect_running(ep);
 		choice->any_usable = ep;
 		if (fwd_expect_running(ep) < endpoint_slots(ep, criteria) &&
-		    endpoint_rest_has_room(&ep->rest))
+		    endpoint_backoff_admits(&ep->backoff))
 			eligible_add(eligible, ep);
 	}
 }
--- a/src/fwd-conn.c
+++ b/src/fwd-conn.c
@@ -29,7 +29,7 @@
 static const struct caller_limits *
 conn_limits(const struct fwd_conn *c)
 {
-	const struct catalog *catalog = c->fwd->dir->catalog;
+	const struct catalog *catalog = c->fwd->registry->catalog;
 
 	return (catalog != NULL ? &catalog->limits : &limits_default);
 }
@@ -58,7 +58,7 @@
 conn_check_head(struct fwd_conn *c)
 {
 	if (c->head.too_large ||
-	    (int64_t)c->head.text->len > conn_limits(c)->header_bytes)
+	    (int64_t)c->head.text->len > conn_limits(c)->max_header_bytes)
 		return (conn_reject(c,
 		    HTTP_STATUS_REQUEST_HEADER_FIELDS_TOO_LARGE));
 	return (0);
@@ -109,7 +109,7 @@
 	net_head_close_value(&c->head);
 	c->head_only = parser->method == HTTP_HEAD;
 	if (parser->flags & F_CONTENTLENGTH &&
-	    parser->content_length > (uint64_t)conn_limits(c)->body_bytes)
+	    parser->content_length > (uint64_t)conn_limits(c)->max_body_bytes)
 		return (conn_reject(c, HTTP_STATUS_PAYLOAD_TOO_LARGE));
 	expect = net_head_find(&c->head, "expect");
 	if (expect != NULL && strcasecmp(expect, "100-continue") == 0)
@@ -123,7 +123,7 @@
 {
 	struct fwd_conn *c = parser->data;
 
-	if ((int64_t)(c->body->len + length) > conn_limits(c)->body_bytes)
+	if ((int64_t)(c->body->len + length) > conn_limits(c)->max_body_bytes)
 		return (conn_reject(c, HTTP_STATUS_PAYLOAD_TOO_LARGE));
 	g_byte_array_append(c->body, (const guint8 *)at, (guint)length);
 	return (0);
@@ -489,11 +489,11 @@
 		conn_run_pipelined(c);
 		return;
 	}
-	if (c->started && waited > (uint64_t)limits->header_ms &&
+	if (c->started && waited > (uint64_t)limits->header_timeout_ms &&
 	    c->body->len == 0) {
 		c->error_status = HTTP_STATUS_REQUEST_TIMEOUT;
 		conn_refuse_input(c);
-	} else if (waited > (uint64_t)limits->idle_ms) {
+	} else if (waited > (uint64_t)limits->idle_timeout_ms) {
 		net_stream_close(&c->stream);
 	}
 }
--- a/src/fwd-dispatch.c
+++ b/src/fwd-dispatch.c
@@ -133,7 +133,7 @@
 		return;
 	fwd_exchange_criteria(ex, &criteria);
 	criteria.ahead = exchange_count_ahead(ex);
-	fwd_choose(&ex->fwd->dir->fleet, &criteria, &choice);
+	fwd_choose(&ex->fwd->registry->fleet, &criteria, &choice);
 	if (choice.unavailable > 0 && !ex->held_back) {
 		ex->held_back = true;
 		fwd_stats_count(&ex->fwd->stats, COUNT_HELD_BACK);
--- a/src/fwd-exchange.c
+++ b/src/fwd-exchange.c
@@ -46,9 +46,9 @@
 	ex->usable_at_send = choice->usable;
 	ex->known_at_send = choice->known;
 	ep->refs++;
-	ex->probe = endpoint_rest_probe(&ep->rest);
-	ex->has_permit = ep->limit.holds &&
-	    endpoint_limit_take(&ep->limit, clock_loop_ms(ex->fwd->loop));
+	ex->probe = endpoint_backoff_begin_probe(&ep->backoff);
+	ex->has_permit = ep->limit.active &&
+	    endpoint_limit_take_permit(&ep->limit, clock_loop_ms(ex->fwd->loop));
 	ex->in_backlog = ex->model != NULL;
 	if (ex->in_backlog)
 		exchange_add_backlog(ex);
@@ -122,7 +122,7 @@
 	    net_pool_take(&ex->endpoint->pool, idle, &fwd_response_ops, ex);
 	if (ex->upstream == NULL) {
 		if (ex->has_permit)
-			endpoint_limit_give_back(&ex->endpoint->limit);
+			endpoint_limit_return_permit(&ex->endpoint->limit);
 		fwd_exchange_release(ex);
 		fwd_exchange_retry(ex, "no_connection");
 		return;
@@ -136,8 +136,8 @@
 	    "usable=%u limit=%.3f limit_age_ms=%llu",
 	    ex->id, ex->endpoint->report.id, ex->sends, choice->first_ms,
 	    choice->load, choice->known, choice->usable,
-	    limit->holds ? limit->per_s : -1,
-	    (unsigned long long)(limit->holds ? ex->sent_ms - limit->said_ms :
+	    limit->active ? limit->per_s : -1,
+	    (unsigned long long)(limit->active ? ex->sent_ms - limit->as_of_ms :
 						0));
 	text = exchange_build_request(ex);
 	net_client_send(ex->upstream, text->str, text->len, ex->head_only);
@@ -208,8 +208,8 @@
 	ex->arrived_ms = clock_loop_ms(fwd->loop);
 	ex->arrived_us = clock_now_us();
 	ex->state = EXCHANGE_DONE;
-	if (fwd->dir->catalog != NULL)
-		ex->catalog = catalog_ref(fwd->dir->catalog);
+	if (fwd->registry->catalog != NULL)
+		ex->catalog = catalog_ref(fwd->registry->catalog);
 	TAILQ_INSERT_TAIL(&fwd->exchanges, ex, entry);
 	fwd->n_exchanges++;
 	fwd_tick_soon(fwd);
@@ -237,7 +237,7 @@
 	ex->conn = NULL;
 	/* A request that may run only once is let run; its response is read and
 	 * dropped. */
-	if (ex->route != NULL && ex->route->repeat == REPEAT_NEVER &&
+	if (ex->route != NULL && ex->route->retry == RETRY_NEVER &&
 	    ex->upstream != NULL && ex->upstream->connected)
 		return;
 	fwd_exchange_free(ex);
@@ -275,7 +275,7 @@
 		return;
 	ex->runs--;
 	if (ex->has_permit)
-		endpoint_limit_give_back(&ex->endpoint->limit);
+		endpoint_limit_return_permit(&ex->endpoint->limit);
 }
 
 /**
@@ -301,9 +301,9 @@
 {
 	struct endpoint_limit *limit = &ex->endpoint->limit;
 
-	if (ex->has_permit || endpoint_limit_turn_ms(limit, 0, now_ms) > 0)
+	if (ex->has_permit || endpoint_limit_wait_ms(limit, 0, now_ms) > 0)
 		return (ex->has_permit);
-	ex->has_permit = limit->holds && endpoint_limit_take(limit, now_ms);
+	ex->has_permit = limit->active && endpoint_limit_take_permit(limit, now_ms);
 	return (true);
 }
 
@@ -313,7 +313,7 @@
 {
 	/* A response to another request asked for a backoff or told that the
 	 * endpoint is draining. */
-	if (!endpoint_open(ex->endpoint, now_ms)) {
+	if (!endpoint_accepts(ex->endpoint, now_ms)) {
 		fwd_exchange_move(ex, false, "endpoint_closed");
 		return;
 	}
@@ -324,7 +324,7 @@
 	if (now_ms - ex->sent_ms <= CONNECT_TIMEOUT_MS ||
 	    now_ms < ex->fwd->grace_until_ms)
 		return;
-	ex->endpoint->rest_until_ms = now_ms + COOLDOWN_SILENT_MS;
+	ex->endpoint->cooldown_until_ms = now_ms + COOLDOWN_SILENT_MS;
 	fwd_exchange_move(ex, false, "no_connection_in_time");
 }
 
--- a/src/fwd-expect.h
+++ b/src/fwd-expect.h
@@ -2,7 +2,7 @@
 #ifndef BL_FWD_EXPECT_H
 #define BL_FWD_EXPECT_H
 
-#include "dir-fleet.h"
+#include "registry-fleet.h"
 
 /**
  * struct fwd_estimate - moving averages of what responses show beyond the
--- a/src/fwd-feedback.c
+++ b/src/fwd-feedback.c
@@ -20,8 +20,8 @@
 {
 	struct endpoint *ep = ex->endpoint;
 
-	ep->rest_until_ms =
-	    MAX(ep->rest_until_ms, clock_loop_ms(ex->fwd->loop) + ms);
+	ep->cooldown_until_ms =
+	    MAX(ep->cooldown_until_ms, clock_loop_ms(ex->fwd->loop) + ms);
 	event_log(LOG_INFO, "endpoint_rests",
 	    "endpoint=%s ms=%llu reason=%s failures=%u id=%s", ep->report.id,
 	    (unsigned long long)ms, reason, ep->failures, ex->id);
@@ -41,16 +41,16 @@
 feedback_backoff(struct fwd_exchange *ex, const struct feedback *fb)
 {
 	struct endpoint *ep = ex->endpoint;
-	uint64_t ms = endpoint_rest_read(fb->number, ex->fwd->set.rest_most_ms);
+	uint64_t ms = endpoint_backoff_normalize(fb->number, ex->fwd->set.rest_most_ms);
 
-	endpoint_rest_ask(&ep->rest, ms, feedback_now(ex));
+	endpoint_backoff_extend(&ep->backoff, ms, feedback_now(ex));
 	fwd_stats_count(&ex->fwd->stats, COUNT_BACKOFFS);
 	event_log(LOG_NOTICE, "endpoint_asks_rest",
 	    "endpoint=%s started_ms=%lld asked=\"%.40s\" read=%s ms=%llu "
 	    "left_ms=%llu inflight=%u id=%s",
 	    ep->report.id, (long long)ep->report.started_ms, fb->text,
 	    isnan(fb->number) ? "no" : "yes", (unsigned long long)ms,
-	    (unsigned long long)(MAX(ep->rest.until_ms,
+	    (unsigned long long)(MAX(ep->backoff.until_ms,
 				     clock_loop_ms(ex->fwd->loop)) -
 		clock_loop_ms(ex->fwd->loop)),
 	    ep->inflight, ex->id);
@@ -96,13 +96,13 @@
 feedback_limit(struct fwd_exchange *ex, const struct feedback *fb)
 {
 	struct endpoint_limit *limit = &ex->endpoint->limit;
-	double per_s = endpoint_limit_read(fb->number, limit);
+	double per_s = endpoint_limit_normalize(fb->number, limit);
 	bool unread = isnan(fb->number);
-	bool changed = unread && !limit->unread;
+	bool changed = unread && !limit->unreadable;
 
-	limit->unread = unread;
+	limit->unreadable = unread;
 	limit->heard_ms = feedback_now(ex);
-	changed |= endpoint_limit_name(limit, per_s, limit->heard_ms);
+	changed |= endpoint_limit_set(limit, per_s, limit->heard_ms);
 	if (!changed)
 		return;
 	fwd_stats_count(&ex->fwd->stats, COUNT_LIMITS);
@@ -115,10 +115,10 @@
 {
 	struct endpoint_limit *limit = &ex->endpoint->limit;
 
-	if (!endpoint_limit_outlived(limit, ex->sent_ms))
+	if (!endpoint_limit_superseded(limit, ex->sent_ms))
 		return;
 	limit->heard_ms = feedback_now(ex);
-	if (endpoint_limit_lift(limit, limit->heard_ms))
+	if (endpoint_limit_clear(limit, limit->heard_ms))
 		feedback_limit_changed(ex, "endpoint_lifts_limit", "");
 }
 
@@ -140,11 +140,11 @@
 static void
 feedback_accepted(struct fwd_exchange *ex)
 {
-	struct endpoint_rest *backoff = &ex->endpoint->rest;
+	struct endpoint_backoff *backoff = &ex->endpoint->backoff;
 
-	endpoint_rest_taken(backoff);
+	endpoint_backoff_accepted(backoff);
 	if (ex->probe)
-		endpoint_rest_probed(backoff, true);
+		endpoint_backoff_end_probe(backoff, true);
 	ex->probe = false;
 }
 
@@ -156,7 +156,7 @@
 static void
 feedback_refused(struct fwd_exchange *ex)
 {
-	fwd_endpoint_cool_down(ex, endpoint_rest_refused(&ex->endpoint->rest),
+	fwd_endpoint_cool_down(ex, endpoint_backoff_refused(&ex->endpoint->backoff),
 	    "refused");
 }
 
@@ -196,7 +196,7 @@
 	if (!response->not_run)
 		feedback_accepted(ex);
 	else if (response->lost_member == NULL &&
-	    !endpoint_rest_holds(&ep->rest, clock_loop_ms(ex->fwd->loop)))
+	    !endpoint_backoff_active(&ep->backoff, clock_loop_ms(ex->fwd->loop)))
 		feedback_refused(ex);
 }
 
@@ -208,7 +208,7 @@
 	const struct endpoint *ep = ex->endpoint;
 	const struct endpoint_limit *limit = &ep->limit;
 
-	if (!limit->holds)
+	if (!limit->active)
 		return;
 	fwd_stats_count(&ex->fwd->stats, COUNT_SENT_LIMITED);
 	if (ex->has_permit)
@@ -218,7 +218,7 @@
 	    "id=%s endpoint=%s per_s=%.3f share_per_s=%.3f turns=%.2f sends=%u "
 	    "usable=%u known=%u",
 	    ex->id, ep->report.id, limit->per_s, limit->share_per_s,
-	    limit->turns, ex->sends, ex->usable_at_send, ex->known_at_send);
+	    limit->permits, ex->sends, ex->usable_at_send, ex->known_at_send);
 }
 
 /**
@@ -233,13 +233,13 @@
 	uint64_t now = clock_loop_ms(ex->fwd->loop);
 
 	feedback_check_limit(ex);
-	if (!endpoint_rest_holds(&ep->rest, now))
+	if (!endpoint_backoff_active(&ep->backoff, now))
 		return;
 	fwd_stats_count(&ex->fwd->stats, COUNT_SENT_IN_BACKOFF);
 	event_log(LOG_WARNING, "sent_in_rest",
 	    "id=%s endpoint=%s left_ms=%llu sends=%u usable=%u known=%u "
 	    "expected_ms=%.0f",
 	    ex->id, ep->report.id,
-	    (unsigned long long)(ep->rest.until_ms - now), ex->sends,
+	    (unsigned long long)(ep->backoff.until_ms - now), ex->sends,
 	    ex->usable_at_send, ex->known_at_send, ex->expected_ms);
 }
--- a/src/fwd-poison.c
+++ b/src/fwd-poison.c
@@ -15,49 +15,49 @@
 /* Formats the endpoints whose crashes a request is blamed for, each with the
  * age of the crash in ms. */
 static void
-blamed_format(const struct fleet *fleet, const struct poison_work *suspect,
+blamed_format(const struct fleet *fleet, const struct poison_request *suspect,
     uint64_t now_ms, char *out, size_t size)
 {
 	size_t used = 0;
 
 	out[0] = '\0';
-	for (unsigned i = 0; i < suspect->n_ends && used < size; i++) {
-		const struct poison_end *end = &suspect->ends[i];
-		const struct endpoint *ep = fleet_find_key(fleet, end->key);
+	for (unsigned i = 0; i < suspect->n_crashes && used < size; i++) {
+		const struct poison_crash *end = &suspect->crashes[i];
+		const struct endpoint *ep = fleet_find_by_hash(fleet, end->id_hash);
 
 		used += (size_t)g_snprintf(out + used, size - used,
 		    "%s%s:%08x:%llu", i > 0 ? "," : "",
-		    ep != NULL ? ep->report.id : "-", end->key,
+		    ep != NULL ? ep->report.id : "-", end->id_hash,
 		    (unsigned long long)(now_ms - MIN(end->at_ms, now_ms)));
 	}
 }
 
 /* Logs a verdict with all that it is based on. */
 static void
-suspect_log(struct fwd *fwd, const struct poison_work *suspect,
+suspect_log(struct fwd *fwd, const struct poison_request *suspect,
     const struct poison_verdict *verdict, const char *event, const char *id)
 {
 	uint64_t now = clock_loop_ms(fwd->loop);
 	char blamed[BLAMED_BYTES];
 
-	blamed_format(&fwd->dir->fleet, suspect, now, blamed, sizeof blamed);
+	blamed_format(&fwd->registry->fleet, suspect, now, blamed, sizeof blamed);
 	event_log(LOG_NOTICE, event,
 	    "id=%s work=%08x ends=%u unconfirmed=%u explained=%u left_ms=%lld "
 	    "blamed_for=%s",
-	    id, FINGERPRINT_SHORT(suspect->work), verdict->ends,
-	    verdict->doubted, verdict->explained,
+	    id, FINGERPRINT_SHORT(suspect->fingerprint), verdict->crashes,
+	    verdict->unconfirmed, verdict->explained,
 	    verdict->until_ms != 0 ? (long long)(verdict->until_ms - now) : -1,
 	    blamed);
 }
 
 /* Evaluates a suspect; logs it if it became quarantined or was released. */
 static void
-suspect_evaluate(struct fwd *fwd, struct poison_work *suspect,
+suspect_evaluate(struct fwd *fwd, struct poison_request *suspect,
     struct poison_verdict *verdict, const char *id)
 {
 	bool quarantined;
 
-	poison_judge(&fwd->dir->poison, &fwd->dir->fleet, suspect,
+	poison_evaluate(&fwd->registry->poison, &fwd->registry->fleet, suspect,
 	    clock_loop_ms(fwd->loop), verdict);
 	quarantined = verdict->until_ms != 0;
 	if (quarantined == suspect->quarantined)
@@ -78,10 +78,10 @@
 fwd_poison_sweep(struct fwd *fwd)
 {
 	struct poison_verdict verdict;
-	struct poison_work *suspect;
+	struct poison_request *suspect;
 
-	TAILQ_FOREACH(suspect, &fwd->dir->poison.works, entry) {
-		if (suspect->quarantined || suspect->n_ends >= POISON_ENDS)
+	TAILQ_FOREACH(suspect, &fwd->registry->poison.requests, entry) {
+		if (suspect->quarantined || suspect->n_crashes >= POISON_QUARANTINE_CRASHES)
 			suspect_evaluate(fwd, suspect, &verdict, "-");
 	}
 }
@@ -98,9 +98,9 @@
 	struct fwd *fwd = ex->fwd;
 	const struct endpoint *ep = ex->endpoint;
 	uint64_t now = clock_loop_ms(fwd->loop);
-	const struct poison_end end = poison_end_of(ep, silent, now);
+	const struct poison_crash end = poison_crash_of(ep, silent, now);
 	bool is_new =
-	    poison_suspect(&fwd->dir->poison, ex->fingerprint, &end, now);
+	    poison_observe_crash(&fwd->registry->poison, ex->fingerprint, &end, now);
 
 	fwd_stats_count(&fwd->stats, COUNT_LOST);
 	event_log(LOG_NOTICE, "work_lost",
@@ -125,7 +125,7 @@
 {
 	if (ex->resumed)
 		return;
-	if (!poison_answered(&ex->fwd->dir->poison, ex->fingerprint,
+	if (!poison_note_success(&ex->fwd->registry->poison, ex->fingerprint,
 		clock_loop_ms(ex->fwd->loop)))
 		return;
 	event_log(LOG_INFO, "work_cleared", "id=%s work=%08x endpoint=%s",
@@ -151,7 +151,7 @@
  * daemon that saw the newest crash.
  */
 static bool
-probe_begin(struct fwd_exchange *ex, struct poison_work *suspect,
+probe_begin(struct fwd_exchange *ex, struct poison_request *suspect,
     const struct poison_verdict *verdict)
 {
 	if (ex->poison_probe)
@@ -172,11 +172,11 @@
 void
 fwd_poison_end_probe(struct fwd_exchange *ex)
 {
-	struct poison_work *suspect;
+	struct poison_request *suspect;
 
 	if (!ex->poison_probe)
 		return;
-	suspect = poison_find(&ex->fwd->dir->poison, ex->fingerprint);
+	suspect = poison_find(&ex->fwd->registry->poison, ex->fingerprint);
 	if (suspect != NULL)
 		suspect->probing = false;
 }
@@ -186,8 +186,8 @@
 request_quarantined(struct fwd_exchange *ex, uint64_t *until_ms)
 {
 	struct fwd *fwd = ex->fwd;
-	struct poison_work *suspect =
-	    poison_find(&fwd->dir->poison, ex->fingerprint);
+	struct poison_request *suspect =
+	    poison_find(&fwd->registry->poison, ex->fingerprint);
 	struct poison_verdict verdict;
 
 	if (suspect == NULL ||
--- a/src/fwd-response.c
+++ b/src/fwd-response.c
@@ -78,10 +78,10 @@
 	ex->not_run = response.not_run;
 	fwd_feedback_apply(ex, &response);
 	if (response.wrong_endpoint)
-		fleet_gone(ex->endpoint);
+		endpoint_mark_gone(ex->endpoint);
 	if (response.not_run && response.lost_member != NULL)
 		fwd_endpoint_cool_down(ex, COOLDOWN_BROKEN_MS, "member_lost");
-	ex->streaming = ex->route->repeat == REPEAT_STREAM &&
+	ex->streaming = ex->route->retry == RETRY_STREAM &&
 	    status_is_success(status) && ex->has_signature;
 	response_keep_headers(ex, head);
 	return (NET_TAKE);
--- a/src/fwd-retry.c
+++ b/src/fwd-retry.c
@@ -19,9 +19,9 @@
 bool
 fwd_exchange_retryable(const struct fwd_exchange *ex)
 {
-	if (ex->route->repeat == REPEAT_STREAM)
+	if (ex->route->retry == RETRY_STREAM)
 		return (ex->route->resumable);
-	return (ex->route->repeat == REPEAT_FREELY);
+	return (ex->route->retry == RETRY_IDEMPOTENT);
 }
 
 /**
@@ -58,7 +58,7 @@
 	if (now + LEFT_MIN_MS >= ex->deadline_ms)
 		return ("deadline");
 	if (ex->runs > 0 &&
-	    !poison_repeatable(&fwd->dir->poison, &fwd->dir->fleet,
+	    !poison_may_retry(&fwd->registry->poison, &fwd->registry->fleet,
 		ex->fingerprint, now))
 		return ("work_suspected");
 	return (NULL);
--- a/src/fwd-silence.c
+++ b/src/fwd-silence.c
@@ -63,7 +63,7 @@
 {
 	struct endpoint *ep = ex->endpoint;
 
-	if (now >= ep->rest_until_ms) {
+	if (now >= ep->cooldown_until_ms) {
 		fwd_stats_count(&ex->fwd->stats, COUNT_SILENT_ENDPOINTS);
 		event_log(LOG_NOTICE, "endpoint_silent",
 		    "endpoint=%s silent_ms=%llu inflight=%u pending=%.0f "
@@ -73,7 +73,7 @@
 		    ep->inflight, ep->pending, ep->slowness, ex->id);
 		/* Its idle connections may be dead as well. */
 		net_pool_clear(&ep->pool);
-		ep->rest_until_ms = now + COOLDOWN_SILENT_MS;
+		ep->cooldown_until_ms = now + COOLDOWN_SILENT_MS;
 		ep->warned_ms = now;
 		if (ex->fwd->on_silent != NULL)
 			ex->fwd->on_silent(ex->fwd->on_silent_arg, ep);
--- a/src/fwd.h
+++ b/src/fwd.h
@@ -2,7 +2,7 @@
 #ifndef BL_FWD_H
 #define BL_FWD_H
 
-#include "dir.h"
+#include "registry.h"
 #include "fwd-budget.h"
 #include "fwd-expect.h"
 #include "fwd-stats.h"
@@ -45,7 +45,7 @@
  * struct fwd - the proxy.
  * @loop: the event loop
  * @wire: the platform adapter's functions for headers
- * @dir: catalog and endpoints
+ * @registry: catalog and endpoints
  * @set: settings
  * @listener: listening socket for clients
  * @tick: timer that checks deadlines and timeouts
@@ -74,7 +74,7 @@
 struct fwd {
 	uv_loop_t *loop;
 	const struct wire_ops *wire;
-	struct dir *dir;
+	struct registry *registry;
 	struct fwd_setting set;
 	uv_tcp_t listener;
 	uv_timer_t tick;
