--- a/src/fwd-feedback.c
+++ b/src/fwd-feedback.c
@@ -41,7 +41,8 @@
 feedback_backoff(struct fwd_exchange *ex, const struct feedback *fb)
 {
 	struct endpoint *ep = ex->endpoint;
-	uint64_t ms = endpoint_backoff_normalize(fb->number, ex->fwd->set.rest_most_ms);
+	uint64_t ms =
+	    endpoint_backoff_normalize(fb->number, ex->fwd->set.rest_most_ms);
 
 	endpoint_backoff_extend(&ep->backoff, ms, feedback_now(ex));
 	fwd_stats_count(&ex->fwd->stats, COUNT_BACKOFFS);
@@ -156,8 +157,8 @@
 static void
 feedback_refused(struct fwd_exchange *ex)
 {
-	fwd_endpoint_cool_down(ex, endpoint_backoff_refused(&ex->endpoint->backoff),
-	    "refused");
+	fwd_endpoint_cool_down(ex,
+	    endpoint_backoff_refused(&ex->endpoint->backoff), "refused");
 }
 
 /**
@@ -196,7 +197,8 @@
 	if (!response->not_run)
 		feedback_accepted(ex);
 	else if (response->lost_member == NULL &&
-	    !endpoint_backoff_active(&ep->backoff, clock_loop_ms(ex->fwd->loop)))
+	    !endpoint_backoff_active(&ep->backoff,
+		clock_loop_ms(ex->fwd->loop)))
 		feedback_refused(ex);
 }
 
--- a/src/fwd-poison.c
+++ b/src/fwd-poison.c
@@ -23,7 +23,8 @@
 	out[0] = '\0';
 	for (unsigned i = 0; i < suspect->n_crashes && used < size; i++) {
 		const struct poison_crash *end = &suspect->crashes[i];
-		const struct endpoint *ep = fleet_find_by_hash(fleet, end->id_hash);
+		const struct endpoint *ep =
+		    fleet_find_by_hash(fleet, end->id_hash);
 
 		used += (size_t)g_snprintf(out + used, size - used,
 		    "%s%s:%08x:%llu", i > 0 ? "," : "",
@@ -40,7 +41,8 @@
 	uint64_t now = clock_loop_ms(fwd->loop);
 	char blamed[BLAMED_BYTES];
 
-	blamed_format(&fwd->registry->fleet, suspect, now, blamed, sizeof blamed);
+	blamed_format(&fwd->registry->fleet, suspect, now, blamed,
+	    sizeof blamed);
 	event_log(LOG_NOTICE, event,
 	    "id=%s work=%08x ends=%u unconfirmed=%u explained=%u left_ms=%lld "
 	    "blamed_for=%s",
@@ -81,7 +83,8 @@
 	struct poison_request *suspect;
 
 	TAILQ_FOREACH(suspect, &fwd->registry->poison.requests, entry) {
-		if (suspect->quarantined || suspect->n_crashes >= POISON_QUARANTINE_CRASHES)
+		if (suspect->quarantined ||
+		    suspect->n_crashes >= POISON_QUARANTINE_CRASHES)
 			suspect_evaluate(fwd, suspect, &verdict, "-");
 	}
 }
@@ -99,8 +102,8 @@
 	const struct endpoint *ep = ex->endpoint;
 	uint64_t now = clock_loop_ms(fwd->loop);
 	const struct poison_crash end = poison_crash_of(ep, silent, now);
-	bool is_new =
-	    poison_observe_crash(&fwd->registry->poison, ex->fingerprint, &end, now);
+	bool is_new = poison_observe_crash(&fwd->registry->poison,
+	    ex->fingerprint, &end, now);
 
 	fwd_stats_count(&fwd->stats, COUNT_LOST);
 	event_log(LOG_NOTICE, "work_lost",
