--- a/src/fwd-feedback.c
+++ b/src/fwd-feedback.c
@@ -98,10 +98,10 @@
 {
 	struct endpoint_limit *limit = &ex->endpoint->limit;
 	double per_s = endpoint_limit_normalize(fb->number, limit);
-	bool unread = isnan(fb->number);
-	bool changed = unread && !limit->unreadable;
+	bool unreadable = isnan(fb->number);
+	bool changed = unreadable && !limit->unreadable;
 
-	limit->unreadable = unread;
+	limit->unreadable = unreadable;
 	limit->heard_ms = feedback_now(ex);
 	changed |= endpoint_limit_set(limit, per_s, limit->heard_ms);
 	if (!changed)
--- a/src/fwd-poison.c
+++ b/src/fwd-poison.c
@@ -22,14 +22,14 @@
 
 	out[0] = '\0';
 	for (unsigned i = 0; i < suspect->n_crashes && used < size; i++) {
-		const struct poison_crash *end = &suspect->crashes[i];
+		const struct poison_crash *crash = &suspect->crashes[i];
 		const struct endpoint *ep =
-		    fleet_find_by_hash(fleet, end->id_hash);
+		    fleet_find_by_hash(fleet, crash->id_hash);
 
 		used += (size_t)g_snprintf(out + used, size - used,
 		    "%s%s:%08x:%llu", i > 0 ? "," : "",
-		    ep != NULL ? ep->report.id : "-", end->id_hash,
-		    (unsigned long long)(now_ms - MIN(end->at_ms, now_ms)));
+		    ep != NULL ? ep->report.id : "-", crash->id_hash,
+		    (unsigned long long)(now_ms - MIN(crash->at_ms, now_ms)));
 	}
 }
 
@@ -101,9 +101,9 @@
 	struct fwd *fwd = ex->fwd;
 	const struct endpoint *ep = ex->endpoint;
 	uint64_t now = clock_loop_ms(fwd->loop);
-	const struct poison_crash end = poison_crash_of(ep, silent, now);
+	const struct poison_crash crash = poison_crash_of(ep, silent, now);
 	bool is_new = poison_observe_crash(&fwd->registry->poison,
-	    ex->fingerprint, &end, now);
+	    ex->fingerprint, &crash, now);
 
 	fwd_stats_count(&fwd->stats, COUNT_LOST);
 	event_log(LOG_NOTICE, "work_lost",
--- a/src/fwd.c
+++ b/src/fwd.c
@@ -153,7 +153,7 @@
 
 /**
  * fwd_open() - start the proxy.
- * @fwd: the proxy; wire, dir and set are filled in
+ * @fwd: the proxy; wire, registry and set are filled in
  * @loop: the event loop
  * @addr: address to listen on for clients
  *
