--- a/src/fwd-conn.c
+++ b/src/fwd-conn.c
@@ -19,14 +19,14 @@
 /* How long a client may take to read a response that ends its connection. */
 #define LINGER_MS 1000
 
-static const struct caller_limits limits_default = { HEADER_BYTES_DEFAULT,
+static const struct client_limits limits_default = { HEADER_BYTES_DEFAULT,
 	BODY_BYTES_DEFAULT, HEADER_DEFAULT_MS, IDLE_DEFAULT_MS };
 
 static const char continue_text[] = "HTTP/1.1 100 Continue\r\n\r\n";
 
 static void conn_run_pipelined(struct fwd_conn *);
 
-static const struct caller_limits *
+static const struct client_limits *
 conn_limits(const struct fwd_conn *c)
 {
 	const struct catalog *catalog = c->fwd->registry->catalog;
@@ -475,7 +475,7 @@
 void
 fwd_conn_tick(struct fwd_conn *c, uint64_t now_ms)
 {
-	const struct caller_limits *limits = conn_limits(c);
+	const struct client_limits *limits = conn_limits(c);
 	uint64_t waited = now_ms - c->since_ms;
 
 	if (c->exchange != NULL || c->stream.closing)
