--- a/src/fwd-admission.h
+++ b/src/fwd-admission.h
@@ -1,14 +1,14 @@
-/* Whether a request is sent, waits for a place or is refused. Pure. */
+/* Admission control: send, queue or refuse a request. Pure. */
 #ifndef BL_FWD_ADMISSION_H
 #define BL_FWD_ADMISSION_H
 
 #include "fwd-choose.h"
 
 /**
- * enum fwd_admission_verdict - what becomes of a request now.
- * @ADMIT_SEND: it goes to the endpoint chosen
- * @ADMIT_QUEUE: a place that it can have in time is expected
- * @ADMIT_REFUSE: it can't be served in time; it is told when to come back
+ * enum fwd_admission_verdict - decision on a request.
+ * @ADMIT_SEND: send it to the chosen endpoint
+ * @ADMIT_QUEUE: queue it; a slot is expected to become free in time
+ * @ADMIT_REFUSE: it can't be served in time; refuse it with a time to retry
  */
 enum fwd_admission_verdict {
 	ADMIT_SEND,
@@ -17,20 +17,23 @@
 };
 
 /**
- * struct fwd_admission - a request that has no endpoint, and what is known of
- *it.
- * @criteria: what it needs
- * @choice: the endpoint found for it, if any
- * @first_ms: when the first event of a request of usual size is expected there
- * @objective_ms: when its answer has its full worth
- * @waited_ms: since it arrived
- * @left_ms: until its deadline
- * @resubmitted: it was refused before, so its objective has passed
- * @sends: times it was sent
- * @started: it may have run, or part of its answer was given
- * @duration_ms: how long requests of its kind hold a place
- * @ahead: requests that wait before it for the same places, at all daemons;
- *	turns at limits are this daemon's own, and go by @criteria
+ * struct fwd_admission - input of the decision on a request without an
+ *	endpoint.
+ * @criteria: what it requires of an endpoint
+ * @choice: the endpoint chosen for it, if any
+ * @first_ms: expected time to the first event of a request of usual size at
+ *	that endpoint
+ * @objective_ms: latency objective of the route, counted from the arrival
+ * @waited_ms: time since it arrived
+ * @left_ms: time until its deadline
+ * @resubmitted: the client resubmitted it after a refusal, so its objective has
+ *	passed
+ * @sends: number of times it was sent
+ * @started: it may have run, or part of its response was passed on
+ * @duration_ms: average time for which a request of its kind occupies a slot
+ * @ahead: requests queued before it for the same slots, at all daemons;
+ *	permits of rate limits are this daemon's own, so @criteria has the
+ *	number for those
  * @draw: random number
  */
 struct fwd_admission {
--- a/src/fwd-choose.c
+++ b/src/fwd-choose.c
@@ -1,139 +1,149 @@
-/* Chooses the endpoint of a request from what is known of all. Pure. */
+/* Load balancing: chooses an endpoint for a request. Pure. */
 #include <math.h>
 #include <string.h>
 
 #include "fwd-choose.h"
 
-/* Endpoints are compared within this many candidates drawn at random, so
- * that daemons with the same late knowledge do not all choose the same. */
+/* Number of random candidates of which the best is chosen. Random, so that
+ * daemons with the same outdated load reports don't all choose the same one. */
 #define CANDIDATES 3
-/* Work in another failure domain must gain this much to be chosen: bytes
- * between failure domains are priced, and what is known of the work there is
- * older, since far daemons are told less often. */
+/* An endpoint in another failure domain must be this much faster to be chosen:
+ * traffic between failure domains is charged, and load reports from there are
+ * older, since distant daemons are sent fewer. */
 #define CROSS_DOMAIN_MS 40.0
-/* A plain endpoint's queue is counted in requests; one in another failure
- * domain counts as this much of a request more. */
+/* The same for services without models, where the cost is the load: requests
+ * per slot. */
 #define CROSS_DOMAIN_LOAD 0.15
-/* An endpoint's share of failures weighs as much as this load. */
+/* Weight of an endpoint's error rate: an error rate of 1 counts as this much
+ * load, or adds this multiple of the expected time to the first event. */
 #define ERROR_WEIGHT 2.0
-/* Where every endpoint has failed a request, one may have it again after this:
- * about the time of a short answer, in which a full one gets a place. */
+/* If every endpoint has failed a request, one may have it again after this
+ * time: about that of a short response, in which a full endpoint gets a free
+ * slot. */
 #define TRIED_AGAIN_MS 200
-/* Of the requests that other endpoints could have, one in so many may go to one
- * that has not shown yet that it takes requests again: those that are refused
- * are repeated, and repeats are usually bounded at two in ten. */
+/* One in this many of the requests that other endpoints could have may probe an
+ * endpoint after a backoff or refusal. Refused probes are retried, and retries
+ * are usually bounded at two in ten requests. */
 #define PROBE_ONE_IN 10
 
-/* Endpoints with a free place; those of them whose limits give this daemon a
- * turn, which only few daemons have; and those that rested or refused and have
- * not shown yet that they take requests again. */
-struct found {
-	GPtrArray *sure;
-	GPtrArray *turns;
-	GPtrArray *doubted;
+/*
+ * Endpoints with a free slot:
+ * @unrestricted: without any restriction
+ * @permitted: with a rate limit of which this daemon has a permit, as only few
+ *	daemons have
+ * @probing: in probing after a backoff or refusal: they have not accepted a
+ *	request since
+ */
+struct eligible {
+	GPtrArray *unrestricted;
+	GPtrArray *permitted;
+	GPtrArray *probing;
 };
 
 /*
- * Whether an endpoint has failed the request; with @again, only lately.
+ * Whether an endpoint has failed the request; with @recently, only within the
+ * last TRIED_AGAIN_MS.
  */
 static bool
-want_tried(const struct fwd_criteria *want, const struct endpoint *ep,
-    bool again)
+criteria_tried(const struct fwd_criteria *criteria, const struct endpoint *ep,
+    bool recently)
 {
-	for (unsigned i = 0; i < want->n_tried; i++) {
-		const struct fwd_tried *tried = &want->tried[i];
+	for (unsigned i = 0; i < criteria->n_tried; i++) {
+		const struct fwd_tried *tried = &criteria->tried[i];
 
 		if (tried->endpoint == ep &&
-		    (!again ||
-			want->now_ms - tried->failed_ms < TRIED_AGAIN_MS))
+		    (!recently ||
+			criteria->now_ms - tried->failed_ms < TRIED_AGAIN_MS))
 			return (true);
 	}
 	return (false);
 }
 
-/* Whether an endpoint is of the kind that a request needs. */
+/* Whether an endpoint is of the request's service and serves its model. */
 static bool
-endpoint_fits(const struct endpoint *ep, const struct fwd_criteria *want)
+endpoint_matches(const struct endpoint *ep, const struct fwd_criteria *criteria)
 {
-	if (strcmp(ep->report.service, want->service) != 0)
+	if (strcmp(ep->report.service, criteria->service) != 0)
 		return (false);
-	if (want->model == NULL)
+	if (criteria->model == NULL)
 		return (true);
 	return (ep->report.rank == 0 && ep->report.state == GROUP_OPEN &&
 	    ep->report.model != NULL &&
-	    strcmp(ep->report.model, want->model->name) == 0);
+	    strcmp(ep->report.model, criteria->model->name) == 0);
 }
 
 /**
- * fwd_criteria_workload() - a request's work for an engine.
- * @want: the request; its engine and model are known
- * @prompt: tokens that count
- * @work: filled in
+ * fwd_criteria_workload() - a request's workload for an engine.
+ * @criteria: the request's criteria, with its engine and model
+ * @prompt: length of the prompt to estimate for, in tokens
+ * @workload: filled in
  */
 void
-fwd_criteria_workload(const struct fwd_criteria *want, double prompt,
-    struct fwd_workload *work)
+fwd_criteria_workload(const struct fwd_criteria *criteria, double prompt,
+    struct fwd_workload *workload)
 {
-	work->engine = want->engine;
-	work->model = want->model;
-	work->prompt = prompt;
-	work->overhead_ms = want->overhead_ms;
-	work->now_ms = want->now_ms;
+	workload->engine = criteria->engine;
+	workload->model = criteria->model;
+	workload->prompt = prompt;
+	workload->overhead_ms = criteria->overhead_ms;
+	workload->now_ms = criteria->now_ms;
 }
 
-/* What an endpoint costs a request; lower is better. */
+/* Cost of an endpoint for a request; lower is better. */
 static double
-endpoint_cost(const struct endpoint *ep, const struct fwd_criteria *want,
+endpoint_cost(const struct endpoint *ep, const struct fwd_criteria *criteria,
     double *first)
 {
-	bool across = g_strcmp0(ep->report.domain, want->domain) != 0;
-	struct fwd_workload work;
+	bool remote = g_strcmp0(ep->report.domain, criteria->domain) != 0;
+	struct fwd_workload workload;
 
 	*first = 0;
-	if (want->model != NULL) {
-		fwd_criteria_workload(want, want->prompt, &work);
-		*first = fwd_expect_first(ep, &work);
+	if (criteria->model != NULL) {
+		fwd_criteria_workload(criteria, criteria->prompt, &workload);
+		*first = fwd_expect_first(ep, &workload);
 		return (*first * (1 + ERROR_WEIGHT * ep->error_rate) +
-		    (across ? CROSS_DOMAIN_MS : 0));
+		    (remote ? CROSS_DOMAIN_MS : 0));
 	}
 	return (fwd_expect_running(ep) / MAX(ep->report.slots, 1) +
-	    ERROR_WEIGHT * ep->error_rate + (across ? CROSS_DOMAIN_LOAD : 0));
+	    ERROR_WEIGHT * ep->error_rate + (remote ? CROSS_DOMAIN_LOAD : 0));
 }
 
-/* Requests that an endpoint should have at once at most. */
+/* Maximum number of requests that an endpoint should have at once. */
 static double
-endpoint_places(const struct endpoint *ep, const struct fwd_criteria *want)
+endpoint_slots(const struct endpoint *ep, const struct fwd_criteria *criteria)
 {
-	if (want->engine != NULL)
-		return (want->engine->slots);
+	if (criteria->engine != NULL)
+		return (criteria->engine->slots);
 	return (MAX(ep->report.slots, 1));
 }
 
-/* Endpoints that are asked only where there are no others. */
+/* Endpoints that are chosen only if there are no others: none of them, those
+ * that have failed the request, or those in a cooldown. */
 enum last_resort {
 	RESORT_NONE,
 	RESORT_TRIED,
-	RESORT_RESTING,
+	RESORT_COOLDOWN,
 };
 
-/* A rest that we guessed may be cut short; one that was asked for may not. */
+/* Whether an endpoint may be chosen. As a last resort a cooldown, which this
+ * daemon assumed, may be ignored; a backoff that was requested may not. */
 static bool
-resort_takes(const struct endpoint *ep, uint64_t now_ms,
+resort_allows(const struct endpoint *ep, uint64_t now_ms,
     enum last_resort resort)
 {
-	if (resort == RESORT_RESTING)
+	if (resort == RESORT_COOLDOWN)
 		return (endpoint_accepts(ep, now_ms));
 	return (endpoint_usable(ep, now_ms));
 }
 
-/* Notes an endpoint that takes nothing by its own word, and for how long. */
+/* Notes an endpoint that has requested a backoff or is draining. */
 static void
-choice_note_closed(struct fwd_choice *choice, const struct endpoint *ep,
+choice_note_unavailable(struct fwd_choice *choice, const struct endpoint *ep,
     uint64_t now_ms)
 {
-	bool rests = endpoint_backoff_active(&ep->backoff, now_ms);
+	bool in_backoff = endpoint_backoff_active(&ep->backoff, now_ms);
 
-	if (!rests && !ep->draining)
+	if (!in_backoff && !ep->draining)
 		return;
 	choice->unavailable++;
 	if (ep->draining)
@@ -143,13 +153,14 @@
 		choice->next_available = ep;
 }
 
-/* Whether this daemon may send the request; if not, notes when it may. */
+/* Whether this daemon has a permit of the endpoint's rate limit for the
+ * request; if not, notes when it will have one. */
 static bool
-choice_note_turn(struct fwd_choice *choice, const struct endpoint *ep,
-    const struct fwd_criteria *want)
+choice_check_limit(struct fwd_choice *choice, const struct endpoint *ep,
+    const struct fwd_criteria *criteria)
 {
-	double ms =
-	    endpoint_limit_wait_ms(&ep->limit, want->ahead, want->now_ms);
+	double ms = endpoint_limit_wait_ms(&ep->limit, criteria->ahead,
+	    criteria->now_ms);
 
 	if (ms <= 0)
 		return (true);
@@ -162,26 +173,25 @@
 	return (false);
 }
 
-/* Puts an endpoint with a free place among those of its sort. */
+/* Adds an endpoint with a free slot to the array that it belongs to. */
 static void
-found_add(const struct found *found, struct endpoint *ep)
+eligible_add(const struct eligible *eligible, struct endpoint *ep)
 {
 	if (endpoint_backoff_probing(&ep->backoff))
-		g_ptr_array_add(found->doubted, ep);
+		g_ptr_array_add(eligible->probing, ep);
 	else if (ep->limit.active)
-		g_ptr_array_add(found->turns, ep);
+		g_ptr_array_add(eligible->permitted, ep);
 	else
-		g_ptr_array_add(found->sure, ep);
+		g_ptr_array_add(eligible->unrestricted, ep);
 }
 
 /*
- * Collects the endpoints with a free place that have not failed the request
- * yet; as a last resort also those that did, or all that are taken to need
- * rest without having asked for it.
+ * Collects the endpoints with a free slot that have not failed the request; as
+ * a last resort also those that did, or those in a cooldown.
  */
 static void
-collect(const struct fleet *fleet, const struct fwd_criteria *want,
-    enum last_resort resort, const struct found *found,
+collect(const struct fleet *fleet, const struct fwd_criteria *criteria,
+    enum last_resort resort, const struct eligible *eligible,
     struct fwd_choice *choice)
 {
 	struct endpoint *ep;
@@ -197,80 +207,84 @@
 	choice->permit_ms = INFINITY;
 	choice->limits_per_s = 0;
 	TAILQ_FOREACH(ep, &fleet->endpoints, entry) {
-		if (!endpoint_fits(ep, want) || ep->gone)
+		if (!endpoint_matches(ep, criteria) || ep->gone)
 			continue;
 		choice->known++;
-		choice_note_closed(choice, ep, want->now_ms);
-		if (!resort_takes(ep, want->now_ms, resort) ||
-		    want_tried(want, ep, resort == RESORT_TRIED) ||
-		    !choice_note_turn(choice, ep, want))
+		choice_note_unavailable(choice, ep, criteria->now_ms);
+		if (!resort_allows(ep, criteria->now_ms, resort) ||
+		    criteria_tried(criteria, ep, resort == RESORT_TRIED) ||
+		    !choice_check_limit(choice, ep, criteria))
 			continue;
 		choice->usable++;
 		choice->running += fwd_expect_running(ep);
 		choice->any_usable = ep;
-		if (fwd_expect_running(ep) < endpoint_places(ep, want) &&
+		if (fwd_expect_running(ep) < endpoint_slots(ep, criteria) &&
 		    endpoint_backoff_admits(&ep->backoff))
-			found_add(found, ep);
+			eligible_add(eligible, ep);
 	}
 }
 
-/* Moves the endpoints of the own failure domain to the front. */
+/* Moves the endpoints of this daemon's failure domain to the front. Returns
+ * their number. */
 static unsigned
-near_first(GPtrArray *found, const struct fwd_criteria *want)
+local_first(GPtrArray *eligible, const struct fwd_criteria *criteria)
 {
 	unsigned n = 0;
 
-	for (guint i = 0; i < found->len; i++) {
-		struct endpoint *ep = found->pdata[i];
+	for (guint i = 0; i < eligible->len; i++) {
+		struct endpoint *ep = eligible->pdata[i];
 
-		if (g_strcmp0(ep->report.domain, want->domain) != 0)
+		if (g_strcmp0(ep->report.domain, criteria->domain) != 0)
 			continue;
-		found->pdata[i] = found->pdata[n];
-		found->pdata[n++] = ep;
+		eligible->pdata[i] = eligible->pdata[n];
+		eligible->pdata[n++] = ep;
 	}
 	return (n);
 }
 
-/* Moves random candidates of a part of the array to the start of that part. */
+/* Moves random candidates of the range [first, end) to the start of the range.
+ * Returns the end of the candidates. */
 static unsigned
-draw_candidates(GPtrArray *found, unsigned first, unsigned end, uint32_t *draw)
+draw_candidates(GPtrArray *eligible, unsigned first, unsigned end,
+    uint32_t *draw)
 {
 	unsigned n = MIN(end - first, CANDIDATES);
 
 	for (unsigned i = first; i < first + n; i++) {
 		unsigned k = i + *draw % (end - i);
-		void *swap = found->pdata[i];
+		void *swap = eligible->pdata[i];
 
-		found->pdata[i] = found->pdata[k];
-		found->pdata[k] = swap;
+		eligible->pdata[i] = eligible->pdata[k];
+		eligible->pdata[k] = swap;
 		*draw = *draw / 7 + *draw * 2654435761u;
 	}
 	return (first + n);
 }
 
-/* Compares some candidates with the best so far. */
+/* Compares the candidates in the range [first, end) with the best so far. */
 static void
-compare(const GPtrArray *found, unsigned first, unsigned end,
-    const struct fwd_criteria *want, struct fwd_choice *choice, double *best)
+compare(const GPtrArray *eligible, unsigned first, unsigned end,
+    const struct fwd_criteria *criteria, struct fwd_choice *choice,
+    double *best)
 {
 	for (unsigned i = first; i < end; i++) {
-		struct endpoint *ep = found->pdata[i];
-		double expected, cost = endpoint_cost(ep, want, &expected);
+		struct endpoint *ep = eligible->pdata[i];
+		double expected, cost = endpoint_cost(ep, criteria, &expected);
 
 		if (cost >= *best)
 			continue;
 		*best = cost;
 		choice->endpoint = ep;
 		choice->first_ms = expected;
-		choice->overhead_ms = want->overhead_ms;
+		choice->overhead_ms = criteria->overhead_ms;
 		choice->load =
-		    fwd_expect_running(ep) / endpoint_places(ep, want);
+		    fwd_expect_running(ep) / endpoint_slots(ep, criteria);
 	}
 }
 
 /**
- * fwd_choice_all_unavailable() - whether all endpoints of the kind rest or
- * leave by their own word.
+ * fwd_choice_all_unavailable() - whether all matching endpoints have requested
+ *	a backoff or are draining.
  * @choice: the choice
  */
 bool
@@ -280,53 +294,54 @@
 	    choice->unavailable > 0 && choice->unavailable == choice->known);
 }
 
-/* Compares random candidates, near and far, with the best so far. */
+/* Compares random candidates of this and of other failure domains with the best
+ * so far. */
 static void
-choose_among(GPtrArray *found, const struct fwd_criteria *want,
+choose_among(GPtrArray *eligible, const struct fwd_criteria *criteria,
     struct fwd_choice *choice, uint32_t *draw, double *best)
 {
-	unsigned near = near_first(found, want);
-	unsigned end = draw_candidates(found, 0, near, draw);
+	unsigned n_local = local_first(eligible, criteria);
+	unsigned end = draw_candidates(eligible, 0, n_local, draw);
 
-	compare(found, 0, end, want, choice, best);
-	end = draw_candidates(found, near, found->len, draw);
-	compare(found, near, end, want, choice, best);
+	compare(eligible, 0, end, criteria, choice, best);
+	end = draw_candidates(eligible, n_local, eligible->len, draw);
+	compare(eligible, n_local, end, criteria, choice, best);
 }
 
 /**
- * fwd_choose() - choose the endpoint of a request.
+ * fwd_choose() - choose an endpoint for a request.
  * @fleet: the endpoints
- * @want: what the request needs
+ * @criteria: what the request requires of an endpoint
  * @choice: filled in
  */
 void
-fwd_choose(const struct fleet *fleet, const struct fwd_criteria *want,
+fwd_choose(const struct fleet *fleet, const struct fwd_criteria *criteria,
     struct fwd_choice *choice)
 {
-	g_autoptr(GPtrArray) sure = g_ptr_array_new();
-	g_autoptr(GPtrArray) turns = g_ptr_array_new();
-	g_autoptr(GPtrArray) doubted = g_ptr_array_new();
-	const struct found found = { sure, turns, doubted };
+	g_autoptr(GPtrArray) unrestricted = g_ptr_array_new();
+	g_autoptr(GPtrArray) permitted = g_ptr_array_new();
+	g_autoptr(GPtrArray) probing = g_ptr_array_new();
+	const struct eligible eligible = { unrestricted, permitted, probing };
 	double best = INFINITY;
-	uint32_t draw = want->draw;
+	uint32_t draw = criteria->draw;
 
 	memset(choice, 0, sizeof *choice);
-	collect(fleet, want, RESORT_NONE, &found, choice);
-	if (choice->usable == 0 && want->n_tried > 0)
-		collect(fleet, want, RESORT_TRIED, &found, choice);
-	/* Where all rest, one that may fail is better than none. */
-	if (choice->usable == 0 && want->model == NULL)
-		collect(fleet, want, RESORT_RESTING, &found, choice);
-	/* Chosen by cost, one with as little to do as the others would never
-	 * be asked again. A repeat goes where requests are taken. */
-	if (want->n_tried == 0 && want->draw % PROBE_ONE_IN == 0)
-		choose_among(doubted, want, choice, &draw, &best);
+	collect(fleet, criteria, RESORT_NONE, &eligible, choice);
+	if (choice->usable == 0 && criteria->n_tried > 0)
+		collect(fleet, criteria, RESORT_TRIED, &eligible, choice);
+	/* If all are in a cooldown, one that may fail is better than none. */
+	if (choice->usable == 0 && criteria->model == NULL)
+		collect(fleet, criteria, RESORT_COOLDOWN, &eligible, choice);
+	/* By cost alone, an endpoint in probing whose load is as low as that of
+	 * the others would never get a request again. A retry doesn't probe. */
+	if (criteria->n_tried == 0 && criteria->draw % PROBE_ONE_IN == 0)
+		choose_among(probing, criteria, choice, &draw, &best);
 	if (choice->endpoint != NULL)
 		return;
-	/* First, so that of equals one that has a limit is asked: only its
-	 * answers say that the limit is over. */
-	compare(turns, 0, turns->len, want, choice, &best);
-	choose_among(sure, want, choice, &draw, &best);
+	/* First, so that of equal endpoints one with a rate limit is chosen:
+	 * only its responses tell when the limit has ended. */
+	compare(permitted, 0, permitted->len, criteria, choice, &best);
+	choose_among(unrestricted, criteria, choice, &draw, &best);
 	if (choice->endpoint == NULL || choice->load >= FWD_BUSY_LOAD)
-		choose_among(doubted, want, choice, &draw, &best);
+		choose_among(probing, criteria, choice, &draw, &best);
 }
--- a/src/fwd-conn.h
+++ b/src/fwd-conn.h
@@ -1,4 +1,4 @@
-/* A caller's connection: reads requests one by one, writes their answers. */
+/* A client's connection: reads requests one by one, writes their responses. */
 #ifndef BL_FWD_CONN_H
 #define BL_FWD_CONN_H
 
@@ -7,23 +7,24 @@
 #include "net-stream.h"
 
 /**
- * struct fwd_conn - one connection.
- * @stream: the connection
- * @fwd: the engine
- * @parser: of the request
- * @head: of the request
- * @body: of the request
- * @pipelined: bytes that came after the request in progress
- * @out: answer bytes not yet handed to the connection
+ * struct fwd_conn - a client's connection.
+ * @stream: the connection's byte stream
+ * @fwd: the proxy
+ * @parser: parser of requests
+ * @head: request line and headers of the request being read
+ * @body: body of the request being read
+ * @pipelined: pipelined bytes that came after the request in progress
+ * @out: response bytes not yet passed to @stream
  * @exchange: the request in progress, or NULL
- * @since_ms: loop time at which the connection or request began to wait
+ * @since_ms: loop time from which the idle and header timeouts count: the
+ *	accept, the first byte of a request or the end of a response
  * @head_only: the method is HEAD
  * @keep_alive: the connection may carry another request
- * @complete: a request was read whole
- * @started: bytes of a request have come
- * @chunked: the answer is sent in chunks
- * @error_status: the request is refused with this status; 0 for none
- * @entry: in the engine's list
+ * @complete: a complete request was read
+ * @started: part of a request was read
+ * @chunked: the response uses chunked transfer coding
+ * @error_status: status with which an invalid request is refused; 0 for none
+ * @entry: entry in the proxy's list
  */
 struct fwd_conn {
 	struct net_stream stream;
--- a/src/fwd-exchange.c
+++ b/src/fwd-exchange.c
@@ -1,4 +1,4 @@
-/* One request on its way to an endpoint and its answer on the way back. */
+/* An exchange: a client's request and its response, over one or more sends. */
 #include <string.h>
 
 #include "clock.h"
@@ -6,37 +6,38 @@
 #include "fwd-exchange.h"
 #include "random.h"
 
-/* What may run once gets a connection of its own: one that was idle may have
- * been dropped unsaid, and a request sent on it may not be sent again to find
- * out. The wait is for the reset of a peer that takes no more; the way to
- * another failure domain and back takes a few milliseconds. */
+/* A request that may run only once gets a new connection: an idle one may have
+ * been closed by the peer unnoticed, and the request can't be sent again to
+ * find out. Before it is sent there is this wait for the reset of a peer that
+ * accepts no more; the round trip to another failure domain takes a few ms. */
 #define ONCE_HOLD_MS 5
-#define IDLE_MOST_MS 60000
-/* A host that does not take a connection in this time is not there; a lost
- * packet is sent again after a second, which is longer than most objectives. */
-#define CONNECT_MS 350
-/* When to come back for a request whose time was up before it was sent. */
+#define IDLE_MAX_MS 60000
+/* A host that has not accepted a connection within this time is down. A lost
+ * packet is retransmitted after a second, which is longer than most latency
+ * objectives. */
+#define CONNECT_TIMEOUT_MS 350
+/* Time to retry for a request whose deadline passed before it was sent. */
 #define RETRY_LATE_MS 100
 
-/* Counts the prompt among those that the endpoint has yet to read. */
+/* Adds the prompt to the endpoint's prefill backlog. */
 static void
-exchange_note_prompt(struct fwd_exchange *ex)
+exchange_add_backlog(struct fwd_exchange *ex)
 {
 	struct endpoint *ep = ex->endpoint;
-	struct fwd_criteria want;
-	struct fwd_workload work;
+	struct fwd_criteria criteria;
+	struct fwd_workload workload;
 
-	fwd_exchange_criteria(ex, &want);
-	fwd_criteria_workload(&want, ex->prompt, &work);
-	ex->backlog_at_send = fwd_expect_backlog(ep, &work);
+	fwd_exchange_criteria(ex, &criteria);
+	fwd_criteria_workload(&criteria, ex->prompt, &workload);
+	ex->backlog_at_send = fwd_expect_backlog(ep, &workload);
 	ex->backlog_mark = fwd_backlog_add(&ep->backlog, ex->prompt,
-	    fwd_expect_rate(ep, &work), want.now_ms);
+	    fwd_expect_rate(ep, &workload), criteria.now_ms);
 	ep->pending += ex->prompt;
 }
 
-/* Counts a place at an endpoint as taken. */
+/* Takes a slot at the endpoint. */
 static void
-exchange_hold(struct fwd_exchange *ex, const struct fwd_choice *choice)
+exchange_take_slot(struct fwd_exchange *ex, const struct fwd_choice *choice)
 {
 	struct endpoint *ep = choice->endpoint;
 
@@ -51,13 +52,13 @@
 		clock_loop_ms(ex->fwd->loop));
 	ex->in_backlog = ex->model != NULL;
 	if (ex->in_backlog)
-		exchange_note_prompt(ex);
+		exchange_add_backlog(ex);
 	ep->inflight++;
 	ex->expected_ms = choice->first_ms;
 	ex->overhead_ms = choice->overhead_ms;
 }
 
-/* Remembers the endpoint, so that others are chosen first if it fails. */
+/* Remembers the endpoint, so that others are preferred if it fails. */
 static void
 exchange_note_tried(struct fwd_exchange *ex)
 {
@@ -67,9 +68,9 @@
 	ex->tried[ex->n_tried++].endpoint = ex->endpoint;
 }
 
-/* The whole request for one endpoint. */
+/* Builds the request as it is sent to the endpoint. */
 static GString *
-exchange_text(const struct fwd_exchange *ex)
+exchange_build_request(const struct fwd_exchange *ex)
 {
 	GString *text =
 	    g_string_new_len(ex->request->str, (gssize)ex->request->len);
@@ -93,24 +94,24 @@
 }
 
 /**
- * fwd_exchange_send() - send a request that waits to an endpoint.
+ * fwd_exchange_send() - send a queued request to an endpoint.
  * @ex: the exchange
- * @choice: the endpoint chosen
+ * @choice: the chosen endpoint
  */
 void
 fwd_exchange_send(struct fwd_exchange *ex, const struct fwd_choice *choice)
 {
 	struct fwd *fwd = ex->fwd;
 	bool once = !fwd_exchange_retryable(ex);
-	/* What is sent again goes on a new connection: those that were idle may
-	 * have fallen silent together. */
-	uint64_t idle = once || ex->sends > 0 ? 0 : IDLE_MOST_MS;
+	/* A retry uses a new connection: the idle ones may all have failed
+	 * together. */
+	uint64_t idle = once || ex->sends > 0 ? 0 : IDLE_MAX_MS;
 	const struct endpoint_limit *limit = &choice->endpoint->limit;
 	g_autoptr(GString) text = NULL;
 
 	TAILQ_REMOVE(&fwd->queue, ex, queue_entry);
 	ex->state = ex->first_us > 0 ? EXCHANGE_RESPONDING : EXCHANGE_SENT;
-	exchange_hold(ex, choice);
+	exchange_take_slot(ex, choice);
 	exchange_note_tried(ex);
 	ex->sends++;
 	ex->sent_ms = clock_loop_ms(fwd->loop);
@@ -139,34 +140,35 @@
 	    limit->active ? limit->per_s : -1,
 	    (unsigned long long)(limit->active ? ex->sent_ms - limit->as_of_ms :
 						 0));
-	text = exchange_text(ex);
+	text = exchange_build_request(ex);
 	net_client_send(ex->upstream, text->str, text->len, ex->head_only);
 }
 
 /**
- * fwd_exchange_criteria() - what a request needs, for the choice.
+ * fwd_exchange_criteria() - what a request requires of an endpoint.
  * @ex: the exchange
- * @want: filled in
+ * @criteria: filled in
  */
 void
-fwd_exchange_criteria(const struct fwd_exchange *ex, struct fwd_criteria *want)
+fwd_exchange_criteria(const struct fwd_exchange *ex,
+    struct fwd_criteria *criteria)
 {
-	memset(want, 0, sizeof *want);
-	want->service = ex->service;
-	want->engine = ex->model != NULL ? ex->engine : NULL;
-	want->model = ex->model;
-	want->prompt = ex->prompt;
+	memset(criteria, 0, sizeof *criteria);
+	criteria->service = ex->service;
+	criteria->engine = ex->model != NULL ? ex->engine : NULL;
+	criteria->model = ex->model;
+	criteria->prompt = ex->prompt;
 	if (ex->model != NULL)
-		want->overhead_ms = fwd_exchange_estimate(ex)->overhead_ms;
-	want->domain = ex->fwd->set.domain;
-	want->tried = ex->tried;
-	want->n_tried = ex->n_tried;
-	want->now_ms = clock_loop_ms(ex->fwd->loop);
-	want->draw = random_u32();
+		criteria->overhead_ms = fwd_exchange_estimate(ex)->overhead_ms;
+	criteria->domain = ex->fwd->set.domain;
+	criteria->tried = ex->tried;
+	criteria->n_tried = ex->n_tried;
+	criteria->now_ms = clock_loop_ms(ex->fwd->loop);
+	criteria->draw = random_u32();
 }
 
 /**
- * fwd_exchange_estimate() - what answers of its kind showed.
+ * fwd_exchange_estimate() - estimates of the request's model or service.
  * @ex: the exchange
  */
 struct fwd_estimate *
@@ -177,32 +179,33 @@
 }
 
 /**
- * fwd_exchange_start() - begin the request that a caller sent.
- * @fwd: the engine
- * @caller: the caller
+ * fwd_exchange_start() - start an exchange for a request that was read.
+ * @fwd: the proxy
+ * @conn: connection of the client
  */
 void
-fwd_exchange_start(struct fwd *fwd, struct fwd_conn *caller)
+fwd_exchange_start(struct fwd *fwd, struct fwd_conn *conn)
 {
 	struct fwd_exchange *ex = g_new0(struct fwd_exchange, 1);
 	const char *method =
-	    http_method_str((enum http_method)caller->parser.method);
+	    http_method_str((enum http_method)conn->parser.method);
 	struct wire_request req;
 
-	/* Proofs are judged by the time that it is, not by that at which this
-	 * round of the loop began: the process may have stood still since. */
+	/* The age of the configuration is judged by the current time, not by
+	 * that at which this round of the loop began: the process may have been
+	 * stopped since. */
 	uv_update_time(fwd->loop);
-	fwd->wire->read_request(&caller->head, &req);
+	fwd->wire->read_request(&conn->head, &req);
 	ex->fwd = fwd;
-	ex->conn = caller;
-	caller->exchange = ex;
+	ex->conn = conn;
+	conn->exchange = ex;
 	ex->id = g_strdup(req.id != NULL ? req.id : "-");
 	ex->request = g_string_sized_new(512);
 	ex->headers = g_string_new(NULL);
 	ex->response_body = g_byte_array_new();
-	ex->body = g_steal_pointer(&caller->body);
-	caller->body = g_byte_array_new();
-	ex->head_only = caller->head_only;
+	ex->body = g_steal_pointer(&conn->body);
+	conn->body = g_byte_array_new();
+	ex->head_only = conn->head_only;
 	ex->arrived_ms = clock_loop_ms(fwd->loop);
 	ex->arrived_us = clock_now_us();
 	ex->state = EXCHANGE_DONE;
@@ -220,8 +223,8 @@
 }
 
 /**
- * fwd_exchange_client_left() - the caller closed its connection.
- * @ex: the exchange; work that may be repeated is ended
+ * fwd_exchange_client_left() - handle that the client closed its connection.
+ * @ex: the exchange; it is ended unless its request may run only once
  */
 void
 fwd_exchange_client_left(struct fwd_exchange *ex)
@@ -233,7 +236,8 @@
 	    (unsigned long long)(clock_loop_ms(ex->fwd->loop) -
 		ex->arrived_ms));
 	ex->conn = NULL;
-	/* What may run once only is let run; its answer is read and dropped. */
+	/* A request that may run only once is let run; its response is read and
+	 * dropped. */
 	if (ex->route != NULL && ex->route->retry == RETRY_NEVER &&
 	    ex->upstream != NULL && ex->upstream->connected)
 		return;
@@ -241,9 +245,9 @@
 }
 
 /**
- * fwd_exchange_pause() - stop or go on reading the answer.
+ * fwd_exchange_pause() - pause or resume reading the response.
  * @ex: the exchange
- * @on: whether to pause
+ * @on: true to pause
  */
 void
 fwd_exchange_pause(struct fwd_exchange *ex, bool on)
@@ -252,17 +256,17 @@
 		return;
 	ex->paused = on;
 	net_client_pause(ex->upstream, on);
-	/* Silence that we caused is none of the endpoint's. */
+	/* Silence during a pause is not the endpoint's. */
 	ex->heard_ms = clock_loop_ms(ex->fwd->loop);
 }
 
 /**
- * fwd_exchange_end_send() - the last send is over; did the request run there?
+ * fwd_exchange_end_send() - record whether the last send reached its endpoint.
  * @ex: the exchange, with its endpoint
- * @reached: the endpoint may have got it
+ * @reached: the endpoint may have received the request
  *
- * An endpoint that hangs may run it and never say so, so all that may have
- * reached one counts.
+ * An endpoint that hangs may run a request and never respond, so each send that
+ * may have reached an endpoint counts as a run.
  */
 void
 fwd_exchange_end_send(struct fwd_exchange *ex, bool reached)
@@ -276,10 +280,10 @@
 }
 
 /**
- * fwd_exchange_move() - take a request from an endpoint that lost it.
+ * fwd_exchange_move() - move a request from its endpoint to another.
  * @ex: the exchange
- * @reached: the endpoint may have got it
- * @reason: for the log
+ * @reached: the endpoint may have received the request
+ * @reason: reason for the log
  */
 void
 fwd_exchange_move(struct fwd_exchange *ex, bool reached, const char *reason)
@@ -291,9 +295,10 @@
 	fwd_exchange_retry(ex, reason);
 }
 
-/* Whether an endpoint that named a limit since may have the request. */
+/* Whether the request has a permit, should the endpoint have set a rate limit
+ * since it was chosen. */
 static bool
-exchange_has_turn(struct fwd_exchange *ex, uint64_t now_ms)
+exchange_has_permit(struct fwd_exchange *ex, uint64_t now_ms)
 {
 	struct endpoint_limit *limit = &ex->endpoint->limit;
 
@@ -304,20 +309,21 @@
 	return (true);
 }
 
-/* Looks at a request whose endpoint has no connection for it yet. */
+/* Checks a request whose connection to the endpoint is not established yet. */
 static void
-exchange_connecting(struct fwd_exchange *ex, uint64_t now_ms)
+exchange_check_connect(struct fwd_exchange *ex, uint64_t now_ms)
 {
-	/* It asked another request for rest, or said there that it leaves. */
+	/* A response to another request asked for a backoff or told that the
+	 * endpoint is draining. */
 	if (!endpoint_accepts(ex->endpoint, now_ms)) {
 		fwd_exchange_move(ex, false, "endpoint_closed");
 		return;
 	}
-	if (!exchange_has_turn(ex, now_ms)) {
+	if (!exchange_has_permit(ex, now_ms)) {
 		fwd_exchange_move(ex, false, "endpoint_limited");
 		return;
 	}
-	if (now_ms - ex->sent_ms <= CONNECT_MS ||
+	if (now_ms - ex->sent_ms <= CONNECT_TIMEOUT_MS ||
 	    now_ms < ex->fwd->grace_until_ms)
 		return;
 	ex->endpoint->cooldown_until_ms = now_ms + COOLDOWN_SILENT_MS;
@@ -325,7 +331,7 @@
 }
 
 /**
- * fwd_exchange_tick() - look at the times of an exchange.
+ * fwd_exchange_tick() - check the deadline and timeouts of an exchange.
  * @ex: the exchange
  * @now_ms: loop time
  */
@@ -342,5 +348,5 @@
 	if (ex->upstream->connected)
 		fwd_silence_check(ex, now_ms);
 	else
-		exchange_connecting(ex, now_ms);
+		exchange_check_connect(ex, now_ms);
 }
--- a/src/fwd-expect.c
+++ b/src/fwd-expect.c
@@ -1,19 +1,20 @@
-/* When an endpoint's next events are expected. Pure. */
+/* Latency estimates: first event and gap between events. Pure. */
 #include "fwd-expect.h"
 
-/* Weight of the newest answer in what is learned of a model; hundreds come in
- * a few seconds, so some late ones hardly show. */
-#define LEARN_ALPHA 0.02
-/* The first of them count more, as long as there are few. */
-#define LEARN_FIRST 10
-/* One that is this far off says something of its endpoint, not of the model:
- * a dead or slow host. */
-#define EXTRA_MOST_MS 400.0
-/* Tokens of a million, for the profile's figure on pairs. */
+/* Weight of the newest response in the averages of a model; hundreds come in a
+ * few seconds, so a few late ones hardly show. */
+#define AVERAGE_ALPHA 0.02
+/* Up to this number of responses the average is their arithmetic mean: each
+ * counts more while there are few. */
+#define AVERAGE_MEAN_COUNT 10
+/* A larger overhead is due to the endpoint, a dead or slow host, and not to the
+ * model. */
+#define OVERHEAD_MAX_MS 400.0
+/* The profile gives the time for a million pairs of tokens. */
 #define PAIRS_UNIT 1e6
 
 /**
- * fwd_expect_running() - requests at an endpoint, one's own and the others'.
+ * fwd_expect_running() - requests at an endpoint, of this and other daemons.
  * @ep: the endpoint
  */
 double
@@ -22,7 +23,7 @@
 	return ((double)ep->inflight + ep->peer_inflight);
 }
 
-/* Time of one step with some requests that write. */
+/* Time of one decode step while @running requests decode. */
 static double
 step_ms(const struct engine_profile *e, const struct model_profile *m,
     double running)
@@ -34,23 +35,23 @@
 	    m->pace);
 }
 
-/* The steps of a pass for the requests that write. */
+/* Time of the decode steps in one pass. */
 static double
-writers_ms(const struct endpoint *ep, const struct fwd_workload *work)
+decode_pass_ms(const struct endpoint *ep, const struct fwd_workload *workload)
 {
 	double running = fwd_expect_running(ep);
 
 	if (running < 1)
 		return (0);
-	return (
-	    step_ms(work->engine, work->model, running) * work->engine->stride);
+	return (step_ms(workload->engine, workload->model, running) *
+	    workload->engine->stride);
 }
 
 /**
  * fwd_expect_gap() - expected time between two tokens at an endpoint.
  * @ep: the endpoint
- * @e: its engine
- * @m: its model
+ * @e: profile of its engine
+ * @m: profile of its model
  */
 double
 fwd_expect_gap(const struct endpoint *ep, const struct engine_profile *e,
@@ -60,103 +61,109 @@
 }
 
 /**
- * fwd_expect_rate() - prompt tokens that an endpoint reads in a millisecond.
+ * fwd_expect_rate() - prefill rate of an endpoint, in tokens per millisecond.
  * @ep: the endpoint
- * @work: a request for it
+ * @workload: a request for it
  *
- * Return: 0 where the profile says nothing of reading.
+ * Return: the rate, or 0 if the profile has none.
  */
 double
-fwd_expect_rate(const struct endpoint *ep, const struct fwd_workload *work)
+fwd_expect_rate(const struct endpoint *ep, const struct fwd_workload *workload)
 {
-	return (work->engine->read_per_ms / work->model->pace / ep->slowness);
+	return (workload->engine->read_per_ms / workload->model->pace /
+	    ep->slowness);
 }
 
-/* From when a prompt is read to its first event: half a pass, its own steps. */
+/* Time from a prompt's prefill to its first event: half a pass of the requests
+ * that decode, then its own first steps. */
 static double
-after_ms(const struct endpoint *ep, const struct fwd_workload *work)
+after_prefill_ms(const struct endpoint *ep, const struct fwd_workload *workload)
 {
-	const struct engine_profile *e = work->engine;
+	const struct engine_profile *e = workload->engine;
 	double running = fwd_expect_running(ep);
-	double steps = step_ms(e, work->model, running + 1) * e->stride;
+	double steps = step_ms(e, workload->model, running + 1) * e->stride;
 
-	return ((writers_ms(ep, work) / 2 + steps) * ep->slowness +
-	    work->overhead_ms);
+	return ((decode_pass_ms(ep, workload) / 2 + steps) * ep->slowness +
+	    workload->overhead_ms);
 }
 
 /**
- * fwd_expect_backlog() - prompt tokens that an endpoint has yet to read.
+ * fwd_expect_backlog() - prefill backlog of an endpoint, in tokens.
  * @ep: the endpoint
- * @work: a request for it
+ * @workload: a request for it
  *
- * An endpoint that reads all the time has read, of the prompts without a first
- * event, what it reads between a prompt's end and its first event. The rest is
- * left; and at least what this daemon sent just now.
+ * Of the prompts without a first event, a busy endpoint has prefilled as much
+ * as it can between the end of a prompt's prefill and the first event. The
+ * remainder is the backlog, which is at least that of this daemon's own
+ * prompts.
  */
 double
-fwd_expect_backlog(const struct endpoint *ep, const struct fwd_workload *work)
+fwd_expect_backlog(const struct endpoint *ep,
+    const struct fwd_workload *workload)
 {
 	double pending = ep->pending + ep->peer_pending;
-	double read = fwd_expect_rate(ep, work) * after_ms(ep, work);
+	double prefilled =
+	    fwd_expect_rate(ep, workload) * after_prefill_ms(ep, workload);
 
-	return (MAX(fwd_backlog_tokens(&ep->backlog, work->now_ms),
-	    pending - read));
+	return (MAX(fwd_backlog_tokens(&ep->backlog, workload->now_ms),
+	    pending - prefilled));
 }
 
 /**
  * fwd_expect_first() - expected time to the first event of a request.
  * @ep: the endpoint
- * @work: the request
+ * @workload: the request
  *
- * A request waits for half of a pass of those that write, then for the prompts
- * before its own and its own to be read, then for its own first steps. Steps
- * between the pieces of a prompt do not show: prompts of three pieces came no
- * later than their reading takes (MEASUREMENTS, first events).
+ * A request waits for half a pass of the requests that decode, then for the
+ * prefill of the prompts before its own and of its own, then for its own first
+ * steps. Decode steps between the chunks of a prompt's prefill don't show:
+ * prompts of three chunks took no longer than their prefill (MEASUREMENTS,
+ * first events).
  *
  * Return: milliseconds from now.
  */
 double
-fwd_expect_first(const struct endpoint *ep, const struct fwd_workload *work)
+fwd_expect_first(const struct endpoint *ep, const struct fwd_workload *workload)
 {
-	const struct engine_profile *e = work->engine;
-	double backlog = fwd_expect_backlog(ep, work) + work->prompt;
-	double pairs = work->prompt * work->prompt / 2 / PAIRS_UNIT;
-	double read = pairs * e->pairs_per_m_ms * work->model->pace;
-	double rate = fwd_expect_rate(ep, work);
+	const struct engine_profile *e = workload->engine;
+	double backlog = fwd_expect_backlog(ep, workload) + workload->prompt;
+	double pairs = workload->prompt * workload->prompt / 2 / PAIRS_UNIT;
+	double prefill = pairs * e->pairs_per_m_ms * workload->model->pace;
+	double rate = fwd_expect_rate(ep, workload);
 
 	if (rate > 0)
-		read += backlog / rate;
-	return (read + after_ms(ep, work));
+		prefill += backlog / rate;
+	return (prefill + after_prefill_ms(ep, workload));
 }
 
-/* Weight of the newest of some answers. */
+/* Weight of the newest of @seen values in an average. */
 static double
-learn_weight(unsigned seen)
+average_weight(unsigned seen)
 {
-	return (seen <= LEARN_FIRST ? 1.0 / seen : LEARN_ALPHA);
+	return (seen <= AVERAGE_MEAN_COUNT ? 1.0 / seen : AVERAGE_ALPHA);
 }
 
 /**
- * fwd_estimate_add_first() - a first event came.
- * @learned: of its model
- * @late_ms: after it was expected without what was learned
+ * fwd_estimate_add_first() - update the average overhead of first events.
+ * @estimate: estimates of the model
+ * @overhead_ms: delay of a first event beyond the profile's estimate
  */
 void
-fwd_estimate_add_first(struct fwd_estimate *learned, double late_ms)
+fwd_estimate_add_first(struct fwd_estimate *estimate, double overhead_ms)
 {
-	late_ms = CLAMP(late_ms, 0, EXTRA_MOST_MS);
-	learned->overhead_ms += learn_weight(++learned->n_overhead) *
-	    (late_ms - learned->overhead_ms);
+	overhead_ms = CLAMP(overhead_ms, 0, OVERHEAD_MAX_MS);
+	estimate->overhead_ms += average_weight(++estimate->n_overhead) *
+	    (overhead_ms - estimate->overhead_ms);
 }
 
 /**
- * fwd_estimate_add_duration() - a request ended that ran.
- * @learned: of its model or service
- * @whole_ms: since it was sent
+ * fwd_estimate_add_duration() - update the average duration of requests.
+ * @estimate: estimates of the model or service
+ * @duration_ms: time from the send to the end of the response
  */
 void
-fwd_estimate_add_duration(struct fwd_estimate *learned, double whole_ms)
+fwd_estimate_add_duration(struct fwd_estimate *estimate, double duration_ms)
 {
-	learned->duration_ms += learn_weight(++learned->n_duration) *
-	    (whole_ms - learned->duration_ms);
+	estimate->duration_ms += average_weight(++estimate->n_duration) *
+	    (duration_ms - estimate->duration_ms);
 }
--- a/src/fwd-expect.h
+++ b/src/fwd-expect.h
@@ -1,19 +1,22 @@
-/* When an endpoint's next events are expected. Pure. */
+/* Latency estimates: first event and gap between events. Pure. */
 #ifndef BL_FWD_EXPECT_H
 #define BL_FWD_EXPECT_H
 
 #include "registry-fleet.h"
 
 /**
- * struct fwd_estimate - what answers showed beside the engine's profile.
- * @overhead_ms: how much later they come than the profile's passes account for:
- *	the engine's own start of an answer, and the way there and back
- * @n_overhead: first events that it was learned from
- * @duration_ms: how long a request holds its place
- * @n_duration: requests that this was learned from
+ * struct fwd_estimate - moving averages of what responses show beyond the
+ *	engine's profile.
+ * @overhead_ms: how much later the first event comes than the profile's passes
+ *	account for: the engine's own start of a response, and the network
+ *	round trip
+ * @n_overhead: number of first events in @overhead_ms
+ * @duration_ms: time for which a request occupies its slot
+ * @n_duration: number of requests in @duration_ms
  *
- * One for each model, and for each service without models, over all endpoints:
- *an endpoint that is slower than others has a slowness of its own.
+ * There is one for each model, and for each service without models, over all
+ * endpoints. That one endpoint is slower than others is kept in the slowness of
+ * that endpoint.
  */
 struct fwd_estimate {
 	double overhead_ms;
@@ -23,11 +26,11 @@
 };
 
 /**
- * struct fwd_workload - a request's work for an engine.
+ * struct fwd_workload - a request's workload for an engine.
  * @engine: the engine's profile
  * @model: the model's profile
- * @prompt: tokens of its prompt
- * @overhead_ms: learned of the model; see struct fwd_estimate
+ * @prompt: length of its prompt, in tokens
+ * @overhead_ms: measured overhead of the model; see struct fwd_estimate
  * @now_ms: loop time
  */
 struct fwd_workload {
--- a/src/fwd-fingerprint.c
+++ b/src/fwd-fingerprint.c
@@ -1,41 +1,46 @@
-/* What a request asks for, whatever its attempt is called. Pure. */
+/* Fingerprint of a request, the same for each attempt at it. Pure. */
 #include <glib.h>
 #include <string.h>
 
 #include "fwd-fingerprint.h"
 
-/* A word with its end, so that no two lists of words run into one. */
+/* Adds a string with its terminator, so that no two sequences of strings give
+ * the same input to the hash. */
 static void
-sum_word(GChecksum *sum, const char *word)
+sum_add_string(GChecksum *sum, const char *string)
 {
-	if (word == NULL)
-		word = "";
-	g_checksum_update(sum, (const guchar *)word, (gssize)strlen(word) + 1);
+	if (string == NULL)
+		string = "";
+	g_checksum_update(sum, (const guchar *)string,
+	    (gssize)strlen(string) + 1);
 }
 
 /**
- * fwd_fingerprint_compute() - the same for the same work, at every daemon.
- * @key: the work
+ * fwd_fingerprint_compute() - compute the fingerprint of a request.
+ * @input: what identifies the request
  *
- * A cryptographic hash, so that no caller can make a request that is taken for
- * another's. Never 0.
+ * The fingerprint of the same request is the same at every daemon. It comes
+ * from a cryptographic hash, so that no client can make a request that is taken
+ * for that of another.
+ *
+ * Return: the fingerprint, never 0.
  */
 uint64_t
-fwd_fingerprint_compute(const struct fwd_fingerprint_input *key)
+fwd_fingerprint_compute(const struct fwd_fingerprint_input *input)
 {
 	g_autoptr(GChecksum) sum = g_checksum_new(G_CHECKSUM_SHA256);
 	guint8 digest[32];
 	gsize length = sizeof digest;
-	uint64_t work;
+	uint64_t fingerprint;
 
-	sum_word(sum, key->method);
-	sum_word(sum, key->host);
-	sum_word(sum, key->target);
-	sum_word(sum, key->customer);
-	if (key->length > 0)
-		g_checksum_update(sum, key->body, (gssize)key->length);
+	sum_add_string(sum, input->method);
+	sum_add_string(sum, input->host);
+	sum_add_string(sum, input->target);
+	sum_add_string(sum, input->customer);
+	if (input->length > 0)
+		g_checksum_update(sum, input->body, (gssize)input->length);
 	g_checksum_get_digest(sum, digest, &length);
-	memcpy(&work, digest, sizeof work);
-	work = GUINT64_FROM_BE(work);
-	return (work != 0 ? work : 1);
+	memcpy(&fingerprint, digest, sizeof fingerprint);
+	fingerprint = GUINT64_FROM_BE(fingerprint);
+	return (fingerprint != 0 ? fingerprint : 1);
 }
--- a/src/fwd-poison.c
+++ b/src/fwd-poison.c
@@ -1,96 +1,99 @@
-/* What requests and their ends say of work that ends endpoints. */
+/* Poison requests: observes crashes and refuses quarantined fingerprints. */
 #include <string.h>
 
 #include "clock.h"
 #include "event-log.h"
 #include "fwd-exchange.h"
 
-/* A name of eight digits and its end. */
-#define WORK_NAME_BYTES 9
-/* When to come back with work that the operator has refused. */
+/* Eight hexadecimal digits and the terminator. */
+#define FINGERPRINT_TEXT_BYTES 9
+/* Time to retry for a request that the operator has refused. */
 #define RETRY_OPERATOR_MS 600000
-/* Room for the names of the endpoints that some work is blamed for. */
+/* Size of the log field that lists crashed endpoints. */
 #define BLAMED_BYTES 256
 
-/* The endpoints that work is blamed for, for the log. */
+/* Formats the endpoints whose crashes a request is blamed for, each with the
+ * age of the crash in ms. */
 static void
-blamed_print(const struct fleet *fleet, const struct poison_request *w,
+blamed_format(const struct fleet *fleet, const struct poison_request *suspect,
     uint64_t now_ms, char *out, size_t size)
 {
 	size_t used = 0;
 
 	out[0] = '\0';
-	for (unsigned i = 0; i < w->n_crashes && used < size; i++) {
-		const struct poison_crash *end = &w->crashes[i];
+	for (unsigned i = 0; i < suspect->n_crashes && used < size; i++) {
+		const struct poison_crash *crash = &suspect->crashes[i];
 		const struct endpoint *ep =
-		    fleet_find_by_hash(fleet, end->id_hash);
+		    fleet_find_by_hash(fleet, crash->id_hash);
 
 		used += (size_t)g_snprintf(out + used, size - used,
 		    "%s%s:%08x:%llu", i > 0 ? "," : "",
-		    ep != NULL ? ep->report.id : "-", end->id_hash,
-		    (unsigned long long)(now_ms - MIN(end->at_ms, now_ms)));
+		    ep != NULL ? ep->report.id : "-", crash->id_hash,
+		    (unsigned long long)(now_ms - MIN(crash->at_ms, now_ms)));
 	}
 }
 
-/* A line with all that a verdict rests on. */
+/* Logs a verdict with all that it is based on. */
 static void
-poison_log(struct fwd *fwd, const struct poison_request *w,
+suspect_log(struct fwd *fwd, const struct poison_request *suspect,
     const struct poison_verdict *verdict, const char *event, const char *id)
 {
 	uint64_t now = clock_loop_ms(fwd->loop);
 	char blamed[BLAMED_BYTES];
 
-	blamed_print(&fwd->registry->fleet, w, now, blamed, sizeof blamed);
+	blamed_format(&fwd->registry->fleet, suspect, now, blamed,
+	    sizeof blamed);
 	event_log(LOG_NOTICE, event,
-	    "id=%s work=%08x ends=%u doubted=%u explained=%u left_ms=%lld "
+	    "id=%s work=%08x ends=%u unconfirmed=%u explained=%u left_ms=%lld "
 	    "blamed_for=%s",
-	    id, FINGERPRINT_SHORT(w->fingerprint), verdict->crashes,
+	    id, FINGERPRINT_SHORT(suspect->fingerprint), verdict->crashes,
 	    verdict->unconfirmed, verdict->explained,
 	    verdict->until_ms != 0 ? (long long)(verdict->until_ms - now) : -1,
 	    blamed);
 }
 
-/* Judges some work, with a line where that changed. */
+/* Evaluates a suspect; logs it if it became quarantined or was released. */
 static void
-poison_look(struct fwd *fwd, struct poison_request *w,
+suspect_evaluate(struct fwd *fwd, struct poison_request *suspect,
     struct poison_verdict *verdict, const char *id)
 {
 	bool quarantined;
 
-	poison_evaluate(&fwd->registry->poison, &fwd->registry->fleet, w,
+	poison_evaluate(&fwd->registry->poison, &fwd->registry->fleet, suspect,
 	    clock_loop_ms(fwd->loop), verdict);
 	quarantined = verdict->until_ms != 0;
-	if (quarantined == w->quarantined)
+	if (quarantined == suspect->quarantined)
 		return;
-	w->quarantined = quarantined;
+	suspect->quarantined = quarantined;
 	if (quarantined)
 		fwd_stats_count(&fwd->stats, COUNT_QUARANTINED);
-	poison_log(fwd, w, verdict,
+	suspect_log(fwd, suspect, verdict,
 	    quarantined ? "work_quarantined" : "work_released", id);
 }
 
 /**
- * fwd_poison_sweep() - judge all work that has ended endpoints, by own sight or
- * others' words.
- * @fwd: the engine
+ * fwd_poison_sweep() - evaluate all suspects, whether observed by this daemon
+ *	or reported by others.
+ * @fwd: the proxy
  */
 void
 fwd_poison_sweep(struct fwd *fwd)
 {
 	struct poison_verdict verdict;
-	struct poison_request *w;
+	struct poison_request *suspect;
 
-	TAILQ_FOREACH(w, &fwd->registry->poison.requests, entry) {
-		if (w->quarantined || w->n_crashes >= POISON_QUARANTINE_CRASHES)
-			poison_look(fwd, w, &verdict, "-");
+	TAILQ_FOREACH(suspect, &fwd->registry->poison.requests, entry) {
+		if (suspect->quarantined ||
+		    suspect->n_crashes >= POISON_QUARANTINE_CRASHES)
+			suspect_evaluate(fwd, suspect, &verdict, "-");
 	}
 }
 
 /**
- * fwd_poison_observe_crash() - the endpoint may have ended while it had a
- * request.
+ * fwd_poison_observe_crash() - record that an endpoint may have crashed while
+ *	it had a request.
  * @ex: the exchange, with its endpoint
- * @silent: it fell silent; otherwise the connection broke
+ * @silent: the endpoint fell silent; otherwise the connection broke
  */
 void
 fwd_poison_observe_crash(struct fwd_exchange *ex, bool silent)
@@ -98,9 +101,9 @@
 	struct fwd *fwd = ex->fwd;
 	const struct endpoint *ep = ex->endpoint;
 	uint64_t now = clock_loop_ms(fwd->loop);
-	const struct poison_crash end = poison_crash_of(ep, silent, now);
-	bool news = poison_observe_crash(&fwd->registry->poison,
-	    ex->fingerprint, &end, now);
+	const struct poison_crash crash = poison_crash_of(ep, silent, now);
+	bool is_new = poison_observe_crash(&fwd->registry->poison,
+	    ex->fingerprint, &crash, now);
 
 	fwd_stats_count(&fwd->stats, COUNT_LOST);
 	event_log(LOG_NOTICE, "work_lost",
@@ -109,15 +112,16 @@
 	    "peer_inflight=%u",
 	    ex->id, FINGERPRINT_SHORT(ex->fingerprint), ep->report.id,
 	    (long long)ep->report.started_ms, silent ? "silent" : "broken",
-	    news, (unsigned long long)(now - ex->sent_ms),
+	    is_new, (unsigned long long)(now - ex->sent_ms),
 	    (long long)ex->events.last_id, ep->inflight, ep->peer_inflight);
 }
 
 /**
- * fwd_poison_note_success() - the endpoint's answer to a request is whole.
+ * fwd_poison_note_success() - record that an endpoint completed a response.
  * @ex: the exchange
  *
- * The rest of an answer says nothing of what its begin does to endpoints.
+ * A resumed response doesn't count: it tells nothing about what the beginning
+ * of the request does to endpoints.
  */
 void
 fwd_poison_note_success(struct fwd_exchange *ex)
@@ -133,78 +137,81 @@
 			      "-");
 }
 
-/* Whether some work is in a setting's list. */
+/* Whether a fingerprint is in the list of a setting. */
 static bool
-work_listed(const char *list, uint64_t work)
+fingerprint_listed(const char *list, uint64_t fingerprint)
 {
-	char name[WORK_NAME_BYTES];
+	char name[FINGERPRINT_TEXT_BYTES];
 
 	if (list == NULL || list[0] == '\0')
 		return (false);
-	g_snprintf(name, sizeof name, "%08x", FINGERPRINT_SHORT(work));
+	g_snprintf(name, sizeof name, "%08x", FINGERPRINT_SHORT(fingerprint));
 	return (strstr(list, name) != NULL);
 }
 
 /*
- * Lets one request of quarantined work through, at the daemon whose turn it is.
+ * Lets one request with a quarantined fingerprint through as a probe, at the
+ * daemon that saw the newest crash.
  */
 static bool
-probe_begin(struct fwd_exchange *ex, struct poison_request *w,
+probe_begin(struct fwd_exchange *ex, struct poison_request *suspect,
     const struct poison_verdict *verdict)
 {
 	if (ex->poison_probe)
 		return (true);
-	if (w->probing || verdict->probe_ms == 0 ||
+	if (suspect->probing || verdict->probe_ms == 0 ||
 	    clock_loop_ms(ex->fwd->loop) < verdict->probe_ms)
 		return (false);
-	w->probing = true;
+	suspect->probing = true;
 	ex->poison_probe = true;
-	poison_log(ex->fwd, w, verdict, "work_probed", ex->id);
+	suspect_log(ex->fwd, suspect, verdict, "work_probed", ex->id);
 	return (true);
 }
 
 /**
- * fwd_poison_end_probe() - an exchange ends; another one may probe its work.
+ * fwd_poison_end_probe() - end the probe of an exchange; another one may begin.
  * @ex: the exchange
  */
 void
 fwd_poison_end_probe(struct fwd_exchange *ex)
 {
-	struct poison_request *w;
+	struct poison_request *suspect;
 
 	if (!ex->poison_probe)
 		return;
-	w = poison_find(&ex->fwd->registry->poison, ex->fingerprint);
-	if (w != NULL)
-		w->probing = false;
+	suspect = poison_find(&ex->fwd->registry->poison, ex->fingerprint);
+	if (suspect != NULL)
+		suspect->probing = false;
 }
 
-/* Whether some work is quarantined; if so, until when. */
+/* Whether the request is quarantined and is no probe; if so, until when. */
 static bool
-work_quarantined(struct fwd_exchange *ex, uint64_t *until_ms)
+request_quarantined(struct fwd_exchange *ex, uint64_t *until_ms)
 {
 	struct fwd *fwd = ex->fwd;
-	struct poison_request *w =
+	struct poison_request *suspect =
 	    poison_find(&fwd->registry->poison, ex->fingerprint);
 	struct poison_verdict verdict;
 
-	if (w == NULL || work_listed(fwd->set.released_works, ex->fingerprint))
+	if (suspect == NULL ||
+	    fingerprint_listed(fwd->set.released_works, ex->fingerprint))
 		return (false);
-	poison_look(fwd, w, &verdict, ex->id);
+	suspect_evaluate(fwd, suspect, &verdict, ex->id);
 	if (verdict.until_ms == 0)
 		return (false);
 	*until_ms = verdict.until_ms;
-	if (probe_begin(ex, w, &verdict))
+	if (probe_begin(ex, suspect, &verdict))
 		return (false);
-	poison_log(fwd, w, &verdict, "work_refused", ex->id);
+	suspect_log(fwd, suspect, &verdict, "work_refused", ex->id);
 	return (true);
 }
 
 /**
- * fwd_poison_refuse() - end a request whose work is quarantined.
+ * fwd_poison_refuse() - refuse a request that is quarantined or that the
+ *	operator has refused.
  * @ex: the exchange, without an endpoint
  *
- * Return: false where it may be sent.
+ * Return: false if the request may be sent; otherwise the exchange has ended.
  */
 bool
 fwd_poison_refuse(struct fwd_exchange *ex)
@@ -214,9 +221,9 @@
 	uint64_t until = now + RETRY_OPERATOR_MS;
 	const char *reason = "work_quarantined";
 
-	if (work_listed(fwd->set.refused_works, ex->fingerprint))
+	if (fingerprint_listed(fwd->set.refused_works, ex->fingerprint))
 		reason = "work_refused_by_operator";
-	else if (!work_quarantined(ex, &until))
+	else if (!request_quarantined(ex, &until))
 		return (false);
 	fwd_stats_count(&fwd->stats, COUNT_REFUSED_POISON);
 	fwd_exchange_give_up(ex, HTTP_STATUS_BAD_GATEWAY, reason,
--- a/src/fwd-resolve.c
+++ b/src/fwd-resolve.c
@@ -1,4 +1,4 @@
-/* From a request's head to an exchange: route, customer, service, model. */
+/* Resolves the route, customer, service and model of a request. */
 #include <string.h>
 #include <xxhash.h>
 
@@ -6,18 +6,19 @@
 #include "event-log.h"
 #include "fwd-exchange.h"
 
-/* When to come back to a daemon that lacks a fresh configuration. */
+/* Time to retry at a daemon without a fresh configuration. */
 #define RETRY_STALE_MS 300
-/* And to one that has none yet: it has just started, and half of 295 daemons
- * that came back together had theirs 0.5 s after they listened. Callers come
- * back once, so a time that is too short loses their request. */
+/* Time to retry at a daemon that has just started and has no configuration yet.
+ * When 295 daemons restarted together, half of them had theirs 0.5 s after they
+ * began to listen. Clients retry once, so too short a time loses the request.
+ */
 #define RETRY_STARTED_MS 700
-/* How long a request without a deadline of its own may take at most. */
-#define DEADLINE_MOST_MS 600000
+/* Maximum time for a request, whatever the client and the route allow. */
+#define DEADLINE_MAX_MS 600000
 
-/* Refuses what can't be judged for lack of a fresh configuration. */
+/* Refuses a request that can't be judged without a fresh configuration. */
 static bool
-admit_stale(struct fwd_exchange *ex, const char *reason, uint64_t age)
+resolve_stale(struct fwd_exchange *ex, const char *reason, uint64_t age)
 {
 	event_log(LOG_NOTICE, "config_stale", "id=%s reason=%s age_ms=%lld",
 	    ex->id, reason, age > INT64_MAX ? -1LL : (long long)age);
@@ -26,13 +27,13 @@
 	return (false);
 }
 
-/* Denies a request for good, if the configuration is fresh enough to. */
+/* Denies a request for good if the configuration is fresh enough for that. */
 static bool
-admit_deny(struct fwd_exchange *ex, unsigned status, const char *reason,
+resolve_deny(struct fwd_exchange *ex, unsigned status, const char *reason,
     uint64_t age)
 {
 	if (age > ex->fwd->set.deny_proof_ms)
-		return (admit_stale(ex, reason, age));
+		return (resolve_stale(ex, reason, age));
 	fwd_stats_count(&ex->fwd->stats, COUNT_DENIED);
 	event_log(LOG_INFO, "request_denied",
 	    "id=%s status=%u reason=%s version=%lld age_ms=%llu", ex->id,
@@ -43,28 +44,28 @@
 }
 
 /*
- * Finds the customer by the key. Where keys fail closed, a known key counts
- * only while the configuration was lately proved to be the newest. An unknown
- * key is denied for good only with such a proof, in either case.
+ * Finds the customer by the API key. Where keys fail closed, a known key is
+ * accepted only if the configuration was recently verified to be the newest. In
+ * either case an unknown key is denied for good only after such a verification.
  */
 static bool
-admit_customer(struct fwd_exchange *ex, const char *key, uint64_t age)
+resolve_customer(struct fwd_exchange *ex, const char *key, uint64_t age)
 {
 	if (!ex->catalog->requires_key || ex->route->public)
 		return (true);
 	if (key != NULL)
 		ex->customer = g_hash_table_lookup(ex->catalog->keys, key);
 	if (ex->customer == NULL)
-		return (admit_deny(ex, HTTP_STATUS_UNAUTHORIZED, "unknown_key",
-		    age));
+		return (resolve_deny(ex, HTTP_STATUS_UNAUTHORIZED,
+		    "unknown_key", age));
 	if (ex->fwd->set.keys_fail_closed && age > ex->fwd->set.key_proof_ms)
-		return (admit_stale(ex, "key_unproved", age));
+		return (resolve_stale(ex, "key_unproved", age));
 	return (true);
 }
 
 /* Finds the service, and the model where the service has engines. */
 static bool
-admit_service(struct fwd_exchange *ex, const struct wire_request *req)
+resolve_service(struct fwd_exchange *ex, const struct wire_request *req)
 {
 	uint64_t draw = XXH3_64bits(ex->id, strlen(ex->id));
 	const struct catalog_service *service;
@@ -91,24 +92,25 @@
 	return (false);
 }
 
-/* The time that the request has, from the client's and the route's bounds. */
+/* Sets the deadline from the limits of the client and the route. */
 static void
-admit_times(struct fwd_exchange *ex, const struct wire_request *req)
+resolve_deadline(struct fwd_exchange *ex, const struct wire_request *req)
 {
-	int64_t life = ex->route->timeout_ms;
+	int64_t timeout = ex->route->timeout_ms;
 
 	if (req->deadline_ms >= 0)
-		life = MIN(life, req->deadline_ms);
-	life = MIN(life, DEADLINE_MOST_MS);
-	ex->deadline_ms = ex->arrived_ms + (uint64_t)life;
-	/* A client that has waited longer than the objective tries again. */
+		timeout = MIN(timeout, req->deadline_ms);
+	timeout = MIN(timeout, DEADLINE_MAX_MS);
+	ex->deadline_ms = ex->arrived_ms + (uint64_t)timeout;
+	/* The deadline shows that the client has waited longer than the
+	 * objective, so this is its retry. */
 	ex->resubmitted =
-	    life + ex->route->objective_ms < ex->route->timeout_ms;
+	    timeout + ex->route->objective_ms < ex->route->timeout_ms;
 }
 
-/* The request's first line and the headers that go on unchanged. */
+/* Writes the request line and the headers that are forwarded unchanged. */
 static void
-admit_request_text(struct fwd_exchange *ex, const char *method)
+resolve_request_text(struct fwd_exchange *ex, const char *method)
 {
 	const struct net_head *head = &ex->conn->head;
 
@@ -125,19 +127,19 @@
 	}
 }
 
-/* The path of a target, without the query. */
+/* Returns the path of a target, without the query. */
 static char *
 target_path(const char *target)
 {
 	return (g_strndup(target, strcspn(target, "?#")));
 }
 
-/* The fingerprint of what is asked for. */
+/* Computes the fingerprint of the request. */
 static uint64_t
-admit_work(const struct fwd_exchange *ex, const char *method)
+resolve_fingerprint(const struct fwd_exchange *ex, const char *method)
 {
 	const struct net_head *head = &ex->conn->head;
-	const struct fwd_fingerprint_input key = {
+	const struct fwd_fingerprint_input input = {
 		.method = method,
 		.host = net_head_find(head, "host"),
 		.target = net_head_target(head),
@@ -146,16 +148,16 @@
 		.length = ex->body->len,
 	};
 
-	return (fwd_fingerprint_compute(&key));
+	return (fwd_fingerprint_compute(&input));
 }
 
 /**
- * fwd_resolve() - decide whether and where a request may go.
- * @ex: the exchange, with its caller and id
- * @req: the decoded head
- * @method: its method
+ * fwd_resolve() - resolve the route, customer, service and model of a request.
+ * @ex: the exchange, with its client connection and id
+ * @req: the decoded headers
+ * @method: the request's method
  *
- * Return: false where the request was answered here.
+ * Return: false if the request was refused or denied.
  */
 bool
 fwd_resolve(struct fwd_exchange *ex, const struct wire_request *req,
@@ -167,19 +169,20 @@
 	uint64_t age = registry_config_age(ex->fwd->registry, ex->arrived_ms);
 
 	if (ex->catalog == NULL)
-		return (admit_stale(ex, "no_configuration", age));
+		return (resolve_stale(ex, "no_configuration", age));
 	if (req->id == NULL || host == NULL) {
 		fwd_exchange_fail(ex, HTTP_STATUS_BAD_REQUEST, "no_id_or_host");
 		return (false);
 	}
 	ex->route = catalog_find_route(ex->catalog, host, path);
 	if (ex->route == NULL)
-		return (admit_deny(ex, HTTP_STATUS_NOT_FOUND, "no_route", age));
-	admit_times(ex, req);
-	if (!admit_customer(ex, req->key, age) || !admit_service(ex, req))
+		return (
+		    resolve_deny(ex, HTTP_STATUS_NOT_FOUND, "no_route", age));
+	resolve_deadline(ex, req);
+	if (!resolve_customer(ex, req->key, age) || !resolve_service(ex, req))
 		return (false);
-	ex->fingerprint = admit_work(ex, method);
-	admit_request_text(ex, method);
+	ex->fingerprint = resolve_fingerprint(ex, method);
+	resolve_request_text(ex, method);
 	fwd_events_init(&ex->events, req->last_event);
 	return (true);
 }
--- a/src/fwd-silence.c
+++ b/src/fwd-silence.c
@@ -1,60 +1,65 @@
-/* Endpoints that fall silent: when that is judged, and what is done. */
+/* Detection of silent endpoints, and what follows from it. */
 #include "event-log.h"
 #include "fwd-exchange.h"
 
-/* Silence of a replica's streams is judged against its expected gap, with
- * this factor, and never below this bound. */
+/* Timeout of a stream between events: this multiple of the expected gap, and at
+ * least this. */
 #define SILENCE_FACTOR 5.0
-#define SILENCE_LEAST_MS 300
-/* Silence before a first event, against the expected first event. */
+#define SILENCE_MIN_MS 300
+/* Timeout before the first event: this multiple of the expected time to it, and
+ * at least this. */
 #define SILENCE_FIRST_FACTOR 3.0
-#define SILENCE_FIRST_LEAST_MS 500
-/* Another daemon's warning counts this long, and lowers the bounds. */
+#define SILENCE_FIRST_MIN_MS 500
+/* For this time after another daemon's warning about an endpoint the timeouts
+ * are multiplied by this. */
 #define WARNED_MS 1500
-#define WARNED_SHARE 0.6
-/* A plain endpoint that says nothing for this many objectives is left. */
+#define WARNED_FACTOR 0.6
+/* Timeout of an endpoint without a model: this multiple of the route's latency
+ * objective, and at least this. */
 #define PLAIN_SILENCE_FACTOR 2.0
-#define PLAIN_SILENCE_LEAST_MS 700
+#define PLAIN_SILENCE_MIN_MS 700
 
-/* How long an endpoint may say nothing before this request is moved. */
+/* How long an endpoint may be silent before this request is moved. */
 static double
-exchange_silence_ms(const struct fwd_exchange *ex)
+exchange_silence_timeout(const struct fwd_exchange *ex)
 {
 	double gap;
 
 	if (ex->model == NULL)
 		return (
 		    MAX(PLAIN_SILENCE_FACTOR * (double)ex->route->objective_ms,
-			PLAIN_SILENCE_LEAST_MS));
+			PLAIN_SILENCE_MIN_MS));
 	if (ex->in_backlog)
 		return (MAX(SILENCE_FIRST_FACTOR * ex->expected_ms,
-		    SILENCE_FIRST_LEAST_MS));
+		    SILENCE_FIRST_MIN_MS));
 	gap = fwd_expect_gap(ex->endpoint, ex->engine, ex->model) *
 	    ex->engine->stride;
-	return (MAX(SILENCE_FACTOR * gap, SILENCE_LEAST_MS));
+	return (MAX(SILENCE_FACTOR * gap, SILENCE_MIN_MS));
 }
 
-/* Whether the endpoint has said nothing to anyone for too long. */
+/* Whether the endpoint has sent nothing to any daemon for too long. */
 static bool
 exchange_is_silent(const struct fwd_exchange *ex, uint64_t now)
 {
 	uint64_t heard = MAX(ex->heard_ms, ex->endpoint->heard_ms);
 
-	/* A replica that answers others is busy, not lost. */
+	/* A replica that sends events to other daemons is busy, not lost. */
 	heard = MAX(heard, ex->endpoint->peer_heard_ms);
 	if (ex->paused || now < ex->fwd->grace_until_ms)
 		return (false);
-	/* A plain endpoint's other answers say nothing of this one. */
+	/* Other responses of an endpoint without a model tell nothing about
+	 * this one. */
 	if (ex->model == NULL)
 		heard = ex->heard_ms;
-	return ((double)(now - MIN(heard, now)) > exchange_silence_ms(ex) *
-		(now - ex->endpoint->avoided_ms < WARNED_MS ? WARNED_SHARE :
+	return ((double)(now - MIN(heard, now)) > exchange_silence_timeout(ex) *
+		(now - ex->endpoint->avoided_ms < WARNED_MS ? WARNED_FACTOR :
 							      1));
 }
 
-/* The endpoint is silent: avoid it, and move what may be moved. */
+/* Starts a cooldown of a silent endpoint, warns others and moves the request if
+ * that is allowed. */
 static void
-exchange_silent(struct fwd_exchange *ex, uint64_t now)
+exchange_handle_silence(struct fwd_exchange *ex, uint64_t now)
 {
 	struct endpoint *ep = ex->endpoint;
 
@@ -66,7 +71,7 @@
 		    ep->report.id,
 		    (unsigned long long)(now - MAX(ex->heard_ms, ep->heard_ms)),
 		    ep->inflight, ep->pending, ep->slowness, ex->id);
-		/* Its other connections may have fallen silent alike. */
+		/* Its idle connections may be dead as well. */
 		net_pool_clear(&ep->pool);
 		ep->cooldown_until_ms = now + COOLDOWN_SILENT_MS;
 		ep->warned_ms = now;
@@ -83,13 +88,13 @@
 }
 
 /**
- * fwd_silence_check() - judge the silence of the endpoint that has a request.
- * @ex: the exchange; it is connected
+ * fwd_silence_check() - check whether the endpoint of an exchange is silent.
+ * @ex: the exchange; its connection to the endpoint is established
  * @now_ms: loop time
  */
 void
 fwd_silence_check(struct fwd_exchange *ex, uint64_t now_ms)
 {
 	if (exchange_is_silent(ex, now_ms))
-		exchange_silent(ex, now_ms);
+		exchange_handle_silence(ex, now_ms);
 }
--- a/src/fwd-stats.c
+++ b/src/fwd-stats.c
@@ -1,4 +1,4 @@
-/* Counters and histograms of the forwarding engine, as text. */
+/* Counters and latency histograms of the proxy. */
 #include "fwd-stats.h"
 
 static const char *const count_names[COUNT_KINDS] = {
@@ -36,8 +36,8 @@
 } percentiles[] = { { "0.5", 0.5 }, { "0.95", 0.95 }, { "0.99", 0.99 } };
 
 /**
- * fwd_stats_init() - start all counters at zero.
- * @stats: the counters
+ * fwd_stats_init() - initialize zeroed counters and histograms.
+ * @stats: counters and histograms
  */
 void
 fwd_stats_init(struct fwd_stats *stats)
@@ -50,7 +50,7 @@
 
 /**
  * fwd_stats_clear() - free the histograms.
- * @stats: the counters
+ * @stats: counters and histograms
  */
 void
 fwd_stats_clear(struct fwd_stats *stats)
@@ -60,9 +60,9 @@
 }
 
 /**
- * fwd_stats_count() - count one.
- * @stats: the counters
- * @what: what happened
+ * fwd_stats_count() - increment a counter.
+ * @stats: counters and histograms
+ * @what: the counter
  */
 void
 fwd_stats_count(struct fwd_stats *stats, enum fwd_count what)
@@ -70,44 +70,45 @@
 	stats->counts[what]++;
 }
 
-/* The histograms of a name; NULL where there are too many names. */
+/* Finds or creates the histograms of a name; NULL if there are too many names.
+ */
 static struct fwd_latency *
-stats_label(GHashTable *table, const char *name)
+stats_latency(GHashTable *table, const char *name)
 {
-	struct fwd_latency *label = g_hash_table_lookup(table, name);
+	struct fwd_latency *latency = g_hash_table_lookup(table, name);
 
-	if (label != NULL || g_hash_table_size(table) >= FWD_STATS_LABELS_MAX)
-		return (label);
-	label = g_new0(struct fwd_latency, 1);
-	g_hash_table_insert(table, g_strdup(name), label);
-	return (label);
+	if (latency != NULL || g_hash_table_size(table) >= FWD_STATS_LABELS_MAX)
+		return (latency);
+	latency = g_new0(struct fwd_latency, 1);
+	g_hash_table_insert(table, g_strdup(name), latency);
+	return (latency);
 }
 
 static void
-label_add(struct fwd_latency *label, uint64_t first_us, uint64_t whole_us)
+latency_add(struct fwd_latency *latency, uint64_t first_us, uint64_t total_us)
 {
-	if (label == NULL)
+	if (latency == NULL)
 		return;
-	histogram_add(&label->first_us, first_us);
-	histogram_add(&label->total_us, whole_us);
+	histogram_add(&latency->first_us, first_us);
+	histogram_add(&latency->total_us, total_us);
 }
 
 /**
- * fwd_stats_add_latency() - count one answer's times.
- * @stats: the counters
- * @route: name of its route
- * @customer: who asked, or NULL
- * @first_us: to the first byte
- * @whole_us: to the end
+ * fwd_stats_add_latency() - add the latency of a complete response.
+ * @stats: counters and histograms
+ * @route: name of the route
+ * @customer: name of the customer, or NULL
+ * @first_us: time from the arrival of the request to the first byte
+ * @total_us: time from the arrival of the request to the end
  */
 void
 fwd_stats_add_latency(struct fwd_stats *stats, const char *route,
-    const char *customer, uint64_t first_us, uint64_t whole_us)
+    const char *customer, uint64_t first_us, uint64_t total_us)
 {
-	label_add(stats_label(stats->routes, route), first_us, whole_us);
+	latency_add(stats_latency(stats->routes, route), first_us, total_us);
 	if (customer != NULL)
-		label_add(stats_label(stats->customers, customer), first_us,
-		    whole_us);
+		latency_add(stats_latency(stats->customers, customer), first_us,
+		    total_us);
 }
 
 static void
@@ -125,25 +126,26 @@
 }
 
 static void
-print_labels(GString *out, const char *kind, GHashTable *table)
+print_latencies(GString *out, const char *kind, GHashTable *table)
 {
 	GHashTableIter iter;
 	gpointer name, value;
 
 	g_hash_table_iter_init(&iter, table);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
-		struct fwd_latency *label = value;
+		struct fwd_latency *latency = value;
 
 		print_histogram(out, "first_byte", kind, name,
-		    &label->first_us);
+		    &latency->first_us);
 		print_histogram(out, "whole_answer", kind, name,
-		    &label->total_us);
+		    &latency->total_us);
 	}
 }
 
 /**
- * fwd_stats_print() - write all counters and histograms.
- * @stats: the counters
+ * fwd_stats_print() - append all counters and histograms in the text format of
+ *	metrics.
+ * @stats: counters and histograms
  * @out: text to append to
  */
 void
@@ -152,6 +154,6 @@
 	for (size_t i = 0; i < COUNT_KINDS; i++)
 		g_string_append_printf(out, "banklift_%s_total %llu\n",
 		    count_names[i], (unsigned long long)stats->counts[i]);
-	print_labels(out, "route", stats->routes);
-	print_labels(out, "customer", stats->customers);
+	print_latencies(out, "route", stats->routes);
+	print_latencies(out, "customer", stats->customers);
 }
--- a/src/fwd-wire.h
+++ b/src/fwd-wire.h
@@ -1,4 +1,4 @@
-/* What a platform's adapter says of requests and answers. */
+/* Interface of a platform adapter for headers of requests and responses. */
 #ifndef BL_FWD_WIRE_H
 #define BL_FWD_WIRE_H
 
@@ -7,14 +7,14 @@
 #include "net-head.h"
 
 /**
- * struct wire_request - what a request's head says, decoded.
- * @id: of this attempt; NULL when missing
- * @key: the customer's key, or NULL
- * @model: the model asked for, or NULL
- * @deadline_ms: how long the client waits; -1 when not said
- * @prompt_tokens: size of the prompt; 0 when not said
- * @response_tokens: most tokens of the answer; 0 when not said
- * @last_event: the client has the events up to this one; -1 for none
+ * struct wire_request - decoded headers of a client's request.
+ * @id: id of the attempt, or NULL
+ * @key: the customer's API key, or NULL
+ * @model: name of the requested model, or NULL
+ * @deadline_ms: how long the client waits; -1 if not given
+ * @prompt_tokens: length of the prompt; 0 if not given
+ * @response_tokens: maximum length of the response, in tokens; 0 if not given
+ * @last_event: the client has the events up to this id; -1 for none
  */
 struct wire_request {
 	const char *id;
@@ -27,12 +27,12 @@
 };
 
 /**
- * struct wire_forward - what an endpoint is told with a request.
- * @endpoint: incarnation that is meant
- * @customer: who asks, or NULL
- * @left_ms: time left
- * @last_event: go on after this event; -1 for the start
- * @priority: 0 is first; -1 to say nothing
+ * struct wire_forward - headers that are set on a request to an endpoint.
+ * @endpoint: id of the incarnation that the request is meant for
+ * @customer: name of the customer, or NULL
+ * @left_ms: time left until the deadline
+ * @last_event: resume after this event; -1 to start at the beginning
+ * @priority: 0 is the most urgent; -1 to send none
  */
 struct wire_forward {
 	const char *endpoint;
@@ -43,11 +43,15 @@
 };
 
 /**
- * enum feedback_kind - what an endpoint may say of itself in any answer.
- * @FEEDBACK_BACKOFF: it wants nothing from this daemon for so many ms
- * @FEEDBACK_DRAINING: 1 where it ends what it has and takes nothing new
- * @FEEDBACK_LIMIT: the requests a second that it takes from all daemons
- * together
+ * enum feedback_kind - feedback about itself that an endpoint may put into any
+ *	response.
+ * @FEEDBACK_BACKOFF: backoff: this daemon is to send it nothing for this long,
+ *	in ms
+ * @FEEDBACK_DRAINING: 1 if it is draining: it completes what it has and accepts
+ *	nothing new
+ * @FEEDBACK_LIMIT: rate limit: requests per second that it accepts from all
+ *	daemons together
+ * @FEEDBACK_KINDS: number of kinds
  */
 enum feedback_kind {
 	FEEDBACK_BACKOFF,
@@ -57,9 +61,9 @@
 };
 
 /**
- * struct feedback - one word of an endpoint.
- * @text: as it stands in the head; NULL where it doesn't
- * @number: the same as a number in the word's unit; NAN where it is none
+ * struct feedback - one item of feedback.
+ * @text: value of the header; NULL if the response doesn't have it
+ * @number: the value as a number, in the unit of its kind; NAN if it is none
  */
 struct feedback {
 	const char *text;
@@ -67,13 +71,14 @@
 };
 
 /**
- * struct wire_response - what an answer's head says, decoded.
- * @id: of the attempt that it answers, or NULL
- * @has_signature: it carries the endpoint's proof
- * @not_run: the endpoint says that it did not run the request
- * @wrong_endpoint: another incarnation than the one meant has the address
- * @lost_member: the endpoint that the work depended on, or NULL
- * @feedback: what the endpoint says of itself, by enum feedback_kind
+ * struct wire_response - decoded headers of an endpoint's response.
+ * @id: id of the attempt that it responds to, or NULL
+ * @has_signature: it has the endpoint's signature header
+ * @not_run: the endpoint did not run the request
+ * @wrong_endpoint: the address belongs to another incarnation than the one
+ *	that the request was meant for
+ * @lost_member: id of another endpoint whose loss made it refuse, or NULL
+ * @feedback: feedback about the endpoint, indexed by enum feedback_kind
  */
 struct wire_response {
 	const char *id;
@@ -85,11 +90,11 @@
 };
 
 /**
- * struct wire_ops - an adapter's functions for requests and answers.
- * @read_request: decode a request's head
- * @passes_header: whether a request header goes on to the endpoint unchanged
- * @write_forward: append the headers that are set for the endpoint
- * @read_response: decode an answer's head
+ * struct wire_ops - a platform adapter's functions for headers.
+ * @read_request: decodes the headers of a request
+ * @passes_header: returns whether a request header is forwarded unchanged
+ * @write_forward: appends the headers that are set for the endpoint
+ * @read_response: decodes the status and headers of a response
  */
 struct wire_ops {
 	void (*read_request)(const struct net_head *, struct wire_request *);
--- a/src/fwd.c
+++ b/src/fwd.c
@@ -1,19 +1,20 @@
-/* The forwarding engine: callers on one side, endpoints on the other. */
+/* Reverse proxy: forwards the requests of clients to endpoints. */
 #include <string.h>
 
 #include "clock.h"
 #include "event-log.h"
 #include "fwd-exchange.h"
 
-#define BACKLOG 512
-/* How often times are looked at while there are exchanges; a tenth of the
- * shortest bound that hangs on it. */
+#define LISTEN_BACKLOG 512
+/* Tick interval while there are exchanges; a tenth of the shortest timeout that
+ * depends on it. */
 #define TICK_BUSY_MS 25
 #define TICK_IDLE_MS 250
-/* A tick this late means that this process stood still. */
+/* A tick this late means that this process was stopped. */
 #define PAUSE_MS 200
-/* Time after a pause in which what piled up is read first. */
-#define BLIND_MS 400
+/* Time after a pause in which the data that has queued up is read before any
+ * endpoint is judged silent. */
+#define PAUSE_GRACE_MS 400
 
 static void
 on_connection(uv_stream_t *listener, int status)
@@ -22,7 +23,7 @@
 		fwd_conn_accept(listener->data, listener);
 }
 
-/* Looks at every exchange; each may end and free itself. */
+/* Checks the timeouts of all exchanges; each may end and free itself. */
 static void
 tick_exchanges(struct fwd *fwd, uint64_t now)
 {
@@ -37,7 +38,7 @@
 }
 
 static void
-tick_callers(struct fwd *fwd, uint64_t now)
+tick_conns(struct fwd *fwd, uint64_t now)
 {
 	struct fwd_conn *c, *next;
 
@@ -47,9 +48,9 @@
 	}
 }
 
-/* Those that wait, the more urgent first. */
+/* Dispatches the queued exchanges, the most urgent first. */
 static void
-try_waiting(struct fwd *fwd)
+dispatch_queue(struct fwd *fwd)
 {
 	struct fwd_exchange *ex = TAILQ_FIRST(&fwd->queue);
 
@@ -69,31 +70,32 @@
 
 	if (fwd->last_tick_ms != 0 &&
 	    now - fwd->last_tick_ms > TICK_IDLE_MS + PAUSE_MS) {
-		fwd->grace_until_ms = now + BLIND_MS;
+		fwd->grace_until_ms = now + PAUSE_GRACE_MS;
 		event_log(LOG_NOTICE, "paused", "ms=%llu",
 		    (unsigned long long)(now - fwd->last_tick_ms));
 	}
 	fwd->last_tick_ms = now;
 	tick_exchanges(fwd, now);
-	try_waiting(fwd);
-	tick_callers(fwd, now);
+	dispatch_queue(fwd);
+	tick_conns(fwd, now);
 	uv_timer_start(timer, on_tick,
 	    fwd->n_exchanges > 0 ? TICK_BUSY_MS : TICK_IDLE_MS, 0);
 }
 
-/* Gives freed places to those that wait, and reads held requests. */
+/* Dispatches queued exchanges and reads pipelined requests. */
 static void
-on_kick(uv_timer_t *timer)
+on_dispatch(uv_timer_t *timer)
 {
 	struct fwd *fwd = timer->data;
 
-	try_waiting(fwd);
-	tick_callers(fwd, clock_loop_ms(fwd->loop));
+	dispatch_queue(fwd);
+	tick_conns(fwd, clock_loop_ms(fwd->loop));
 }
 
 /**
- * fwd_tick_soon() - an exchange began: look at times often again.
- * @fwd: the engine
+ * fwd_tick_soon() - tick at the short interval again, now that an exchange
+ * exists.
+ * @fwd: the proxy
  */
 void
 fwd_tick_soon(struct fwd *fwd)
@@ -103,20 +105,21 @@
 }
 
 /**
- * fwd_schedule_dispatch() - look at waiting exchanges and held requests soon.
- * @fwd: the engine
+ * fwd_schedule_dispatch() - dispatch queued exchanges and read pipelined
+ *	requests in the next round of the loop.
+ * @fwd: the proxy
  */
 void
 fwd_schedule_dispatch(struct fwd *fwd)
 {
 	if (!uv_is_active((uv_handle_t *)&fwd->dispatch_timer))
-		uv_timer_start(&fwd->dispatch_timer, on_kick, 0, 0);
+		uv_timer_start(&fwd->dispatch_timer, on_dispatch, 0, 0);
 }
 
 /**
- * fwd_budget_get() - the retry budget of a service.
- * @fwd: the engine
- * @service: its name
+ * fwd_budget_get() - find or create the retry budget of a service.
+ * @fwd: the proxy
+ * @service: name of the service
  */
 struct fwd_budget *
 fwd_budget_get(struct fwd *fwd, const char *service)
@@ -131,28 +134,28 @@
 }
 
 /**
- * fwd_estimate_get() - what answers of a model or service showed.
- * @fwd: the engine
- * @name: of the model, or of a service without models
+ * fwd_estimate_get() - find or create the estimates of a model or service.
+ * @fwd: the proxy
+ * @name: name of the model, or of a service without models
  */
 struct fwd_estimate *
 fwd_estimate_get(struct fwd *fwd, const char *name)
 {
-	struct fwd_estimate *learned =
+	struct fwd_estimate *estimate =
 	    g_hash_table_lookup(fwd->estimates, name);
 
-	if (learned == NULL) {
-		learned = g_new0(struct fwd_estimate, 1);
-		g_hash_table_insert(fwd->estimates, g_strdup(name), learned);
+	if (estimate == NULL) {
+		estimate = g_new0(struct fwd_estimate, 1);
+		g_hash_table_insert(fwd->estimates, g_strdup(name), estimate);
 	}
-	return (learned);
+	return (estimate);
 }
 
 /**
- * fwd_open() - start the engine.
- * @fwd: the engine; wire, dir and set are filled in
+ * fwd_open() - start the proxy.
+ * @fwd: the proxy; wire, registry and set are filled in
  * @loop: the event loop
- * @addr: where callers connect
+ * @addr: address to listen on for clients
  *
  * Return: 0, or a libuv error.
  */
@@ -180,14 +183,14 @@
 	uv_timer_start(&fwd->tick, on_tick, TICK_IDLE_MS, 0);
 	rc = uv_tcp_bind(&fwd->listener, (const struct sockaddr *)addr, 0);
 	if (rc == 0)
-		rc = uv_listen((uv_stream_t *)&fwd->listener, BACKLOG,
+		rc = uv_listen((uv_stream_t *)&fwd->listener, LISTEN_BACKLOG,
 		    on_connection);
 	return (rc);
 }
 
 /**
- * fwd_drain() - close each connection after its next answer.
- * @fwd: the engine
+ * fwd_drain() - close each client connection after its next response.
+ * @fwd: the proxy
  */
 void
 fwd_drain(struct fwd *fwd)
@@ -196,8 +199,8 @@
 }
 
 /**
- * fwd_stop_listening() - take no new connections.
- * @fwd: the engine
+ * fwd_stop_listening() - close the listening socket.
+ * @fwd: the proxy
  */
 void
 fwd_stop_listening(struct fwd *fwd)
@@ -209,9 +212,9 @@
 }
 
 /**
- * fwd_close_conns() - close connections.
- * @fwd: the engine
- * @busy: also those with a request in progress
+ * fwd_close_conns() - close client connections.
+ * @fwd: the proxy
+ * @busy: also close those with a request in progress
  */
 void
 fwd_close_conns(struct fwd *fwd, bool busy)
@@ -229,11 +232,11 @@
 }
 
 /**
- * fwd_conns_drained() - whether no caller waits for anything.
- * @fwd: the engine
+ * fwd_conns_drained() - whether no client waits for anything.
+ * @fwd: the proxy
  *
- * Those that still read an answer have it in their hands: the system goes on
- * sending it when the process is gone.
+ * Responses that are with the kernel need not be waited for: it goes on sending
+ * them when the process has exited.
  */
 bool
 fwd_conns_drained(const struct fwd *fwd)
--- a/tests/test-budget.c
+++ b/tests/test-budget.c
@@ -1,16 +1,16 @@
-/* Scripts over the retry budget that all daemons share. */
+/* Scripts for the retry budget that all daemons share. */
 #include "fwd-budget.h"
 #include "script.h"
 
 static struct fwd_budget budget;
-static struct fwd_daemon_peak sharers;
+static struct fwd_daemon_peak peak;
 static const struct fwd_budget_rule rule = { 0.2, 100, 10000 };
 
 static void
 reset(void)
 {
 	budget = (struct fwd_budget){ 0 };
-	sharers = (struct fwd_daemon_peak){ 0 };
+	peak = (struct fwd_daemon_peak){ 0 };
 }
 
 /* requests n=N at=MS */
@@ -24,9 +24,9 @@
 		    script_number(rest, "at", 0));
 }
 
-/* repeats n=N at=MS daemons=N: how many of N repeats are granted */
+/* retries n=N at=MS daemons=N: how many of N retries are granted */
 static void
-exec_repeats(const char *rest, GString *out)
+exec_retries(const char *rest, GString *out)
 {
 	guint64 n = script_number(rest, "n", 1);
 	unsigned granted = 0;
@@ -38,20 +38,19 @@
 	g_string_append_printf(out, "granted %u\n", granted);
 }
 
-/* living n=N at=MS: daemons that are seen, and among how many the slack goes */
+/* alive n=N at=MS: daemons seen alive; prints how many share the slack */
 static void
-exec_living(const char *rest, GString *out)
+exec_alive(const char *rest, GString *out)
 {
 	g_string_append_printf(out, "shared by %u\n",
-	    fwd_daemon_peak_update(&sharers,
-		(unsigned)script_number(rest, "n", 1), rule.window_ms,
-		script_number(rest, "at", 0)));
+	    fwd_daemon_peak_update(&peak, (unsigned)script_number(rest, "n", 1),
+		rule.window_ms, script_number(rest, "at", 0)));
 }
 
 static const struct script_command commands[] = {
 	{ "requests", exec_requests },
-	{ "repeats", exec_repeats },
-	{ "living", exec_living },
+	{ "retries", exec_retries },
+	{ "alive", exec_alive },
 	{ NULL, NULL },
 };
 
