--- a/src/keeper-adopt.c
+++ b/src/keeper-adopt.c
@@ -1,37 +1,45 @@
-/* Groups that serve without a record: they are closed before any reuse. */
+/*
+ * Groups that serve but have no record: they are closed before their hosts are
+ * used again.
+ */
 #include <string.h>
 
 #include "event-log.h"
 #include "keeper.h"
 
-/* Entries read this long after a group's end are newer than its end. */
-#define ENTRY_NEWER_MS 1500
+/*
+ * An entry that was read at least this long after a group was dissolved was
+ * written after that.
+ */
+#define ENTRY_LAG_MS 1500
 
 /* Whether a group has a record. */
 static bool
-group_known(const struct keeper *k, const char *name)
+group_has_record(const struct keeper *p, const char *name)
 {
 	const struct replica *r;
 
-	TAILQ_FOREACH(r, &k->replicas, entry) {
+	TAILQ_FOREACH(r, &p->replicas, entry) {
 		if (strcmp(r->name, name) == 0)
 			return (true);
 	}
 	return (false);
 }
 
-/* Whether an entry may date from before its group was dissolved here. */
+/* Whether an entry may be older than the end of its group. */
 static bool
-entry_old(const struct keeper *k, const struct endpoint *ep)
+entry_predates_dissolve(const struct keeper *p, const struct endpoint *ep)
 {
-	const uint64_t *ended = g_hash_table_lookup(k->ended, ep->report.group);
+	const uint64_t *ended = g_hash_table_lookup(p->ended, ep->report.group);
 
-	return (ended != NULL && ep->seen_ms < *ended + ENTRY_NEWER_MS);
+	return (ended != NULL && ep->seen_ms < *ended + ENTRY_LAG_MS);
 }
 
-/* A replica, to be dissolved, of all that report a head's group. */
+/*
+ * Adds a replica of all hosts that report the group of a head, to be dissolved.
+ */
 static void
-adopt_head(struct keeper *k, const struct endpoint *head, uint64_t now_ms)
+adopt_group(struct keeper *p, const struct endpoint *head, uint64_t now_ms)
 {
 	struct replica *r =
 	    replica_create(head->report.group, head->report.service,
@@ -40,7 +48,7 @@
 	const struct endpoint *ep;
 
 	replica_add_member(r, head->report.id, &head->report.address);
-	TAILQ_FOREACH(ep, &k->dir->fleet.endpoints, entry) {
+	TAILQ_FOREACH(ep, &p->dir->fleet.endpoints, entry) {
 		if (ep != head && g_strcmp0(ep->report.group, r->name) == 0 &&
 		    ep->report.epoch == r->epoch)
 			replica_add_member(r, ep->report.id,
@@ -54,12 +62,12 @@
 	    "group=%s epoch=%lld head=%s state=%s hosts=%u", r->name,
 	    (long long)r->epoch, head->report.id,
 	    group_state_name(head->report.state), r->n);
-	TAILQ_INSERT_TAIL(&k->replicas, r, entry);
+	TAILQ_INSERT_TAIL(&p->replicas, r, entry);
 }
 
 /**
- * keeper_heads() - whether an endpoint is the head of a group that serves, or
- * would once an order to open comes late, as far as is known.
+ * keeper_heads() - whether an endpoint is, as far as is known, the head of a
+ * group that serves, or that would serve if an order to open arrived late.
  * @ep: the endpoint
  */
 bool
@@ -73,21 +81,22 @@
 }
 
 /**
- * keeper_adopt() - find heads of groups without a record.
- * @k: the keeper
- * @now_ms: loop time
+ * keeper_adopt() - adopt groups that serve but have no record.
+ * @p: the placer
+ * @now_ms: loop time, in ms
  *
  * Such a group was dissolved while its head could not be reached. Its hosts
  * are free only once it has been closed.
  */
 void
-keeper_adopt(struct keeper *k, uint64_t now_ms)
+keeper_adopt(struct keeper *p, uint64_t now_ms)
 {
 	struct endpoint *ep;
 
-	TAILQ_FOREACH(ep, &k->dir->fleet.endpoints, entry) {
+	TAILQ_FOREACH(ep, &p->dir->fleet.endpoints, entry) {
 		if (ep->lapsed_ms == 0 && keeper_heads(ep) &&
-		    !group_known(k, ep->report.group) && !entry_old(k, ep))
-			adopt_head(k, ep, now_ms);
+		    !group_has_record(p, ep->report.group) &&
+		    !entry_predates_dissolve(p, ep))
+			adopt_group(p, ep, now_ms);
 	}
 }
--- a/src/keeper-call.c
+++ b/src/keeper-call.c
@@ -1,23 +1,29 @@
-/* Orders and questions to hosts, and what their answers tell. */
+/* Orders and queries to hosts, and the handling of their answers. */
 #include <string.h>
 
 #include "clock.h"
 #include "event-log.h"
 #include "keeper.h"
 
-/* An order that has no answer after this is given again. */
+/* An order without an answer within this time is sent again. */
 #define ORDER_TIMEOUT_MS 800
-/* A host that does not answer a question in this time is silent. */
+/* A host that does not answer a query within this time is silent. */
 #define ASK_TIMEOUT_MS 250
-/* Orders and questions on their way at once: a fleet of hundreds of hosts is
- * told in some tens of round trips, and no turn of the loop gets long. */
-#define CALLS_MOST 64
-/* Groups of one host that only holds a model. */
-#define SOLE_PREFIX "w"
-/* Between two questions to one host. */
-#define ASK_AGAIN_MS 300
-
-/* An order or question on its way to a member. */
+/*
+ * Maximum number of orders and queries in flight: a fleet of hundreds of hosts
+ * gets its orders within some tens of round trips, and no iteration of the
+ * event loop takes long.
+ */
+#define CALLS_MAX 64
+/* Name prefix of groups of one host that only keeps a model in memory. */
+#define WARM_PREFIX "w"
+/* Minimum time between two queries to one host. */
+#define ASK_INTERVAL_MS 300
+
+/*
+ * An order or query in flight. The group is NULL for an order to a host outside
+ * a replica.
+ */
 struct keeper_call {
 	struct keeper *keeper;
 	int64_t term;
@@ -28,26 +34,29 @@
 };
 
 static struct replica *
-replica_find(struct keeper *k, const char *name)
+replica_find(struct keeper *p, const char *name)
 {
 	struct replica *r;
 
-	TAILQ_FOREACH(r, &k->replicas, entry) {
+	TAILQ_FOREACH(r, &p->replicas, entry) {
 		if (strcmp(r->name, name) == 0)
 			return (r);
 	}
 	return (NULL);
 }
 
-/* The member that a call went to, if it is still the placer's. */
+/*
+ * Finds the member that a call went to. Returns NULL if the lease under which
+ * the call was made is no longer held, or the replica is gone.
+ */
 static struct replica_member *
 call_member(const struct keeper_call *call, struct replica **replica)
 {
-	struct keeper *k = call->keeper;
+	struct keeper *p = call->keeper;
 	struct replica *r = NULL;
 
-	if (k->state == KEEPER_HOLDING && k->term == call->term)
-		r = replica_find(k, call->group);
+	if (p->state == KEEPER_HOLDING && p->term == call->term)
+		r = replica_find(p, call->group);
 	*replica = r;
 	for (unsigned i = 0; r != NULL && i < r->n; i++) {
 		if (strcmp(r->members[i].id, call->id) == 0)
@@ -66,45 +75,46 @@
 }
 
 /**
- * keeper_calls_free() - whether one more order or question may go out now.
- * @k: the keeper
+ * keeper_calls_free() - whether one more order or query may be sent now.
+ * @p: the placer
  */
 bool
-keeper_calls_free(const struct keeper *k)
+keeper_calls_free(const struct keeper *p)
 {
-	return (k->calls < CALLS_MOST);
+	return (p->calls < CALLS_MAX);
 }
 
 static struct keeper_call *
-call_new(struct keeper *k, const struct replica *r, unsigned member)
+call_new(struct keeper *p, const struct replica *r, unsigned member)
 {
 	struct keeper_call *call = g_new0(struct keeper_call, 1);
 
-	call->keeper = k;
-	k->calls++;
-	call->term = k->term;
+	call->keeper = p;
+	p->calls++;
+	call->term = p->term;
 	call->group = g_strdup(r->name);
 	call->id = g_strdup(r->members[member].id);
-	call->sent_ms = clock_loop_ms(k->loop);
+	call->sent_ms = clock_loop_ms(p->loop);
 	return (call);
 }
 
 /*
- * Another incarnation answered in the place of a host, so that host has ended,
- * though its entry may stand for three beats more: no group is formed with it.
+ * Marks a host as gone after another incarnation has answered at its address.
+ * Its entry may last for three more heartbeats, and no group may be formed with
+ * it meanwhile.
  */
 static void
-host_ended(struct keeper *k, const char *id)
+host_mark_gone(struct keeper *p, const char *id)
 {
-	struct endpoint *ep = fleet_find(&k->dir->fleet, id);
+	struct endpoint *ep = fleet_find(&p->dir->fleet, id);
 
 	if (ep != NULL)
 		fleet_gone(ep);
 }
 
-/* What the end of an order to join tells of the member. */
+/* Updates a member from the result of an order to join. */
 static void
-member_learn_join(struct replica_member *m, enum order_result result,
+member_set_join_result(struct replica_member *m, enum order_result result,
     uint64_t now_ms)
 {
 	if (result == ORDER_UNKNOWN)
@@ -117,15 +127,15 @@
 	m->unproven = false;
 }
 
-/* What the end of an order tells of the member. */
+/* Updates a member and its replica from the result of an order. */
 static void
-member_learn(struct replica *r, struct replica_member *m, enum order_kind order,
-    enum order_result result, uint64_t now_ms)
+member_set_order_result(struct replica *r, struct replica_member *m,
+    enum order_kind order, enum order_result result, uint64_t now_ms)
 {
 	bool done = result == ORDER_TAKEN || result == ORDER_UNFIT;
 
 	if (order == ORDER_JOIN)
-		member_learn_join(m, result, now_ms);
+		member_set_join_result(m, result, now_ms);
 
 	if (done && order == ORDER_LEAVE) {
 		m->left = true;
@@ -136,9 +146,10 @@
 		r->head_closed = true;
 }
 
-/* An order ended without an answer: the member is asked what it holds. */
+/* Marks a member that did not answer an order, so that it is queried. */
 static void
-member_doubt(struct replica_member *m, enum order_kind order, uint64_t now_ms)
+member_set_unanswered(struct replica_member *m, enum order_kind order,
+    uint64_t now_ms)
 {
 	m->suspect_ms = now_ms;
 	m->doubt_ms = now_ms;
@@ -146,10 +157,10 @@
 }
 
 static void
-on_ordered(void *arg, enum order_result result)
+on_order_done(void *arg, enum order_result result)
 {
 	struct keeper_call *call = arg;
-	struct keeper *k = call->keeper;
+	struct keeper *p = call->keeper;
 	struct replica *r;
 	struct replica_member *m = call_member(call, &r);
 
@@ -157,73 +168,79 @@
 	    "group=%s member=%s order=%s result=%s ms=%llu term=%lld",
 	    call->group, call->id, order_kind_name(call->order),
 	    order_result_name(result),
-	    (unsigned long long)(clock_loop_ms(k->loop) - call->sent_ms),
+	    (unsigned long long)(clock_loop_ms(p->loop) - call->sent_ms),
 	    (long long)call->term);
 	if (result == ORDER_OTHER)
-		host_ended(k, call->id);
+		host_mark_gone(p, call->id);
 	if (m != NULL) {
 		m->busy = false;
 		if (result == ORDER_UNKNOWN)
-			member_doubt(m, call->order, clock_loop_ms(k->loop));
-		member_learn(r, m, call->order, result, clock_loop_ms(k->loop));
+			member_set_unanswered(m, call->order,
+			    clock_loop_ms(p->loop));
+		member_set_order_result(r, m, call->order, result,
+		    clock_loop_ms(p->loop));
 		if (result == ORDER_OTHER)
 			m->life = MEMBER_DEAD;
 		if (result == ORDER_FENCED && call->order != ORDER_JOIN)
-			keeper_lose(k, "fenced");
+			keeper_lose(p, "fenced");
 	}
-	dir_follow_hurry(&k->dir->endpoints);
-	keeper_look_soon(k);
+	dir_follow_hurry(&p->dir->endpoints);
+	keeper_look_soon(p);
 	call_free(call);
 }
 
 /**
- * keeper_sole() - whether a group is one of a single host, never opened.
- * @name: of the group
+ * keeper_sole() - whether a group consists of one host that only keeps a model
+ * in memory; such a group is never opened.
+ * @name: name of the group
  */
 bool
 keeper_sole(const char *name)
 {
-	return (g_str_has_prefix(name, SOLE_PREFIX));
+	return (g_str_has_prefix(name, WARM_PREFIX));
 }
 
-/* Connections for calls to a host: its endpoint's, or ones for its address. */
+/*
+ * Connections for calls to a member: those of its endpoint, or, if that is not
+ * known, a pool for its address.
+ */
 static struct net_pool *
-member_pool(struct keeper *k, const struct replica_member *m)
+member_pool(struct keeper *p, const struct replica_member *m)
 {
-	struct endpoint *ep = fleet_find(&k->dir->fleet, m->id);
+	struct endpoint *ep = fleet_find(&p->dir->fleet, m->id);
 	struct net_pool *pool;
 	gint64 key;
 
 	if (ep != NULL)
 		return (&ep->pool);
 	key = (gint64)m->address.sin_addr.s_addr << 16 | m->address.sin_port;
-	pool = g_hash_table_lookup(k->pools, &key);
+	pool = g_hash_table_lookup(p->pools, &key);
 	if (pool == NULL) {
 		pool = g_new0(struct net_pool, 1);
-		net_pool_init(pool, k->loop, &m->address);
-		pool->source = k->dir->fleet.source;
-		g_hash_table_insert(k->pools, g_memdup2(&key, sizeof key),
+		net_pool_init(pool, p->loop, &m->address);
+		pool->source = p->dir->fleet.source;
+		g_hash_table_insert(p->pools, g_memdup2(&key, sizeof key),
 		    pool);
 	}
 	return (pool);
 }
 
 /**
- * keeper_order() - give an order to a member.
- * @k: the keeper; its lease was checked just before
+ * keeper_order() - send an order to a member.
+ * @p: the placer; its lease was verified just before
  * @r: the replica
- * @index: of the member
- * @kind: which
+ * @index: index of the member
+ * @kind: which order
  */
 void
-keeper_order(struct keeper *k, struct replica *r, unsigned index,
+keeper_order(struct keeper *p, struct replica *r, unsigned index,
     enum order_kind kind)
 {
 	struct replica_member *m = &r->members[index];
 	g_autoptr(GPtrArray) ids = g_ptr_array_new();
-	struct keeper_call *call = call_new(k, r, index);
+	struct keeper_call *call = call_new(p, r, index);
 	struct order order = { .kind = kind,
-		.fence = k->term,
+		.fence = p->term,
 		.group = r->name,
 		.epoch = r->epoch };
 
@@ -235,21 +252,21 @@
 	}
 	call->order = kind;
 	m->order = kind;
-	m->ordered_ms = clock_loop_ms(k->loop);
-	/* A placer that ends leaves no line on the orders' ends. */
+	m->ordered_ms = clock_loop_ms(p->loop);
+	/* If this daemon ends, the results of its orders are never logged. */
 	event_log(LOG_INFO, "order_given",
 	    "group=%s member=%s rank=%u order=%s epoch=%lld term=%lld", r->name,
 	    m->id, index, order_kind_name(kind), (long long)r->epoch,
-	    (long long)k->term);
-	m->busy = k->orders->send(member_pool(k, m), m->id, &order,
-	    ORDER_TIMEOUT_MS, on_ordered, call);
+	    (long long)p->term);
+	m->busy = p->orders->send(member_pool(p, m), m->id, &order,
+	    ORDER_TIMEOUT_MS, on_order_done, call);
 	if (!m->busy)
 		call_free(call);
 }
 
-/* A member says something else of its group than was known of it. */
+/* Logs a member's answer if it changes what was known of the member. */
 static void
-member_log_told(const struct replica *r, const struct replica_member *m,
+member_log_change(const struct replica *r, const struct replica_member *m,
     const struct replica_member *was, const struct endpoint_report *report)
 {
 	if (m->here == was->here && m->state == was->state &&
@@ -264,19 +281,19 @@
 	    (long long)report->started_ms);
 }
 
-/* Takes in what a member says of itself when it is asked. */
+/* Updates a member from its answer to a query. */
 static void
-member_take(struct replica *r, struct replica_member *m,
+member_set_report(struct replica *r, struct replica_member *m,
     const struct endpoint_report *report, uint64_t now_ms)
 {
 	struct replica_member was = *m;
 
 	replica_member_told(r, m, report, now_ms);
-	member_log_told(r, m, &was, report);
+	member_log_change(r, m, &was, report);
 }
 
 static void
-on_reported(void *arg, enum order_answer answer, struct endpoint_report *report)
+on_report(void *arg, enum order_answer answer, struct endpoint_report *report)
 {
 	struct keeper_call *call = arg;
 	struct replica *r;
@@ -284,11 +301,11 @@
 	uint64_t now = clock_loop_ms(call->keeper->loop);
 
 	if (answer == ANSWER_ABSENT)
-		host_ended(call->keeper, call->id);
+		host_mark_gone(call->keeper, call->id);
 	if (m != NULL) {
 		m->asking = false;
 		if (answer == ANSWER_REPORT)
-			member_take(r, m, report, now);
+			member_set_report(r, m, report, now);
 		else if (m->silent_ms == 0)
 			m->silent_ms = call->sent_ms;
 		m->absent = answer == ANSWER_ABSENT;
@@ -302,31 +319,32 @@
 }
 
 /**
- * keeper_ask() - ask a member directly, unless it was asked just now.
- * @k: the keeper
+ * keeper_ask() - query a member for its report, at most once per
+ * ASK_INTERVAL_MS.
+ * @p: the placer
  * @r: the replica
- * @index: of the member
+ * @index: index of the member
  */
 void
-keeper_ask(struct keeper *k, struct replica *r, unsigned index)
+keeper_ask(struct keeper *p, struct replica *r, unsigned index)
 {
 	struct replica_member *m = &r->members[index];
-	uint64_t now = clock_loop_ms(k->loop);
+	uint64_t now = clock_loop_ms(p->loop);
 	struct keeper_call *call;
 
-	if (m->asking || !keeper_calls_free(k) ||
-	    (m->asked_ms != 0 && now - m->asked_ms < ASK_AGAIN_MS))
+	if (m->asking || !keeper_calls_free(p) ||
+	    (m->asked_ms != 0 && now - m->asked_ms < ASK_INTERVAL_MS))
 		return;
-	call = call_new(k, r, index);
+	call = call_new(p, r, index);
 	m->asked_ms = now;
-	m->asking = k->orders->ask(member_pool(k, m), m->id, ASK_TIMEOUT_MS,
-	    on_reported, call);
+	m->asking = p->orders->ask(member_pool(p, m), m->id, ASK_TIMEOUT_MS,
+	    on_report, call);
 	if (!m->asking)
 		call_free(call);
 }
 
 static void
-on_prepared(void *arg, enum order_result result)
+on_host_order_done(void *arg, enum order_result result)
 {
 	struct keeper_call *call = arg;
 
@@ -335,74 +353,74 @@
 	    call->order == ORDER_STAGE ? "stage" : "warm",
 	    order_result_name(result), (long long)call->term);
 	if (result == ORDER_OTHER)
-		host_ended(call->keeper, call->id);
+		host_mark_gone(call->keeper, call->id);
 	if (call->order == ORDER_STAGE)
 		keeper_stage_answered(call->keeper, call->id, result);
 	call_free(call);
 }
 
-/* Gives an order to a host by itself; false where none was sent. */
+/* Sends an order to a host outside a replica; returns whether it was sent. */
 static bool
-host_order(struct keeper *k, const char *id, const struct order *order)
+host_send_order(struct keeper *p, const char *id, const struct order *order)
 {
-	struct endpoint *ep = fleet_find(&k->dir->fleet, id);
+	struct endpoint *ep = fleet_find(&p->dir->fleet, id);
 	struct keeper_call *call = g_new0(struct keeper_call, 1);
 
-	call->keeper = k;
-	k->calls++;
-	call->term = k->term;
+	call->keeper = p;
+	p->calls++;
+	call->term = p->term;
 	call->id = g_strdup(id);
 	call->order = order->kind;
 	if (ep != NULL &&
-	    k->orders->send(&ep->pool, id, order, ORDER_TIMEOUT_MS, on_prepared,
-		call))
+	    p->orders->send(&ep->pool, id, order, ORDER_TIMEOUT_MS,
+		on_host_order_done, call))
 		return (true);
 	call_free(call);
 	return (false);
 }
 
 /**
- * keeper_order_stage() - have a host copy a model beside its work.
- * @k: the keeper
- * @id: the host
- * @model: the model
+ * keeper_order_stage() - order a host to copy a model beside its other work.
+ * @p: the placer
+ * @id: id of the host
+ * @model: name of the model
  *
- * Return: false where nothing was sent.
+ * Return: whether the order was sent.
  */
 bool
-keeper_order_stage(struct keeper *k, const char *id, const char *model)
+keeper_order_stage(struct keeper *p, const char *id, const char *model)
 {
 	const struct order order = { .kind = ORDER_STAGE,
-		.fence = k->term,
+		.fence = p->term,
 		.model = model };
 
-	return (host_order(k, id, &order));
+	return (host_send_order(p, id, &order));
 }
 
 /**
- * keeper_order_warm() - have an idle host take a model into memory.
- * @k: the keeper
- * @id: the host
- * @model: the model
- * @epoch: above those of all groups so far
+ * keeper_order_warm() - order an idle host to load a model into memory.
+ * @p: the placer
+ * @id: id of the host
+ * @model: name of the model
+ * @epoch: an epoch above those of all groups so far
  *
- * It joins a group of its own that is never opened, so it serves nothing and
- * needs no record; the next join replaces it.
+ * The host joins a group of its own that is never opened. That group serves
+ * nothing, so it needs no record; the next order to join replaces it.
  */
 void
-keeper_order_warm(struct keeper *k, const char *id, const char *model,
+keeper_order_warm(struct keeper *p, const char *id, const char *model,
     int64_t epoch)
 {
 	g_autofree char *group =
-	    g_strdup_printf(SOLE_PREFIX "%lld", (long long)epoch);
+	    g_strdup_printf(WARM_PREFIX "%lld", (long long)epoch);
 	g_autoptr(GPtrArray) members = g_ptr_array_new();
 	const struct order order = { .kind = ORDER_JOIN,
-		.fence = k->term,
+		.fence = p->term,
 		.group = group,
 		.epoch = epoch,
 		.model = model,
 		.members = members };
 
 	g_ptr_array_add(members, (gpointer)id);
-	host_order(k, id, &order);
+	host_send_order(p, id, &order);
 }
--- a/src/keeper-idle.c
+++ b/src/keeper-idle.c
@@ -1,33 +1,36 @@
-/* Why hosts are in no replica: one line of the log for each change. */
+/* Logs why hosts are in no replica, one line for each change. */
 #include <string.h>
 
 #include "event-log.h"
 #include "keeper-idle.h"
 
 /**
- * idle_watch_init() - begin with nothing said.
- * @watch: the watch
+ * idle_watch_init() - initialize a log state without any hosts.
+ * @log: the log state
  */
 void
-idle_watch_init(struct idle_watch *watch)
+idle_watch_init(struct idle_watch *log)
 {
-	watch->said =
+	log->said =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
 /**
- * idle_watch_clear() - free what a watch holds.
- * @watch: the watch
+ * idle_watch_clear() - free the contents of a log state.
+ * @log: the log state
  */
 void
-idle_watch_clear(struct idle_watch *watch)
+idle_watch_clear(struct idle_watch *log)
 {
-	g_hash_table_destroy(watch->said);
+	g_hash_table_destroy(log->said);
 }
 
-/* Free hosts of a fabric domain that can join a model without a load. */
+/*
+ * Counts the free hosts of a fabric domain that can join a replica of a model
+ * without a load from the weight store.
+ */
 static unsigned
-free_with(const struct form_view *view, unsigned at,
+fabric_hosts_with_model(const struct form_view *view, unsigned at,
     const struct model_profile *m)
 {
 	unsigned n = 0;
@@ -40,27 +43,31 @@
 	return (n);
 }
 
-/* Whether a replica could form around a host without a load. */
+/*
+ * Whether a replica that includes the host can be formed without a load from
+ * the weight store.
+ */
 static bool
-host_has_company(const struct form_view *view, const struct form_host *h)
+host_can_form(const struct form_view *view, const struct form_host *h)
 {
 	const GPtrArray *models = view->engine->models;
 
 	for (guint i = 0; i < models->len; i++) {
 		const struct model_profile *m = models->pdata[i];
 
-		if (form_host_has(h, m) && free_with(view, h->at, m) >= m->size)
+		if (form_host_has(h, m) &&
+		    fabric_hosts_with_model(view, h->at, m) >= m->size)
 			return (true);
 	}
 	return (false);
 }
 
 /**
- * idle_reason() - why a host that is in no replica is in none.
- * @view: what the placer sees
- * @h: the host
+ * idle_reason() - why a host is in no replica.
+ * @view: the planner's view of the service
+ * @h: the host, which is in no replica
  *
- * Return: one word.
+ * Return: the reason, as logged; a string constant.
  */
 const char *
 idle_reason(const struct form_view *view, const struct form_host *h)
@@ -73,21 +80,21 @@
 		return ("copying");
 	if (h->last == NULL && h->staged->len == 0)
 		return ("no_copy");
-	return (host_has_company(view, h) ? "kept" : "alone");
+	return (host_can_form(view, h) ? "kept" : "alone");
 }
 
-/* Says why a host is idle, if that has changed. */
+/* Logs the use of a host if it has changed. */
 static void
-watch_host(struct idle_watch *watch, const struct form_view *view,
+idle_log_host(struct idle_watch *log, const struct form_view *view,
     const struct form_host *h)
 {
 	const char *reason = "in_replica";
 
 	if (h->group == NULL)
 		reason = idle_reason(view, h);
-	if (g_hash_table_lookup(watch->said, h->id) == reason)
+	if (g_hash_table_lookup(log->said, h->id) == reason)
 		return;
-	g_hash_table_replace(watch->said, g_strdup(h->id), (gpointer)reason);
+	g_hash_table_replace(log->said, g_strdup(h->id), (gpointer)reason);
 	event_log(LOG_INFO, "host_use",
 	    "host=%s fabric=%s use=%s model=%s memory=%s copy=%s copying=%s",
 	    h->id, h->fabric != NULL ? h->fabric : "-", reason,
@@ -98,13 +105,13 @@
 }
 
 /**
- * idle_watch_look() - say what hosts do that do something else than before.
- * @watch: the watch
- * @view: what the placer sees
+ * idle_watch_look() - log each host whose use has changed.
+ * @log: the log state
+ * @view: the planner's view of the service
  */
 void
-idle_watch_look(struct idle_watch *watch, const struct form_view *view)
+idle_watch_look(struct idle_watch *log, const struct form_view *view)
 {
 	for (guint i = 0; i < view->hosts->len; i++)
-		watch_host(watch, view, form_host_at(view, i));
+		idle_log_host(log, view, form_host_at(view, i));
 }
--- a/src/keeper-idle.h
+++ b/src/keeper-idle.h
@@ -1,12 +1,12 @@
-/* Why hosts are in no replica: one line of the log for each change. */
+/* Logs why hosts are in no replica, one line for each change. */
 #ifndef BL_KEEPER_IDLE_H
 #define BL_KEEPER_IDLE_H
 
 #include "replica-form.h"
 
 /**
- * struct idle_watch - what was last said of the idle hosts of a service.
- * @said: host id to the reason last logged
+ * struct idle_watch - the uses last logged for the hosts of a service.
+ * @said: maps a host id to the use last logged for it
  */
 struct idle_watch {
 	GHashTable *said;
--- a/src/keeper-lease.c
+++ b/src/keeper-lease.c
@@ -1,4 +1,4 @@
-/* Taking, checking and losing the placer's lease. */
+/* Taking, verifying and losing the placer's lease. */
 #include <string.h>
 
 #include "clock.h"
@@ -10,117 +10,119 @@
 #define SERVED_KEY "served"
 #define BOUND_PREFIX "bound/"
 
-/* Each daemon waits this much longer than the one before it. */
-#define RANK_STEP_MS 200
-/* After the last placer was heard, and at the very start, until the others
- * have been heard. */
-#define START_WAIT_MS 200
-/* After the records of the daemons were read, until relays are chosen. */
-#define KNOWN_WAIT_MS 600
+/* Each daemon waits this much longer than the one ranked before it. */
+#define RANK_DELAY_MS 200
+/*
+ * Delay of the first daemon by rank after the last placer was heard, and at the
+ * start of a daemon, so that the others have been heard.
+ */
+#define TAKEOVER_DELAY_MS 200
+/* Delay after the records of the daemons were read, until relays are chosen. */
+#define PEERS_WAIT_MS 600
 
 static void lease_read(struct keeper *);
 
 /**
- * keeper_lose() - stop placing.
- * @k: the keeper
- * @reason: for the log
+ * keeper_lose() - give up the lease, and drop all replicas and pending records.
+ * @p: the placer
+ * @reason: reason to log
  */
 void
-keeper_lose(struct keeper *k, const char *reason)
+keeper_lose(struct keeper *p, const char *reason)
 {
 	struct replica *r;
 
-	if (k->state == KEEPER_HOLDING)
+	if (p->state == KEEPER_HOLDING)
 		event_log(LOG_NOTICE, "placer_lost", "term=%lld reason=%s",
-		    (long long)k->term, reason);
-	k->state = KEEPER_IDLE;
-	k->served = false;
-	k->alone_ms = 0;
-	k->preparing = false;
-	k->mesh->self.placer = false;
-	while ((r = TAILQ_FIRST(&k->replicas)) != NULL) {
-		TAILQ_REMOVE(&k->replicas, r, entry);
+		    (long long)p->term, reason);
+	p->state = KEEPER_IDLE;
+	p->served = false;
+	p->alone_ms = 0;
+	p->preparing = false;
+	p->mesh->self.placer = false;
+	while ((r = TAILQ_FIRST(&p->replicas)) != NULL) {
+		TAILQ_REMOVE(&p->replicas, r, entry);
 		replica_free(r);
 	}
-	g_array_set_size(k->records, 0);
+	g_array_set_size(p->records, 0);
 }
 
-/* Adds a record to those that wait to be written; takes the value. */
+/* Queues a record to be written; takes ownership of the value. */
 static void
-record_add(struct keeper *k, const char *prefix, const char *key, guint8 *value,
-    size_t length)
+record_queue(struct keeper *p, const char *prefix, const char *key,
+    guint8 *value, size_t length)
 {
 	struct store_record record = { 0 };
 
 	record.key = g_strconcat(prefix, key, NULL);
 	record.value = value;
 	record.length = length;
-	g_array_append_val(k->records, record);
+	g_array_append_val(p->records, record);
 }
 
 /**
- * keeper_record_replica() - have a replica's record written or removed.
- * @k: the keeper
+ * keeper_record_replica() - queue the writing or removal of a replica's record.
+ * @p: the placer
  * @r: the replica
- * @remove: whether to remove it
+ * @remove: remove the record instead of writing it
  */
 void
-keeper_record_replica(struct keeper *k, const struct replica *r, bool remove)
+keeper_record_replica(struct keeper *p, const struct replica *r, bool remove)
 {
 	guint8 *value = NULL;
 	size_t length = 0;
 
 	if (!remove)
 		value = keeper_encode_replica(r, &length);
-	record_add(k, GROUP_PREFIX, r->name, value, length);
+	record_queue(p, GROUP_PREFIX, r->name, value, length);
 }
 
 /**
- * keeper_record_served() - note for ever that requests have come.
- * @k: the keeper
+ * keeper_record_served() - record permanently that requests have arrived.
+ * @p: the placer
  *
- * Loads are quick and not counted before the first request only, and daemons
- * that all start anew have seen none.
+ * Only before the first request are loads quick and not counted. Daemons that
+ * have all been restarted have seen no request, so the record tells them.
  */
 void
-keeper_record_served(struct keeper *k)
+keeper_record_served(struct keeper *p)
 {
-	if (k->served)
+	if (p->served)
 		return;
-	k->served = true;
-	record_add(k, "", SERVED_KEY, g_memdup2("1", 1), 1);
+	p->served = true;
+	record_queue(p, "", SERVED_KEY, g_memdup2("1", 1), 1);
 }
 
 /**
- * keeper_record_bound() - note how many replicas of its largest model a service
- * may have, for the daemon that places next.
- * @k: the keeper
- * @service: the service
- * @most: so many; 0 for no bound
+ * keeper_record_bound() - record the bound on the replicas of a service's
+ * largest model, for the next placer.
+ * @p: the placer
+ * @service: name of the service
+ * @most: maximum number of these replicas; 0 for no bound
  */
 void
-keeper_record_bound(struct keeper *k, const char *service, unsigned most)
+keeper_record_bound(struct keeper *p, const char *service, unsigned most)
 {
 	char *text = g_strdup_printf("%u", most);
 
-	record_add(k, BOUND_PREFIX, service, (guint8 *)text, strlen(text));
+	record_queue(p, BOUND_PREFIX, service, (guint8 *)text, strlen(text));
 }
 
-/* Takes in the bound of a service. */
+/* Loads the record of a service's bound. */
 static void
-lease_take_bound(struct keeper *k, const struct store_record *record)
+record_load_bound(struct keeper *p, const struct store_record *record)
 {
 	g_autofree char *text =
 	    g_strndup((const char *)record->value, record->length);
 	const char *service = record->key + strlen(BOUND_PREFIX);
 
-	keeper_usage(k, service)->demand.most =
+	keeper_usage(p, service)->demand.most =
 	    (unsigned)g_ascii_strtoull(text, NULL, 10);
 }
 
-/* A replica whose record was written may be given orders. */
+/* Marks the replicas whose records were written: their orders may be sent. */
 static void
-mark_recorded(struct keeper *k, const GArray *records)
+replicas_mark_recorded(struct keeper *p, const GArray *records)
 {
 	for (guint i = 0; i < records->len; i++) {
 		const struct store_record *record =
@@ -130,7 +132,7 @@
 		if (record->value == NULL ||
 		    !g_str_has_prefix(record->key, GROUP_PREFIX))
 			continue;
-		TAILQ_FOREACH(r, &k->replicas, entry) {
+		TAILQ_FOREACH(r, &p->replicas, entry) {
 			if (strcmp(r->name,
 				record->key + strlen(GROUP_PREFIX)) == 0)
 				r->recorded = true;
@@ -138,7 +140,7 @@
 	}
 }
 
-/* What an append on its way holds. */
+/* An append in flight. */
 struct keeper_append {
 	struct keeper *keeper;
 	GArray *records;
@@ -149,27 +151,29 @@
 on_written(void *arg, const struct store_answer *answer)
 {
 	struct keeper_append *append = arg;
-	struct keeper *k = append->keeper;
+	struct keeper *p = append->keeper;
 
-	k->writing = false;
-	if (k->state == KEEPER_HOLDING && k->term == append->term) {
+	p->writing = false;
+	if (p->state == KEEPER_HOLDING && p->term == append->term) {
 		switch (answer->result) {
 		case STORE_OK:
-			k->end = answer->end;
-			k->verified_ms = answer->asked_ms;
-			mark_recorded(k, append->records);
-			keeper_look_soon(k);
+			p->end = answer->end;
+			p->verified_ms = answer->asked_ms;
+			replicas_mark_recorded(p, append->records);
+			keeper_look_soon(p);
 			break;
 		case STORE_REFUSED:
-			/* Nothing was done: keep them for the next try. */
-			g_array_prepend_vals(k->records, append->records->data,
+			/* Nothing was written: keep the records for a retry. */
+			g_array_prepend_vals(p->records, append->records->data,
 			    append->records->len);
 			g_array_set_clear_func(append->records, NULL);
 			break;
 		default:
-			/* Someone wrote, or our own write may still land:
-			 * only reading everything anew tells. */
-			keeper_lose(k, store_result_name(answer->result));
+			/*
+			 * Another daemon wrote, or this write may still take
+			 * effect: the records have to be read anew.
+			 */
+			keeper_lose(p, store_result_name(answer->result));
 			break;
 		}
 	}
@@ -178,25 +182,26 @@
 }
 
 /**
- * keeper_write() - write the records that wait.
- * @k: the keeper
+ * keeper_write() - write the pending records, unless a call to the store is in
+ * flight.
+ * @p: the placer
  */
 void
-keeper_write(struct keeper *k)
+keeper_write(struct keeper *p)
 {
 	struct keeper_append *append;
 
-	if (k->writing || k->records->len == 0 || k->state != KEEPER_HOLDING)
+	if (p->writing || p->records->len == 0 || p->state != KEEPER_HOLDING)
 		return;
 	append = g_new0(struct keeper_append, 1);
-	append->keeper = k;
-	append->term = k->term;
-	append->records = k->records;
-	k->records = g_array_new(FALSE, TRUE, sizeof(struct store_record));
-	g_array_set_clear_func(k->records, store_record_clear);
-	k->writing = true;
-	if (!k->store->ops->append(k->store, TOPIC_PLACEMENT, append->records,
-		(int64_t)k->end, on_written, append)) {
+	append->keeper = p;
+	append->term = p->term;
+	append->records = p->records;
+	p->records = g_array_new(FALSE, TRUE, sizeof(struct store_record));
+	g_array_set_clear_func(p->records, store_record_clear);
+	p->writing = true;
+	if (!p->store->ops->append(p->store, TOPIC_PLACEMENT, append->records,
+		(int64_t)p->end, on_written, append)) {
 		const struct store_answer none = { .result = STORE_REFUSED };
 
 		on_written(append, &none);
@@ -206,54 +211,55 @@
 static void
 on_taken(void *arg, const struct store_answer *answer)
 {
-	struct keeper *k = arg;
+	struct keeper *p = arg;
 
-	k->writing = false;
-	if (k->state != KEEPER_TAKING)
+	p->writing = false;
+	if (p->state != KEEPER_TAKING)
 		return;
 	if (answer->result != STORE_OK) {
 		event_log(LOG_NOTICE, "placer_not_taken", "term=%lld result=%s",
-		    (long long)k->term, store_result_name(answer->result));
-		keeper_lose(k, "not_taken");
+		    (long long)p->term, store_result_name(answer->result));
+		keeper_lose(p, "not_taken");
 		return;
 	}
-	k->end = answer->end;
-	k->verified_ms = answer->asked_ms;
-	k->state = KEEPER_HOLDING;
-	k->groups = 0;
-	k->mesh->self.placer = true;
-	k->mesh->self.term = k->term;
-	k->mesh->held_term = k->term;
+	p->end = answer->end;
+	p->verified_ms = answer->asked_ms;
+	p->state = KEEPER_HOLDING;
+	p->groups = 0;
+	p->mesh->self.placer = true;
+	p->mesh->self.term = p->term;
+	p->mesh->held_term = p->term;
 	event_log(LOG_NOTICE, "placer_taken", "term=%lld end=%llu served=%d",
-	    (long long)k->term, (unsigned long long)k->end, k->served);
-	mesh_tell_now(k->mesh);
+	    (long long)p->term, (unsigned long long)p->end, p->served);
+	mesh_tell_now(p->mesh);
 }
 
-/* Writes the lease, if nothing was written since the records were read. */
+/* Writes the lease, provided nothing was written since the records were read.
+ */
 static void
-lease_take(struct keeper *k)
+lease_take(struct keeper *p)
 {
 	g_autoptr(GArray) records =
 	    g_array_new(FALSE, TRUE, sizeof(struct store_record));
 	struct store_record record = { 0 };
 
 	g_array_set_clear_func(records, store_record_clear);
-	k->term++;
+	p->term++;
 	record.key = g_strdup(LEASE_KEY);
-	record.value = keeper_encode_lease(k->name, k->term, &record.length);
+	record.value = keeper_encode_lease(p->name, p->term, &record.length);
 	g_array_append_val(records, record);
-	k->state = KEEPER_TAKING;
-	k->writing = true;
-	if (!k->store->ops->append(k->store, TOPIC_PLACEMENT, records,
-		(int64_t)k->end, on_taken, k)) {
-		k->writing = false;
-		keeper_lose(k, "store_unreachable");
+	p->state = KEEPER_TAKING;
+	p->writing = true;
+	if (!p->store->ops->append(p->store, TOPIC_PLACEMENT, records,
+		(int64_t)p->end, on_taken, p)) {
+		p->writing = false;
+		keeper_lose(p, "store_unreachable");
 	}
 }
 
-/* Takes in one record while the lease is being taken. */
+/* Loads one record while the lease is being taken. */
 static void
-lease_take_record(struct keeper *k, const struct store_record *record)
+record_load(struct keeper *p, const struct store_record *record)
 {
 	struct replica *r;
 	int64_t term;
@@ -262,143 +268,145 @@
 		return;
 	if (strcmp(record->key, LEASE_KEY) == 0) {
 		term = keeper_decode_lease(record->value, record->length);
-		k->term = MAX(k->term, term);
+		p->term = MAX(p->term, term);
 		return;
 	}
 	if (strcmp(record->key, SERVED_KEY) == 0)
-		k->served = true;
+		p->served = true;
 	if (g_str_has_prefix(record->key, BOUND_PREFIX))
-		lease_take_bound(k, record);
+		record_load_bound(p, record);
 	if (!g_str_has_prefix(record->key, GROUP_PREFIX))
 		return;
 	r = keeper_decode_replica(record->key + strlen(GROUP_PREFIX),
 	    record->value, record->length);
 	if (r == NULL)
 		return;
-	replica_inherit(r, clock_loop_ms(k->loop));
-	TAILQ_INSERT_TAIL(&k->replicas, r, entry);
+	replica_inherit(r, clock_loop_ms(p->loop));
+	TAILQ_INSERT_TAIL(&p->replicas, r, entry);
 }
 
 static void
 on_read(void *arg, const struct store_answer *answer)
 {
-	struct keeper *k = arg;
+	struct keeper *p = arg;
 
-	k->writing = false;
-	if (k->state != KEEPER_READING)
+	p->writing = false;
+	if (p->state != KEEPER_READING)
 		return;
 	if (answer->result != STORE_OK) {
-		keeper_lose(k, store_result_name(answer->result));
+		keeper_lose(p, store_result_name(answer->result));
 		return;
 	}
-	if (k->after == NULL)
-		k->end = answer->end;
+	if (p->after == NULL)
+		p->end = answer->end;
 	for (guint i = 0; i < answer->records->len; i++)
-		lease_take_record(k,
+		record_load(p,
 		    &g_array_index(answer->records, struct store_record, i));
 	if (answer->more && answer->records->len > 0) {
 		const struct store_record *last =
 		    &g_array_index(answer->records, struct store_record,
 			answer->records->len - 1);
 
-		g_free(k->after);
-		k->after = g_strdup(last->key);
-		lease_read(k);
+		g_free(p->after);
+		p->after = g_strdup(last->key);
+		lease_read(p);
 		return;
 	}
-	lease_take(k);
+	lease_take(p);
 }
 
 /* Reads the next page of the records. */
 static void
-lease_read(struct keeper *k)
+lease_read(struct keeper *p)
 {
-	k->writing = true;
-	if (!k->store->ops->newest(k->store, TOPIC_PLACEMENT, k->after, on_read,
-		k)) {
-		k->writing = false;
-		keeper_lose(k, "store_unreachable");
+	p->writing = true;
+	if (!p->store->ops->newest(p->store, TOPIC_PLACEMENT, p->after, on_read,
+		p)) {
+		p->writing = false;
+		keeper_lose(p, "store_unreachable");
 	}
 }
 
 /* Whether this daemon should take the lease now. */
 static bool
-lease_due(struct keeper *k, uint64_t now_ms)
+lease_due(struct keeper *p, uint64_t now_ms)
 {
-	const struct mesh *mesh = k->mesh;
+	const struct mesh *mesh = p->mesh;
 	uint64_t wait;
 
-	if (k->writing || mesh->self.leaving || !mesh->self.store_ok ||
-	    k->dir->catalog == NULL || mesh->known_ms == 0 ||
-	    now_ms - MIN(mesh->known_ms, now_ms) < KNOWN_WAIT_MS)
+	if (p->writing || mesh->self.leaving || !mesh->self.store_ok ||
+	    p->dir->catalog == NULL || mesh->known_ms == 0 ||
+	    now_ms - MIN(mesh->known_ms, now_ms) < PEERS_WAIT_MS)
 		return (false);
 	if (mesh_placer_heard(mesh)) {
-		k->alone_ms = 0;
-		k->preparing = false;
+		p->alone_ms = 0;
+		p->preparing = false;
 		return (false);
 	}
-	if (k->alone_ms == 0)
-		k->alone_ms = now_ms;
-	wait = START_WAIT_MS + (uint64_t)mesh_rank(mesh) * RANK_STEP_MS;
-	if (now_ms - k->alone_ms < wait)
+	if (p->alone_ms == 0)
+		p->alone_ms = now_ms;
+	wait = TAKEOVER_DELAY_MS + (uint64_t)mesh_rank(mesh) * RANK_DELAY_MS;
+	if (now_ms - p->alone_ms < wait)
 		return (false);
-	/* What others tell leaves out the hosts that serve nothing. */
-	k->preparing = true;
-	dir_follow_set_reader(&k->dir->endpoints, true);
-	return (dir_follow_complete(&k->dir->endpoints));
+	/* The entries from other daemons lack the hosts that serve nothing. */
+	p->preparing = true;
+	dir_follow_set_reader(&p->dir->endpoints, true);
+	return (dir_follow_complete(&p->dir->endpoints));
 }
 
 /**
- * keeper_lease_look() - take the lease where nobody has it.
- * @k: the keeper
- * @now_ms: loop time
+ * keeper_lease_look() - start to take the lease if no daemon holds it and it is
+ * this daemon's turn.
+ * @p: the placer
+ * @now_ms: loop time, in ms
  */
 void
-keeper_lease_look(struct keeper *k, uint64_t now_ms)
+keeper_lease_look(struct keeper *p, uint64_t now_ms)
 {
-	if (k->state != KEEPER_IDLE || !lease_due(k, now_ms))
+	if (p->state != KEEPER_IDLE || !lease_due(p, now_ms))
 		return;
 	event_log(LOG_INFO, "placer_taking", "alone_ms=%llu rank=%u",
-	    (unsigned long long)(now_ms - k->alone_ms), mesh_rank(k->mesh));
-	keeper_lose(k, "begin");
-	g_clear_pointer(&k->after, g_free);
-	g_hash_table_remove_all(k->usage);
-	k->state = KEEPER_READING;
-	lease_read(k);
+	    (unsigned long long)(now_ms - p->alone_ms), mesh_rank(p->mesh));
+	keeper_lose(p, "begin");
+	g_clear_pointer(&p->after, g_free);
+	g_hash_table_remove_all(p->usage);
+	p->state = KEEPER_READING;
+	lease_read(p);
 }
 
 static void
 on_checked(void *arg, const struct store_answer *answer)
 {
-	struct keeper *k = arg;
+	struct keeper *p = arg;
 
-	k->writing = false;
-	if (k->state != KEEPER_HOLDING)
+	p->writing = false;
+	if (p->state != KEEPER_HOLDING)
 		return;
 	if (answer->result == STORE_OK && answer->records->len == 0) {
-		k->verified_ms = answer->asked_ms;
+		p->verified_ms = answer->asked_ms;
 		return;
 	}
 	if (answer->result == STORE_OK || answer->result == STORE_TRIMMED)
-		keeper_lose(k, "others_wrote");
+		keeper_lose(p, "others_wrote");
 }
 
 /**
- * keeper_verified() - whether orders may go out now.
- * @k: the keeper
- * @now_ms: loop time
+ * keeper_verified() - whether the lease was verified recently enough to send
+ * orders.
+ * @p: the placer
+ * @now_ms: loop time, in ms
  *
- * Asks the store where the last proof is too old.
+ * Queries the store if the last verification is too old.
  */
 bool
-keeper_verified(struct keeper *k, uint64_t now_ms)
+keeper_verified(struct keeper *p, uint64_t now_ms)
 {
-	if (k->state != KEEPER_HOLDING)
+	if (p->state != KEEPER_HOLDING)
 		return (false);
-	if (now_ms - k->verified_ms < REPLICA_OUTDONE_MS)
+	if (now_ms - p->verified_ms < REPLICA_OUTDONE_MS)
 		return (true);
-	if (!k->writing)
-		k->writing = k->store->ops->read(k->store, TOPIC_PLACEMENT,
-		    k->end, on_checked, k);
+	if (!p->writing)
+		p->writing = p->store->ops->read(p->store, TOPIC_PLACEMENT,
+		    p->end, on_checked, p);
 	return (false);
 }
--- a/src/keeper-place.c
+++ b/src/keeper-place.c
@@ -1,4 +1,4 @@
-/* Forming new replicas from hosts that are free. */
+/* Forms new replicas from free hosts. */
 #include <string.h>
 
 #include "event-log.h"
@@ -6,32 +6,41 @@
 #include "keeper.h"
 #include "replica-form.h"
 
-/* Epochs of one lease; a lease that makes more must be taken anew. */
-#define EPOCHS_A_TERM 100000
-/* A host that has not taken a model into memory after this is told again; well
- * above the time of a join from the host's own copy. */
-#define WARM_AGAIN_MS 5000
-/* Hosts appear one by one at the start, over about two of their beats; when no
- * new one has for this long, small replicas may take what large ones leave. */
-#define SETTLE_MS 600
+/* Epochs available under one lease; for more, the lease must be taken anew. */
+#define EPOCHS_PER_TERM 100000
+/*
+ * A host that has not loaded a model into memory within this time is told
+ * again; well above the time of a join from the host's own copy.
+ */
+#define WARM_RETRY_MS 5000
+/*
+ * Hosts appear one by one at the start, over about two of their heartbeats.
+ * When none has appeared for this long, small replicas may use the hosts that
+ * large ones leave.
+ */
+#define HOSTS_STABLE_MS 600
 
-/* Steps of one look; the next look goes on. Formed one by one, with orders
- * that go out between the looks, a fleet of hundreds of hosts holds nothing
- * up: a look over 925 hosts took seconds without this bound. */
-#define STEPS_A_LOOK 24
+/*
+ * Maximum number of steps per service in one pass; the next pass continues.
+ * Without this bound a pass over 925 hosts took seconds and blocked the event
+ * loop; with it, orders are sent between the passes.
+ */
+#define STEPS_PER_PASS 24
 
 /**
- * struct place_seat - the replica with a record that a host is a member of.
+ * struct host_membership - the replica that a host is a member of.
  * @replica: the replica
- * @member: the host in it
+ * @member: the host as its member
  */
-struct place_seat {
+struct host_membership {
 	struct replica *replica;
 	const struct replica_member *member;
 };
 
-/* Whether a host is still bound to a replica. One that has left a head that
- * can't be reached, and can't come back, is not. */
+/*
+ * Whether a member is still bound to its replica. A member that has left a head
+ * that cannot be reached, and cannot come back, is not.
+ */
 static bool
 member_bound(const struct replica *r, unsigned i)
 {
@@ -39,51 +48,53 @@
 	    r->doomed == NULL || i == 0 || !replica_member_out(&r->members[i]));
 }
 
-/* All hosts that are members of replicas, by their id. */
+/* Maps the id of each host that is bound to a replica to its membership. */
 static GHashTable *
-place_seats(const struct keeper *k)
+host_memberships(const struct keeper *p)
 {
-	GHashTable *seats =
+	GHashTable *memberships =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 	struct replica *r;
 
-	TAILQ_FOREACH(r, &k->replicas, entry) {
+	TAILQ_FOREACH(r, &p->replicas, entry) {
 		for (unsigned i = 0; i < r->n; i++) {
-			struct place_seat *seat;
+			struct host_membership *membership;
 
-			/* The oldest has a host that is in two. */
+			/* A host in two replicas counts for the oldest. */
 			if (!member_bound(r, i) ||
-			    g_hash_table_contains(seats, r->members[i].id))
+			    g_hash_table_contains(memberships,
+				r->members[i].id))
 				continue;
-			seat = g_new(struct place_seat, 1);
-			seat->replica = r;
-			seat->member = &r->members[i];
-			g_hash_table_insert(seats, r->members[i].id, seat);
+			membership = g_new(struct host_membership, 1);
+			membership->replica = r;
+			membership->member = &r->members[i];
+			g_hash_table_insert(memberships, r->members[i].id,
+			    membership);
 		}
 	}
-	return (seats);
+	return (memberships);
 }
 
-/* Names of the groups that have a record. */
+/* Names of the groups of all replicas. */
 static GHashTable *
-place_names(const struct keeper *k)
+group_names(const struct keeper *p)
 {
 	GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 	struct replica *r;
 
-	TAILQ_FOREACH(r, &k->replicas, entry)
+	TAILQ_FOREACH(r, &p->replicas, entry)
 		g_hash_table_add(names, r->name);
 	return (names);
 }
 
 /*
- * Whether a host without a replica may join one. One that reports a group with
- * a record was taken into it by an order that was meant for another
- * incarnation, or has not reported yet that it left. One that may be the head
- * of a group without a record has to be closed first.
+ * Whether a host without a replica may join one. A host that reports the group
+ * of a replica has joined it by an order that was meant for another
+ * incarnation, or has not yet reported that it left. A host that may be the
+ * head of a group without a record has to be closed first.
  */
 static bool
-host_free(const struct endpoint *ep, GHashTable *names, uint64_t now_ms)
+host_available(const struct endpoint *ep, GHashTable *names, uint64_t now_ms)
 {
 	const char *group = ep->report.group;
 
@@ -92,27 +103,27 @@
 	    (group == NULL || !g_hash_table_contains(names, group)));
 }
 
-/* Whether a host is taking a model into memory. */
+/* Whether a host is loading a model into memory. */
 static bool
-host_warming(const struct keeper *k, const char *id, uint64_t now_ms)
+host_warming(const struct keeper *p, const char *id, uint64_t now_ms)
 {
-	const uint64_t *until = g_hash_table_lookup(k->warming, id);
+	const uint64_t *until = g_hash_table_lookup(p->warming, id);
 
 	return (until != NULL && now_ms < *until);
 }
 
-/* All hosts of a service that live. */
+/* Adds the live hosts of a service to the view. */
 static void
-view_add_hosts(struct keeper *k, const char *service, struct form_view *view,
+view_add_hosts(struct keeper *p, const char *service, struct form_view *view,
     uint64_t now_ms)
 {
-	g_autoptr(GHashTable) seats = place_seats(k);
-	g_autoptr(GHashTable) names = place_names(k);
+	g_autoptr(GHashTable) memberships = host_memberships(p);
+	g_autoptr(GHashTable) names = group_names(p);
 	struct endpoint *ep;
 
-	TAILQ_FOREACH(ep, &k->dir->fleet.endpoints, entry) {
+	TAILQ_FOREACH(ep, &p->dir->fleet.endpoints, entry) {
 		struct form_host host = { 0 };
-		const struct place_seat *seat;
+		const struct host_membership *membership;
 
 		if (strcmp(ep->report.service, service) != 0 || ep->gone ||
 		    ep->draining || ep->lapsed_ms != 0)
@@ -122,28 +133,29 @@
 		host.fabric = ep->report.fabric;
 		host.last = ep->memory;
 		host.staged = ep->report.staged;
-		host.staging = keeper_staging(k, ep->report.id);
-		host.warming = host_warming(k, ep->report.id, now_ms);
-		seat = g_hash_table_lookup(seats, ep->report.id);
-		host.group = seat != NULL ? seat->replica : NULL;
-		host.free = seat == NULL && host_free(ep, names, now_ms);
-		host.soon = seat != NULL &&
-		    seat->member->life < MEMBER_SILENT &&
-		    replica_ends_soon(seat->replica, now_ms);
+		host.staging = keeper_staging(p, ep->report.id);
+		host.warming = host_warming(p, ep->report.id, now_ms);
+		membership = g_hash_table_lookup(memberships, ep->report.id);
+		host.group = membership != NULL ? membership->replica : NULL;
+		host.free =
+		    membership == NULL && host_available(ep, names, now_ms);
+		host.soon = membership != NULL &&
+		    membership->member->life < MEMBER_SILENT &&
+		    replica_ends_soon(membership->replica, now_ms);
 		g_array_append_val(view->hosts, host);
 	}
 }
 
-/* Counts the replicas that are wanted. */
+/* Adds the replicas of a service that are not being dissolved to the view. */
 static void
-view_add_replicas(const struct keeper *k, const char *service,
+view_add_replicas(const struct keeper *p, const char *service,
     struct form_view *view)
 {
 	const struct replica *r;
 
-	TAILQ_FOREACH(r, &k->replicas, entry) {
+	TAILQ_FOREACH(r, &p->replicas, entry) {
 		const struct endpoint *head =
-		    fleet_find(&k->dir->fleet, r->members[0].id);
+		    fleet_find(&p->dir->fleet, r->members[0].id);
 
 		if (replica_wanted(r) && strcmp(r->service, service) == 0)
 			form_view_add_replica(view, r,
@@ -152,19 +164,19 @@
 	}
 }
 
-/* An epoch above all that were given so far. */
+/* Issues an epoch above all that were issued so far. */
 static int64_t
-next_epoch(struct keeper *k)
+next_epoch(struct keeper *p)
 {
-	return (k->term * EPOCHS_A_TERM + ++k->groups);
+	return (p->term * EPOCHS_PER_TERM + ++p->groups);
 }
 
-/* Makes a replica of a plan and has its record written. */
+/* Adds the replica of a plan and queues its record. */
 static void
-place_make(struct keeper *k, const char *service, const struct form_view *view,
+replica_add(struct keeper *p, const char *service, const struct form_view *view,
     const struct form_plan *plan, uint64_t now_ms)
 {
-	int64_t epoch = next_epoch(k);
+	int64_t epoch = next_epoch(p);
 	g_autofree char *name = g_strdup_printf("g%lld", (long long)epoch);
 	struct replica *r =
 	    replica_create(name, service, plan->model->name, epoch);
@@ -173,24 +185,27 @@
 	for (guint i = 0; i < plan->members->len; i++) {
 		guint at = g_array_index(plan->members, guint, i);
 		const struct form_host *h = form_host_at(view, at);
-		const struct endpoint *ep = fleet_find(&k->dir->fleet, h->id);
+		const struct endpoint *ep = fleet_find(&p->dir->fleet, h->id);
 
 		replica_add_member(r, h->id, &ep->report.address);
 	}
 	for (unsigned i = 0; i < plan->loads; i++)
-		g_array_append_val(k->loads, now_ms);
+		g_array_append_val(p->loads, now_ms);
 	event_log(LOG_NOTICE, "group_planned",
 	    "group=%s epoch=%lld model=%s hosts=%u loads=%u head=%s fabric=%s",
 	    name, (long long)epoch, r->model, r->n, plan->loads,
 	    r->members[0].id,
 	    form_host_at(view, g_array_index(plan->members, guint, 0))->fabric);
-	TAILQ_INSERT_TAIL(&k->replicas, r, entry);
-	keeper_record_replica(k, r, false);
+	TAILQ_INSERT_TAIL(&p->replicas, r, entry);
+	keeper_record_replica(p, r, false);
 }
 
-/* Forms a replica with up to some loads; false where there is none to form. */
+/*
+ * Forms a replica that needs at most the given number of loads from the weight
+ * store; returns whether one was formed.
+ */
 static bool
-place_form(struct keeper *k, const char *service, struct form_view *view,
+try_form(struct keeper *p, const char *service, struct form_view *view,
     unsigned loads, uint64_t now_ms)
 {
 	unsigned free = view->loads;
@@ -202,14 +217,14 @@
 	view->loads = free;
 	if (!formed)
 		return (false);
-	place_make(k, service, view, &plan, now_ms);
+	replica_add(p, service, view, &plan, now_ms);
 	g_array_free(plan.members, TRUE);
 	return (true);
 }
 
-/* Has a host get a copy of a model; false where none should. */
+/* Has a host copy a model; returns whether one was chosen. */
 static bool
-place_copy(struct keeper *k, struct form_view *view, uint64_t now_ms)
+try_copy(struct keeper *p, struct form_view *view, uint64_t now_ms)
 {
 	const struct model_profile *model;
 	const struct form_host *h = form_stage(view, &model);
@@ -220,21 +235,23 @@
 	event_log(LOG_NOTICE, "copy_planned",
 	    "host=%s model=%s fabric=%s free=%d", h->id, model->name, h->fabric,
 	    h->free);
-	keeper_stage_begin(k, h->id, model, now_ms);
+	keeper_stage_begin(p, h->id, model, now_ms);
 	return (true);
 }
 
-/* Has an idle host take a model into memory; false where none should. */
+/* Has an idle host load a model into memory; returns whether one was chosen. */
 static bool
-place_warm(struct keeper *k, struct form_view *view, uint64_t now_ms)
+try_warm(struct keeper *p, struct form_view *view, uint64_t now_ms)
 {
 	const struct model_profile *big = form_model(view, view->largest);
 	const struct form_host *h;
-	uint64_t until = now_ms + WARM_AGAIN_MS;
+	uint64_t until = now_ms + WARM_RETRY_MS;
 
-	/* This join has no record. As long as the end of a group has none
-	 * either, another placer may take the group up again. */
-	if (k->writing || k->records->len > 0)
+	/*
+	 * This join has no record. While the end of a group is not yet recorded
+	 * either, another placer may take over the group again.
+	 */
+	if (p->writing || p->records->len > 0)
 		return (false);
 	h = form_warm(view);
 	if (h == NULL)
@@ -242,101 +259,109 @@
 	form_view_warming(view, h);
 	event_log(LOG_INFO, "warming_planned", "host=%s model=%s fabric=%s",
 	    h->id, big->name, h->fabric);
-	g_hash_table_replace(k->warming, g_strdup(h->id),
+	g_hash_table_replace(p->warming, g_strdup(h->id),
 	    g_memdup2(&until, sizeof until));
-	keeper_order_warm(k, h->id, big->name, next_epoch(k));
+	keeper_order_warm(p, h->id, big->name, next_epoch(p));
 	return (true);
 }
 
-/* Dissolves a replica whose hosts the largest model needs. */
+/*
+ * Begins to dissolve a replica whose hosts the largest model needs; returns
+ * whether there was one.
+ */
 static bool
-place_donate(struct keeper *k, const struct form_view *view, uint64_t now_ms)
+try_donate(struct keeper *p, const struct form_view *view, uint64_t now_ms)
 {
 	struct replica *donor = form_donor(view);
 
 	if (donor == NULL)
 		return (false);
 	replica_donate(donor, now_ms);
-	keeper_doomed(k, donor, now_ms);
+	keeper_doomed(p, donor, now_ms);
 	return (true);
 }
 
-/* Dissolves a replica of the largest model that is one too many. */
+/*
+ * Begins to dissolve a surplus replica of the largest model; returns whether
+ * there was one.
+ */
 static bool
-place_surplus(struct keeper *k, const struct form_view *view, uint64_t now_ms)
+try_retire_surplus(struct keeper *p, const struct form_view *view,
+    uint64_t now_ms)
 {
 	struct replica *r = form_surplus(view);
 
 	if (r == NULL)
 		return (false);
 	replica_give_up(r, now_ms);
-	keeper_doomed(k, r, now_ms);
+	keeper_doomed(p, r, now_ms);
 	return (true);
 }
 
 /**
- * enum place_result - what a step did.
- * @PLACE_NOTHING: nothing is left to do
- * @PLACE_PREPARED: a host prepares for a model; the view was kept up
- * @PLACE_CHANGED: a replica was made or dissolved; the view is old
+ * enum step_result - what a placement step did.
+ * @STEP_NONE: nothing was left to do
+ * @STEP_PREPARED: a host prepares for a model; the view was updated
+ * @STEP_CHANGED: a replica was formed or is being dissolved; the view is stale
  */
-enum place_result {
-	PLACE_NOTHING,
-	PLACE_PREPARED,
-	PLACE_CHANGED,
+enum step_result {
+	STEP_NONE,
+	STEP_PREPARED,
+	STEP_CHANGED,
 };
 
 /*
- * Forms one replica, or prepares one. What needs no load goes first, then
- * hosts and copies for the largest model, then loads for others.
+ * Takes one placement step for a service. Replicas that need no load come
+ * first, then hosts and copies for the largest model, then replicas that need
+ * loads.
  */
-static enum place_result
-place_step(struct keeper *k, const char *service, struct form_view *view,
+static enum step_result
+service_step(struct keeper *p, const char *service, struct form_view *view,
     uint64_t now_ms)
 {
 	unsigned loads = view->serving ? 0 : view->loads;
 
-	if (place_form(k, service, view, loads, now_ms) ||
+	if (try_form(p, service, view, loads, now_ms) ||
 	    (view->serving &&
-		(place_donate(k, view, now_ms) ||
-		    place_surplus(k, view, now_ms))))
-		return (PLACE_CHANGED);
-	if (!keeper_calls_free(k))
-		return (PLACE_NOTHING);
-	if (place_copy(k, view, now_ms))
-		return (PLACE_PREPARED);
-	if (view->serving && place_form(k, service, view, view->loads, now_ms))
-		return (PLACE_CHANGED);
-	return (place_warm(k, view, now_ms) ? PLACE_PREPARED : PLACE_NOTHING);
+		(try_donate(p, view, now_ms) ||
+		    try_retire_surplus(p, view, now_ms))))
+		return (STEP_CHANGED);
+	if (!keeper_calls_free(p))
+		return (STEP_NONE);
+	if (try_copy(p, view, now_ms))
+		return (STEP_PREPARED);
+	if (view->serving && try_form(p, service, view, view->loads, now_ms))
+		return (STEP_CHANGED);
+	return (try_warm(p, view, now_ms) ? STEP_PREPARED : STEP_NONE);
 }
 
 /**
- * keeper_usage() - the counts of a service.
- * @k: the keeper
- * @service: its name
+ * keeper_usage() - the counts of a service, which are created if needed.
+ * @p: the placer
+ * @service: name of the service
  */
 struct service_usage *
-keeper_usage(struct keeper *k, const char *service)
+keeper_usage(struct keeper *p, const char *service)
 {
-	struct service_usage *u = g_hash_table_lookup(k->usage, service);
+	struct service_usage *u = g_hash_table_lookup(p->usage, service);
 
 	if (u == NULL) {
 		u = service_usage_create();
-		g_hash_table_insert(k->usage, g_strdup(service), u);
+		g_hash_table_insert(p->usage, g_strdup(service), u);
 	}
 	return (u);
 }
 
-/* Counts the requests of each model that run now, at all heads. */
+/* Counts the requests of each model that run now, over all heads. */
 static void
-demand_count(const struct keeper *k, const char *service,
+demand_sample_service(const struct keeper *p, const char *service,
     const struct form_view *view, struct form_seen *seen)
 {
 	const struct replica *r;
 
-	TAILQ_FOREACH(r, &k->replicas, entry) {
+	TAILQ_FOREACH(r, &p->replicas, entry) {
 		const struct endpoint *head =
-		    fleet_find(&k->dir->fleet, r->members[0].id);
+		    fleet_find(&p->dir->fleet, r->members[0].id);
 
 		struct form_seen *of;
 
@@ -353,115 +378,126 @@
 	}
 }
 
-/* Lets the shares of the models follow the requests that are seen. */
+/*
+ * Updates the demand of a service and applies it to the view. If this changes
+ * the bound on the replicas of the largest model, the bound is recorded.
+ */
 static void
-view_set_work(struct keeper *k, const char *service, struct form_view *view,
+view_apply_demand(struct keeper *p, const char *service, struct form_view *view,
     uint64_t now_ms)
 {
-	struct form_demand *d = &keeper_usage(k, service)->demand;
+	struct form_demand *d = &keeper_usage(p, service)->demand;
 	struct form_seen seen[FORM_MODELS_MAX] = { 0 };
 	unsigned most = d->most;
 
-	if (!k->served)
+	if (!p->served)
 		return;
-	/* A look makes many views, and counts the requests once. */
+	/* A pass builds many views but counts the requests once. */
 	if (d->noted_ms != now_ms) {
-		demand_count(k, service, view, seen);
+		demand_sample_service(p, service, view, seen);
 		form_demand_note(d, view, seen, now_ms);
 	}
 	form_demand_apply(d, view, now_ms);
 	if (d->most == most)
 		return;
-	keeper_record_bound(k, service, d->most);
+	keeper_record_bound(p, service, d->most);
 	event_log(LOG_NOTICE, "share_moved",
 	    "service=%s model=%s most=%u was=%u share=%.2f busy=%.1f", service,
 	    form_model(view, view->largest)->name, d->most, most,
 	    view->work[view->largest], d->busy[view->largest]);
 }
 
-/* Sees all hosts and replicas of a service. */
+/* Builds the planner's view of a service. */
 static void
-place_view(struct keeper *k, const struct catalog_service *service,
+service_view_build(struct keeper *p, const struct catalog_service *service,
     struct form_view *view, uint64_t now_ms)
 {
 	form_view_init(view, service->engine);
-	view_add_hosts(k, service->name, view, now_ms);
-	view_add_replicas(k, service->name, view);
+	view_add_hosts(p, service->name, view, now_ms);
+	view_add_replicas(p, service->name, view);
 	form_view_count(view);
-	view_set_work(k, service->name, view, now_ms);
+	view_apply_demand(p, service->name, view, now_ms);
 	form_view_finish(view);
-	view->serving = k->served;
-	view->settled = now_ms - k->grew_ms >= SETTLE_MS;
-	view->loads = keeper_loads_free(k, service->engine, now_ms);
+	view->serving = p->served;
+	view->settled = now_ms - p->grew_ms >= HOSTS_STABLE_MS;
+	view->loads = keeper_loads_free(p, service->engine, now_ms);
 }
 
-/* Takes steps for one service while the view holds; whether to go on. */
+/*
+ * Takes steps for one service until the view is stale or nothing is left to do.
+ * Returns whether to continue with a new view.
+ */
 static bool
-place_some(struct keeper *k, const char *service, struct form_view *view,
+service_run_steps(struct keeper *p, const char *service, struct form_view *view,
     unsigned *steps, uint64_t now_ms)
 {
-	while (*steps > 0 && k->groups < EPOCHS_A_TERM - 1) {
-		enum place_result result = place_step(k, service, view, now_ms);
+	while (*steps > 0 && p->groups < EPOCHS_PER_TERM - 1) {
+		enum step_result result =
+		    service_step(p, service, view, now_ms);
 
-		if (result == PLACE_NOTHING)
+		if (result == STEP_NONE)
 			return (false);
 		(*steps)--;
-		if (result == PLACE_CHANGED)
+		if (result == STEP_CHANGED)
 			return (true);
 	}
 	return (false);
 }
 
-/* Takes steps for one service; true where some are left for the next look. */
+/*
+ * Takes steps for one service; returns whether some may be left for the next
+ * pass.
+ */
 static bool
-place_service(struct keeper *k, const struct catalog_service *service,
+service_form_replicas(struct keeper *p, const struct catalog_service *service,
     uint64_t now_ms)
 {
-	unsigned steps = STEPS_A_LOOK;
+	unsigned steps = STEPS_PER_PASS;
 	bool more, counted = false;
 
 	do {
 		struct form_view view;
 
-		place_view(k, service, &view, now_ms);
+		service_view_build(p, service, &view, now_ms);
 		if (!counted)
-			service_usage_count(keeper_usage(k, service->name),
-			    service->name, &view, &k->replicas, now_ms);
+			service_usage_count(keeper_usage(p, service->name),
+			    service->name, &view, &p->replicas, now_ms);
 		counted = true;
-		more = place_some(k, service->name, &view, &steps, now_ms);
+		more =
+		    service_run_steps(p, service->name, &view, &steps, now_ms);
 		form_view_clear(&view);
 	} while (more);
-	return (steps == 0 || !keeper_calls_free(k));
+	return (steps == 0 || !keeper_calls_free(p));
 }
 
 /**
- * keeper_place() - form new replicas of all services that have models.
- * @k: the keeper
- * @now_ms: loop time
+ * keeper_place() - form new replicas for all services that have models.
+ * @p: the placer
+ * @now_ms: loop time, in ms
  */
 void
-keeper_place(struct keeper *k, uint64_t now_ms)
+keeper_place(struct keeper *p, uint64_t now_ms)
 {
-	unsigned hosts = g_hash_table_size(k->dir->fleet.by_id);
+	unsigned hosts = g_hash_table_size(p->dir->fleet.by_id);
 	GHashTableIter iter;
 	gpointer value;
 
-	if (mesh_serving(k->mesh))
-		keeper_record_served(k);
-	keeper_stage_look(k, now_ms);
-	if (hosts > k->hosts)
-		k->grew_ms = now_ms;
-	k->hosts = hosts;
-	k->more = false;
-	g_hash_table_iter_init(&iter, k->dir->catalog->services);
+	if (mesh_serving(p->mesh))
+		keeper_record_served(p);
+	keeper_stage_look(p, now_ms);
+	if (hosts > p->hosts)
+		p->grew_ms = now_ms;
+	p->hosts = hosts;
+	p->more = false;
+	g_hash_table_iter_init(&iter, p->dir->catalog->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct catalog_service *service = value;
 
 		if (service->engine == NULL ||
 		    service->engine->models->len == 0)
 			continue;
-		k->more |= place_service(k, service, now_ms);
+		p->more |= service_form_replicas(p, service, now_ms);
 	}
-	if (k->more)
-		keeper_look_soon(k);
+	if (p->more)
+		keeper_look_soon(p);
 }
--- a/src/keeper-record.c
+++ b/src/keeper-record.c
@@ -1,4 +1,4 @@
-/* Records of replicas and of the placer's lease as bytes. */
+/* Encoding of the records of replicas and of the placer's lease. */
 #include <arpa/inet.h>
 #include <jansson.h>
 #include <string.h>
@@ -6,7 +6,7 @@
 #include "event-log.h"
 #include "keeper.h"
 
-/* The text of a JSON object as a record's value. */
+/* Encodes a JSON object as a record's value; takes ownership of the object. */
 static guint8 *
 record_bytes(json_t *root, size_t *length)
 {
@@ -21,9 +21,11 @@
 }
 
 /**
- * keeper_encode_replica() - a replica's record.
+ * keeper_encode_replica() - encode a replica's record.
  * @r: the replica
- * @length: set to the length
+ * @length: set to the length of the value
+ *
+ * Return: the record's value; free with g_free().
  */
 guint8 *
 keeper_encode_replica(const struct replica *r, size_t *length)
@@ -50,12 +52,12 @@
 }
 
 /**
- * keeper_decode_replica() - a replica from its record.
- * @name: its name
- * @bytes: the record's value
- * @length: its length
+ * keeper_decode_replica() - decode a replica's record.
+ * @name: name of the replica
+ * @bytes: value of the record
+ * @length: length of the value
  *
- * Return: the replica, or NULL.
+ * Return: the replica, or NULL if the record is malformed or has no members.
  */
 struct replica *
 keeper_decode_replica(const char *name, const void *bytes, size_t length)
@@ -94,10 +96,12 @@
 }
 
 /**
- * keeper_encode_lease() - the lease's record.
- * @holder: name of the daemon
- * @term: of the lease
- * @length: set to the length
+ * keeper_encode_lease() - encode the lease's record.
+ * @holder: name of the daemon that holds the lease
+ * @term: term of the lease
+ * @length: set to the length of the value
+ *
+ * Return: the record's value; free with g_free().
  */
 guint8 *
 keeper_encode_lease(const char *holder, int64_t term, size_t *length)
@@ -108,11 +112,11 @@
 }
 
 /**
- * keeper_decode_lease() - the term of a lease's record.
- * @bytes: the record's value
- * @length: its length
+ * keeper_decode_lease() - decode the term of the lease's record.
+ * @bytes: value of the record
+ * @length: length of the value
  *
- * Return: the term; 0 where the record can't be read.
+ * Return: the term, or 0 if the record is malformed.
  */
 int64_t
 keeper_decode_lease(const void *bytes, size_t length)
--- a/src/keeper-stage.c
+++ b/src/keeper-stage.c
@@ -1,36 +1,37 @@
-/* Copies of models that are being made, and loads that may begin. */
+/* Copies of models that are being made, and loads that may start. */
 #include <string.h>
 
 #include "keeper.h"
 
-/* Loads are counted over this span; the platform's bound is over as much. */
+/* Loads are counted over this period; the platform's bound is over as long. */
 #define LOADS_WINDOW_MS 5000
-/* Part of the bound on loads that is used. */
-#define LOADS_SHARE 0.8
-/* Without a bound in the engine's profile. */
-#define LOADS_ANY 1000
-/* A copy with others beside it takes longer than one alone. */
-#define STAGE_FACTOR 1.5
-/* An order to copy that had no answer is given again after this; the time of
- * an answer is some milliseconds, and a repeat does nothing twice. */
-#define STAGE_AGAIN_MS 300
+/* Share of the platform's bound on loads that is used. */
+#define LOADS_USED_SHARE 0.8
+/* Number of loads that may start where none bounds them. */
+#define LOADS_UNLIMITED 1000
+/* Time allowed for a copy, over the load time of one alone: copies that run at
+ * the same time slow each other down. */
+#define COPY_TIME_FACTOR 1.5
+/* An order to copy that was not answered is sent again after this; an answer
+ * takes some milliseconds, and a repeated order has no further effect. */
+#define COPY_RETRY_MS 300
 
 /**
- * keeper_stage_free() - free a copy that is being made.
+ * keeper_stage_free() - free the state of a copy that is being made.
  * @data: the struct keeper_stage
  */
 void
 keeper_stage_free(void *data)
 {
-	struct keeper_stage *stage = data;
+	struct keeper_stage *copy = data;
 
-	g_free(stage->model);
-	g_free(stage);
+	g_free(copy->model);
+	g_free(copy);
 }
 
 /* Whether a host reports a copy of a model. */
 static bool
-report_staged(const struct endpoint_report *report, const char *model)
+report_has_copy(const struct endpoint_report *report, const char *model)
 {
 	for (guint i = 0; i < report->staged->len; i++) {
 		if (strcmp(report->staged->pdata[i], model) == 0)
@@ -39,140 +40,143 @@
 	return (false);
 }
 
-/* Whether a copy is still being made, as far as is known of its host. */
+/* Whether a copy may still be in progress, as far as is known of its host. */
 static bool
-stage_goes_on(const struct keeper_stage *stage, const struct endpoint *ep,
+copy_in_progress(const struct keeper_stage *copy, const struct endpoint *ep,
     uint64_t now_ms)
 {
 	if (ep == NULL || ep->gone || ep->draining || ep->lapsed_ms != 0 ||
-	    ep->report.started_ms != stage->started_ms)
+	    ep->report.started_ms != copy->started_ms)
 		return (false);
-	return (now_ms < stage->until_ms &&
-	    !report_staged(&ep->report, stage->model));
+	return (now_ms < copy->until_ms &&
+	    !report_has_copy(&ep->report, copy->model));
 }
 
-/* Gives an order again whose answer was lost. */
+/* Sends an order to copy again if it was not answered. */
 static void
-stage_again(struct keeper *k, const char *host, struct keeper_stage *stage,
+copy_retry_order(struct keeper *p, const char *host, struct keeper_stage *copy,
     uint64_t now_ms)
 {
-	if (stage->known || stage->asking ||
-	    now_ms - stage->asked_ms < STAGE_AGAIN_MS)
+	if (copy->known || copy->asking ||
+	    now_ms - copy->asked_ms < COPY_RETRY_MS)
 		return;
-	stage->asked_ms = now_ms;
-	stage->asking = keeper_order_stage(k, host, stage->model);
+	copy->asked_ms = now_ms;
+	copy->asking = keeper_order_stage(p, host, copy->model);
 }
 
 /**
- * keeper_stage_look() - drop copies that were made or lost, ask again for
- * those whose order may not have arrived.
- * @k: the keeper; its lease was checked just before
- * @now_ms: loop time
+ * keeper_stage_look() - drop copies that are complete or lost, and repeat
+ * orders that may not have arrived.
+ * @p: the placer; its lease was verified just before
+ * @now_ms: loop time, in ms
  */
 void
-keeper_stage_look(struct keeper *k, uint64_t now_ms)
+keeper_stage_look(struct keeper *p, uint64_t now_ms)
 {
 	GHashTableIter iter;
 	gpointer host, value;
 
-	g_hash_table_iter_init(&iter, k->staging);
+	g_hash_table_iter_init(&iter, p->staging);
 	while (g_hash_table_iter_next(&iter, &host, &value)) {
-		struct endpoint *ep = fleet_find(&k->dir->fleet, host);
+		struct endpoint *ep = fleet_find(&p->dir->fleet, host);
 
-		if (stage_goes_on(value, ep, now_ms))
-			stage_again(k, host, value, now_ms);
+		if (copy_in_progress(value, ep, now_ms))
+			copy_retry_order(p, host, value, now_ms);
 		else
 			g_hash_table_iter_remove(&iter);
 	}
 }
 
 /**
- * keeper_stage_begin() - have a host copy a model beside its work.
- * @k: the keeper
- * @host: the host
+ * keeper_stage_begin() - have a host copy a model beside its other work.
+ * @p: the placer
+ * @host: id of the host
  * @m: the model
- * @now_ms: loop time
+ * @now_ms: loop time, in ms
  */
 void
-keeper_stage_begin(struct keeper *k, const char *host,
+keeper_stage_begin(struct keeper *p, const char *host,
     const struct model_profile *m, uint64_t now_ms)
 {
-	const struct endpoint *ep = fleet_find(&k->dir->fleet, host);
-	struct keeper_stage *stage = g_new0(struct keeper_stage, 1);
-
-	stage->started_ms = ep != NULL ? ep->report.started_ms : 0;
-	stage->model = g_strdup(m->name);
-	stage->until_ms = now_ms + (uint64_t)(STAGE_FACTOR * m->load_ms);
-	stage->asked_ms = now_ms;
-	g_hash_table_replace(k->staging, g_strdup(host), stage);
-	g_array_append_val(k->loads, now_ms);
-	stage->asking = keeper_order_stage(k, host, m->name);
+	const struct endpoint *ep = fleet_find(&p->dir->fleet, host);
+	struct keeper_stage *copy = g_new0(struct keeper_stage, 1);
+
+	copy->started_ms = ep != NULL ? ep->report.started_ms : 0;
+	copy->model = g_strdup(m->name);
+	copy->until_ms = now_ms + (uint64_t)(COPY_TIME_FACTOR * m->load_ms);
+	copy->asked_ms = now_ms;
+	g_hash_table_replace(p->staging, g_strdup(host), copy);
+	g_array_append_val(p->loads, now_ms);
+	copy->asking = keeper_order_stage(p, host, m->name);
 }
 
 /**
- * keeper_stage_answered() - a host answered the order to copy, or did not.
- * @k: the keeper
- * @host: the host
- * @result: what it said
+ * keeper_stage_answered() - handle the result of an order to copy.
+ * @p: the placer
+ * @host: id of the host
+ * @result: result of the order
  *
- * An order that does not fit meets a copy that is being made already.
+ * ORDER_UNFIT means that the host is making the copy already.
  */
 void
-keeper_stage_answered(struct keeper *k, const char *host,
+keeper_stage_answered(struct keeper *p, const char *host,
     enum order_result result)
 {
-	struct keeper_stage *stage = g_hash_table_lookup(k->staging, host);
+	struct keeper_stage *copy = g_hash_table_lookup(p->staging, host);
 
-	if (stage == NULL)
+	if (copy == NULL)
 		return;
-	stage->asking = false;
+	copy->asking = false;
 	if (result == ORDER_TAKEN || result == ORDER_UNFIT)
-		stage->known = true;
+		copy->known = true;
 	else if (result != ORDER_UNKNOWN)
-		g_hash_table_remove(k->staging, host);
+		g_hash_table_remove(p->staging, host);
 }
 
 /**
  * keeper_staging() - the model that is being copied to a host.
- * @k: the keeper
- * @host: the host
+ * @p: the placer
+ * @host: id of the host
  *
- * Return: its name, or NULL.
+ * Return: name of the model, or NULL.
  */
 const char *
-keeper_staging(const struct keeper *k, const char *host)
+keeper_staging(const struct keeper *p, const char *host)
 {
-	const struct keeper_stage *stage =
-	    g_hash_table_lookup(k->staging, host);
+	const struct keeper_stage *copy = g_hash_table_lookup(p->staging, host);
 
-	return (stage != NULL ? stage->model : NULL);
+	return (copy != NULL ? copy->model : NULL);
 }
 
 /**
- * keeper_loads_free() - loads that may begin now.
- * @k: the keeper
- * @e: the engine's profile
- * @now_ms: loop time
+ * keeper_loads_free() - number of loads from the weight store that may start
+ * now.
+ * @p: the placer
+ * @e: the engine profile
+ * @now_ms: loop time, in ms
  */
 unsigned
-keeper_loads_free(struct keeper *k, const struct engine_profile *e,
+keeper_loads_free(struct keeper *p, const struct engine_profile *e,
     uint64_t now_ms)
 {
-	double most = e->loads_per_s * LOADS_WINDOW_MS / 1000 * LOADS_SHARE;
-	unsigned staging = g_hash_table_size(k->staging);
+	double max_loads =
+	    e->loads_per_s * LOADS_WINDOW_MS / 1000 * LOADS_USED_SHARE;
+	unsigned staging = g_hash_table_size(p->staging);
 
-	while (k->loads->len > 0 &&
-	    now_ms - g_array_index(k->loads, uint64_t, 0) >= LOADS_WINDOW_MS)
-		g_array_remove_index(k->loads, 0);
+	while (p->loads->len > 0 &&
+	    now_ms - g_array_index(p->loads, uint64_t, 0) >= LOADS_WINDOW_MS)
+		g_array_remove_index(p->loads, 0);
 	if (e->loads_per_s <= 0)
-		return (LOADS_ANY);
-	/* Before the first request loads are quick, don't slow each other down
-	 * (40 at once took as long as one) and are not counted. */
-	if (!k->served)
-		return (LOADS_ANY);
-	/* More at once only slow each other down. */
-	if (staging >= e->loads_at_once || k->loads->len >= most)
+		return (LOADS_UNLIMITED);
+	/*
+	 * Before the first request loads are quick, do not slow each other down
+	 * (40 at once took as long as one) and are not counted.
+	 */
+	if (!p->served)
+		return (LOADS_UNLIMITED);
+	/* More loads at once would only slow each other down. */
+	if (staging >= e->loads_at_once || p->loads->len >= max_loads)
 		return (0);
-	return (
-	    MIN(e->loads_at_once - staging, (unsigned)(most - k->loads->len)));
+	return (MIN(e->loads_at_once - staging,
+	    (unsigned)(max_loads - p->loads->len)));
 }
--- a/src/keeper-usage.c
+++ b/src/keeper-usage.c
@@ -1,14 +1,14 @@
-/* Group downtime and stranded hosts, as the placer sees them. */
+/* Group downtime and stranded host time of each service. */
 #include <string.h>
 
 #include "event-log.h"
 #include "keeper-usage.h"
 
-/* Between two lines of the log for each model. */
-#define SAY_MS 2000
+/* Minimum time between two log lines for a model. */
+#define LOG_INTERVAL_MS 2000
 
 /**
- * service_usage_create() - begin with nothing counted.
+ * service_usage_create() - allocate the counts of a service, all zero.
  */
 struct service_usage *
 service_usage_create(void)
@@ -34,9 +34,13 @@
 	g_free(u);
 }
 
-/* Counts begin anew where the models are others than before. */
+/*
+ * Sets the models and the number of wanted replicas from the view, and resets
+ * the replica counts. The downtime of a model is reset if another model stood
+ * in its place in the engine profile before.
+ */
 static void
-usage_take_models(struct service_usage *u, const struct form_view *view)
+usage_set_models(struct service_usage *u, const struct form_view *view)
 {
 	const GPtrArray *models = view->engine->models;
 
@@ -56,7 +60,7 @@
 	u->n_models = MIN(models->len, FORM_MODELS_MAX);
 }
 
-/* Adds a replica; returns whether it serves. */
+/* Counts a replica; returns whether it serves. */
 static bool
 usage_add_replica(struct service_usage *u, const struct replica *r)
 {
@@ -75,10 +79,11 @@
 	return (replica_wanted(r) && r->opened);
 }
 
+/* Logs the counts of each model, at most once per LOG_INTERVAL_MS. */
 static void
-usage_say(struct service_usage *u, const char *service, uint64_t now_ms)
+usage_log(struct service_usage *u, const char *service, uint64_t now_ms)
 {
-	if (now_ms - u->said_ms < SAY_MS)
+	if (now_ms - u->said_ms < LOG_INTERVAL_MS)
 		return;
 	u->said_ms = now_ms;
 	for (unsigned i = 0; i < u->n_models; i++) {
@@ -95,12 +100,13 @@
 }
 
 /**
- * service_usage_count() - add the time that has passed.
+ * service_usage_count() - update the counts, adding the time since the last
+ * count to downtime and stranded host time.
  * @u: the counts of the service
- * @service: its name
- * @view: what the placer sees of it
- * @replicas: all replicas of the placer
- * @now_ms: loop time
+ * @service: name of the service
+ * @view: the planner's view of the service
+ * @replicas: all replicas, of all services
+ * @now_ms: loop time, in ms
  */
 void
 service_usage_count(struct service_usage *u, const char *service,
@@ -112,7 +118,7 @@
 	const struct replica *r;
 	unsigned serving = 0;
 
-	usage_take_models(u, view);
+	usage_set_models(u, view);
 	u->counted_ms = now_ms;
 	u->hosts = view->hosts->len;
 	u->free = 0;
@@ -128,15 +134,15 @@
 
 		m->down_ms += elapsed * MAX(m->wanted - m->open, 0);
 	}
-	usage_say(u, service, now_ms);
+	usage_log(u, service, now_ms);
 	idle_watch_look(&u->idle, view);
 }
 
 /**
  * service_usage_print() - append the counts to the metrics page.
- * @u: the counts
- * @service: its name
- * @out: the page
+ * @u: the counts of the service
+ * @service: name of the service
+ * @out: the metrics page
  */
 void
 service_usage_print(const struct service_usage *u, const char *service,
--- a/src/keeper-usage.h
+++ b/src/keeper-usage.h
@@ -1,4 +1,4 @@
-/* Group downtime and stranded hosts, as the placer sees them. */
+/* Group downtime and stranded host time of each service. */
 #ifndef BL_KEEPER_USAGE_H
 #define BL_KEEPER_USAGE_H
 
@@ -6,12 +6,12 @@
 #include "replica-demand.h"
 
 /**
- * struct model_usage - one model of one service.
- * @wanted: replicas that its share of the hosts would form
- * @open: replicas that serve
- * @forming: replicas that are to serve
- * @dissolving: replicas that are being dissolved
- * @down_ms: milliseconds x replicas that were missing
+ * struct model_usage - counts of one model of a service.
+ * @wanted: number of replicas that its share of the hosts would form
+ * @open: number of replicas that serve
+ * @forming: number of replicas that are being formed
+ * @dissolving: number of replicas that are being dissolved
+ * @down_ms: downtime: time summed over missing replicas, in ms x replicas
  */
 struct model_usage {
 	double wanted;
@@ -22,17 +22,19 @@
 };
 
 /**
- * struct service_usage - one service, since this daemon took the lease.
- * @counted_ms: loop time of the last count; 0 before the first
- * @said_ms: loop time of the last lines of the log
- * @hosts: that live
- * @free: of these, those in no replica
- * @stranded_ms: milliseconds x hosts in no replica that serves
- * @names: of the models
- * @models: in the order of the profile
- * @n_models: how many
- * @idle: what was said of hosts
- * @demand: how the work is split between the models
+ * struct service_usage - counts of one service since this daemon took the
+ * lease.
+ * @counted_ms: loop time of the last count, in ms; 0 before the first
+ * @said_ms: loop time at which the counts were last logged, in ms
+ * @hosts: number of live hosts
+ * @free: number of live hosts that are in no replica
+ * @stranded_ms: time summed over hosts that are in no serving replica, in
+ *	ms x hosts
+ * @names: names of the models
+ * @models: counts of the models, in the order of the engine profile
+ * @n_models: number of models
+ * @idle: uses last logged for the hosts
+ * @demand: measured demand of the models
  */
 struct service_usage {
 	uint64_t counted_ms;
--- a/src/keeper.c
+++ b/src/keeper.c
@@ -1,41 +1,48 @@
-/* The placer: one daemon at a time keeps the replicas of all services. */
+/*
+ * The placer: forms and dissolves the replicas of all services. One daemon at
+ * a time is the placer, by a lease in the store. In regular passes it compares
+ * the replicas with what hosts report and takes the steps that are due.
+ */
 #include <string.h>
 
 #include "clock.h"
 #include "event-log.h"
 #include "keeper.h"
 
-/* How often the placer looks while groups change, and otherwise. */
-#define LOOK_BUSY_MS 150
-#define LOOK_CALM_MS 300
-/* After a change, so that a burst of them is looked at once; and at least so
- * many times what a look takes, so that looking leaves room for the rest. */
-#define LOOK_SOON_MS 10
-#define LOOK_SOON_TIMES 4
-/* A look that takes longer is said: nothing else runs meanwhile. */
-#define LOOK_SLOW_US 50000
-/* How long a suspicion keeps its replica under question. */
+/* Time between two passes while replicas change, and otherwise. */
+#define PASS_BUSY_MS 150
+#define PASS_IDLE_MS 300
+/*
+ * Delay of an early pass after a change, so that a burst of changes takes one
+ * pass. It is at least this many times as long as the last pass, so that passes
+ * leave time for the other work of the event loop.
+ */
+#define WAKEUP_DELAY_MS 10
+#define WAKEUP_PASS_FACTOR 4
+/* A longer pass is logged: nothing else runs on the event loop meanwhile. */
+#define PASS_SLOW_US 50000
+/* How long a replica or member stays suspect. */
 #define SUSPECT_MS 3000
-/* How long the head of a replica that is dissolved gets nothing new. */
-#define AVOID_DOOMED_MS 2500
-/* A look this late means that this process stood still. */
-#define PAUSE_MS 1000
+/* How long the head of a replica that is being dissolved gets no requests. */
+#define AVOID_HEAD_MS 2500
+/* A longer time between two passes means that this process was suspended. */
+#define SUSPEND_MS 1000
 
-/* Whether a suspicion still counts. */
+/* Whether a suspicion is still in force. */
 static bool
-suspect_at(uint64_t suspect_ms, uint64_t now_ms)
+suspicion_active(uint64_t suspect_ms, uint64_t now_ms)
 {
 	return (suspect_ms != 0 && now_ms - suspect_ms < SUSPECT_MS);
 }
 
 /*
- * Asks members directly while a replica is suspect, or a member has no entry
- * or left an order unanswered.
+ * Asks members directly for their report while the replica is suspect, and
+ * those that have no entry or did not answer an order.
  */
 static void
-replica_ask(struct keeper *k, struct replica *r, uint64_t now_ms)
+replica_ask_members(struct keeper *p, struct replica *r, uint64_t now_ms)
 {
-	bool suspect = suspect_at(r->suspect_ms, now_ms);
+	bool suspect = suspicion_active(r->suspect_ms, now_ms);
 
 	for (unsigned i = 0; i < r->n; i++) {
 		const struct replica_member *m = &r->members[i];
@@ -43,14 +50,15 @@
 		    m->life == MEMBER_LAPSED || m->life == MEMBER_SILENT;
 
 		if (m->life != MEMBER_DEAD &&
-		    (suspect || unlisted || suspect_at(m->suspect_ms, now_ms)))
-			keeper_ask(k, r, i);
+		    (suspect || unlisted ||
+			suspicion_active(m->suspect_ms, now_ms)))
+			keeper_ask(p, r, i);
 	}
 }
 
-/* Says why the hosts of a group are free, and what that rests on. */
+/* Logs that a group is dissolved, and why its hosts are free. */
 static void
-replica_log_end(const struct replica *r, enum replica_proof proof,
+replica_log_dissolved(const struct replica *r, enum replica_proof proof,
     uint64_t now_ms)
 {
 	const struct replica_member *head = &r->members[0];
@@ -73,48 +81,50 @@
 	}
 }
 
-/* The head of a group that ends is out of it, unless it can't be reached. */
+/*
+ * Notes that the head of a dissolved group is out of it, unless the group was
+ * dissolved by a proof that covers a head that cannot be reached.
+ */
 static void
-replica_note_out(struct keeper *k, const struct replica *r,
+replica_mark_head_out(struct keeper *p, const struct replica *r,
     enum replica_proof proof)
 {
-	struct endpoint *head = fleet_find(&k->dir->fleet, r->members[0].id);
+	struct endpoint *head = fleet_find(&p->dir->fleet, r->members[0].id);
 
 	if (head != NULL && proof != PROOF_MEMBERS && proof != PROOF_STALLED)
 		head->out_epoch = MAX(head->out_epoch, r->epoch);
 }
 
-/* Ends a replica: its hosts are free from now on. */
+/* Removes a dissolved replica and its record: its hosts are free. */
 static void
-replica_end(struct keeper *k, struct replica *r, uint64_t now_ms)
+replica_remove(struct keeper *p, struct replica *r, uint64_t now_ms)
 {
 	for (unsigned i = 0; i < r->n; i++) {
 		struct endpoint *ep =
-		    fleet_find(&k->dir->fleet, r->members[i].id);
+		    fleet_find(&p->dir->fleet, r->members[i].id);
 
 		/* A dead host is no spare until its entry says otherwise. */
 		if (ep != NULL && r->members[i].life >= MEMBER_SILENT)
 			ep->unfit_until_ms = now_ms + SUSPECT_MS;
 	}
-	g_hash_table_replace(k->ended, g_strdup(r->name),
+	g_hash_table_replace(p->ended, g_strdup(r->name),
 	    g_memdup2(&now_ms, sizeof now_ms));
-	keeper_record_replica(k, r, true);
-	TAILQ_REMOVE(&k->replicas, r, entry);
+	keeper_record_replica(p, r, true);
+	TAILQ_REMOVE(&p->replicas, r, entry);
 	replica_free(r);
 }
 
 /**
- * keeper_doomed() - a replica is about to be dissolved.
- * @k: the keeper
+ * keeper_doomed() - log that a replica is being dissolved, and have all daemons
+ * avoid its head.
+ * @p: the placer
  * @r: the replica
- * @now_ms: loop time
- *
- * Has all daemons avoid its head.
+ * @now_ms: loop time, in ms
  */
 void
-keeper_doomed(struct keeper *k, struct replica *r, uint64_t now_ms)
+keeper_doomed(struct keeper *p, struct replica *r, uint64_t now_ms)
 {
-	struct endpoint *head = fleet_find(&k->dir->fleet, r->members[0].id);
+	struct endpoint *head = fleet_find(&p->dir->fleet, r->members[0].id);
 
 	event_log(LOG_NOTICE, "group_doomed",
 	    "group=%s epoch=%lld model=%s reason=%s", r->name,
@@ -122,193 +132,196 @@
 	if (head == NULL)
 		return;
 	head->warned_ms = now_ms;
-	head->rest_until_ms =
-	    MAX(head->rest_until_ms, now_ms + AVOID_DOOMED_MS);
-	mesh_tell_now(k->mesh);
+	head->rest_until_ms = MAX(head->rest_until_ms, now_ms + AVOID_HEAD_MS);
+	mesh_tell_now(p->mesh);
 }
 
-/* Looks at one replica and takes its next steps. */
+/* Updates one replica from what its members report and takes its next steps. */
 static void
-replica_look(struct keeper *k, struct replica *r, uint64_t now_ms)
+replica_update(struct keeper *p, struct replica *r, uint64_t now_ms)
 {
-	bool was_open = r->opened, was_doomed = r->doomed != NULL;
+	bool was_open = r->opened, was_dissolving = r->doomed != NULL;
 	struct replica_step step;
 
 	for (unsigned i = 0; i < r->n; i++)
 		replica_member_look(r, &r->members[i],
-		    fleet_find(&k->dir->fleet, r->members[i].id), now_ms);
-	replica_ask(k, r, now_ms);
-	for (unsigned turn = 0; turn < r->n; turn++) {
-		replica_next(r, now_ms, k->stall_ms, &step);
+		    fleet_find(&p->dir->fleet, r->members[i].id), now_ms);
+	replica_ask_members(p, r, now_ms);
+	for (unsigned orders = 0; orders < r->n; orders++) {
+		replica_next(r, now_ms, p->stall_ms, &step);
 		if (step.act == REPLICA_GONE) {
-			replica_log_end(r, step.proof, now_ms);
-			replica_note_out(k, r, step.proof);
-			replica_end(k, r, now_ms);
+			replica_log_dissolved(r, step.proof, now_ms);
+			replica_mark_head_out(p, r, step.proof);
+			replica_remove(p, r, now_ms);
 			return;
 		}
-		if (step.act != REPLICA_ORDER || !keeper_calls_free(k))
+		if (step.act != REPLICA_ORDER || !keeper_calls_free(p))
 			break;
-		keeper_order(k, r, step.member, step.order);
+		keeper_order(p, r, step.member, step.order);
 	}
 	if (!was_open && r->opened)
 		event_log(LOG_NOTICE, "group_serves",
 		    "group=%s epoch=%lld model=%s ms=%llu", r->name,
 		    (long long)r->epoch, r->model,
 		    (unsigned long long)(now_ms - r->made_ms));
-	if (!was_doomed && r->doomed != NULL)
-		keeper_doomed(k, r, now_ms);
+	if (!was_dissolving && r->doomed != NULL)
+		keeper_doomed(p, r, now_ms);
 	if (replica_settles(r, now_ms)) {
 		r->settled = true;
-		keeper_record_replica(k, r, false);
+		keeper_record_replica(p, r, false);
 	}
 }
 
-/* Whether any replica is changing, or should be. */
+/* Whether any replica is changing or suspect, or work is left to do. */
 static bool
-keeper_busy(const struct keeper *k)
+keeper_busy(const struct keeper *p)
 {
 	const struct replica *r;
 
-	TAILQ_FOREACH(r, &k->replicas, entry) {
+	TAILQ_FOREACH(r, &p->replicas, entry) {
 		if (!r->opened || r->doomed != NULL || r->suspect_ms != 0)
 			return (true);
 	}
-	return (k->records->len > 0 || k->more);
+	return (p->records->len > 0 || p->more);
 }
 
-/* Looks at all replicas and at what could be formed. */
+/* Runs one pass over all replicas and services while the lease is held. */
 static void
-keeper_look_holding(struct keeper *k, uint64_t now_ms)
+keeper_look_holding(struct keeper *p, uint64_t now_ms)
 {
-	uint64_t began = clock_now_us();
+	uint64_t began_us = clock_now_us();
 	struct replica *r, *next;
 
-	for (r = TAILQ_FIRST(&k->replicas); r != NULL; r = next) {
+	for (r = TAILQ_FIRST(&p->replicas); r != NULL; r = next) {
 		next = TAILQ_NEXT(r, entry);
-		replica_look(k, r, now_ms);
+		replica_update(p, r, now_ms);
 	}
-	keeper_adopt(k, now_ms);
-	keeper_place(k, now_ms);
-	keeper_write(k);
-	k->look_us = clock_now_us() - began;
-	if (k->look_us >= LOOK_SLOW_US)
+	keeper_adopt(p, now_ms);
+	keeper_place(p, now_ms);
+	keeper_write(p);
+	p->look_us = clock_now_us() - began_us;
+	if (p->look_us >= PASS_SLOW_US)
 		event_log(LOG_NOTICE, "look_slow", "us=%llu calls=%u hosts=%u",
-		    (unsigned long long)k->look_us, k->calls, k->hosts);
+		    (unsigned long long)p->look_us, p->calls, p->hosts);
 }
 
 /**
- * keeper_look() - look at everything once.
- * @k: the keeper
+ * keeper_look() - run one pass.
+ * @p: the placer
+ *
+ * Takes the lease if it is this daemon's turn, and updates all replicas while
+ * this daemon holds it.
  */
 void
-keeper_look(struct keeper *k)
+keeper_look(struct keeper *p)
 {
-	uint64_t now = clock_loop_ms(k->loop);
+	uint64_t now = clock_loop_ms(p->loop);
 
-	if (k->state == KEEPER_HOLDING && now - k->last_ms > PAUSE_MS)
-		k->verified_ms = 0;
-	k->last_ms = now;
-	k->mesh->self.store_ok =
-	    k->dir->endpoints.synced && k->dir->endpoints.failures == 0;
-	if (mesh_lease_outdone(k->mesh))
-		keeper_lose(k, "taken_over");
-	keeper_lease_look(k, now);
-	if (k->state != KEEPER_HOLDING || k->dir->catalog == NULL)
+	if (p->state == KEEPER_HOLDING && now - p->last_ms > SUSPEND_MS)
+		p->verified_ms = 0;
+	p->last_ms = now;
+	p->mesh->self.store_ok =
+	    p->dir->endpoints.synced && p->dir->endpoints.failures == 0;
+	if (mesh_lease_outdone(p->mesh))
+		keeper_lose(p, "taken_over");
+	keeper_lease_look(p, now);
+	if (p->state != KEEPER_HOLDING || p->dir->catalog == NULL)
 		return;
-	if (keeper_busy(k) && !keeper_verified(k, now))
+	if (keeper_busy(p) && !keeper_verified(p, now))
 		return;
-	keeper_look_holding(k, now);
+	keeper_look_holding(p, now);
 }
 
 static void
 on_timer(uv_timer_t *timer)
 {
-	struct keeper *k = timer->data;
+	struct keeper *p = timer->data;
 	bool busy;
 
-	keeper_look(k);
-	busy = k->state == KEEPER_HOLDING && keeper_busy(k);
+	keeper_look(p);
+	busy = p->state == KEEPER_HOLDING && keeper_busy(p);
 	if (busy)
-		dir_follow_hurry(&k->dir->endpoints);
-	uv_timer_start(timer, on_timer, busy ? LOOK_BUSY_MS : LOOK_CALM_MS, 0);
+		dir_follow_hurry(&p->dir->endpoints);
+	uv_timer_start(timer, on_timer, busy ? PASS_BUSY_MS : PASS_IDLE_MS, 0);
 }
 
 static void
-on_soon(uv_timer_t *timer)
+on_wakeup(uv_timer_t *timer)
 {
 	keeper_look(timer->data);
 }
 
 /**
- * keeper_look_soon() - look before the time, something changed.
- * @k: the keeper
+ * keeper_look_soon() - schedule an early pass after a change.
+ * @p: the placer
  */
 void
-keeper_look_soon(struct keeper *k)
+keeper_look_soon(struct keeper *p)
 {
-	if (k->state != KEEPER_HOLDING || !keeper_busy(k) ||
-	    uv_is_active((uv_handle_t *)&k->soon))
+	if (p->state != KEEPER_HOLDING || !keeper_busy(p) ||
+	    uv_is_active((uv_handle_t *)&p->soon))
 		return;
-	uv_timer_start(&k->soon, on_soon,
-	    MAX(LOOK_SOON_MS, k->look_us * LOOK_SOON_TIMES / 1000), 0);
+	uv_timer_start(&p->soon, on_wakeup,
+	    MAX(WAKEUP_DELAY_MS, p->look_us * WAKEUP_PASS_FACTOR / 1000), 0);
 }
 
 /**
- * keeper_suspect() - an endpoint's streams fell silent.
- * @k: the keeper
+ * keeper_suspect() - mark the replica suspect whose head is an endpoint, since
+ * the endpoint's streams have fallen silent.
+ * @p: the placer
  * @ep: the endpoint
  */
 void
-keeper_suspect(struct keeper *k, const struct endpoint *ep)
+keeper_suspect(struct keeper *p, const struct endpoint *ep)
 {
 	struct replica *r;
 
-	TAILQ_FOREACH(r, &k->replicas, entry) {
+	TAILQ_FOREACH(r, &p->replicas, entry) {
 		if (strcmp(r->members[0].id, ep->report.id) == 0)
-			r->suspect_ms = clock_loop_ms(k->loop);
+			r->suspect_ms = clock_loop_ms(p->loop);
 	}
 }
 
 /**
- * keeper_open() - begin to look.
- * @k: the keeper; store, dir, mesh, orders and name are filled in
+ * keeper_open() - initialize the placer and start its passes.
+ * @p: the placer; @store, @dir, @mesh, @orders, @name and @stall_ms are set
  * @loop: the event loop
  */
 void
-keeper_open(struct keeper *k, uv_loop_t *loop)
+keeper_open(struct keeper *p, uv_loop_t *loop)
 {
-	k->loop = loop;
-	k->records = g_array_new(FALSE, TRUE, sizeof(struct store_record));
-	g_array_set_clear_func(k->records, store_record_clear);
-	k->loads = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	k->staging = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+	p->loop = loop;
+	p->records = g_array_new(FALSE, TRUE, sizeof(struct store_record));
+	g_array_set_clear_func(p->records, store_record_clear);
+	p->loads = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	p->staging = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 	    keeper_stage_free);
-	k->warming =
+	p->warming =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	k->usage = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+	p->usage = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 	    service_usage_free);
-	k->ended =
+	p->ended =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	k->pools =
+	p->pools =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-	TAILQ_INIT(&k->replicas);
-	uv_timer_init(loop, &k->timer);
-	k->timer.data = k;
-	uv_timer_init(loop, &k->soon);
-	k->soon.data = k;
-	uv_timer_start(&k->timer, on_timer, LOOK_BUSY_MS, 0);
+	TAILQ_INIT(&p->replicas);
+	uv_timer_init(loop, &p->timer);
+	p->timer.data = p;
+	uv_timer_init(loop, &p->soon);
+	p->soon.data = p;
+	uv_timer_start(&p->timer, on_timer, PASS_BUSY_MS, 0);
 }
 
 /**
- * keeper_stop() - stop placing, for another daemon to take over.
- * @k: the keeper
+ * keeper_stop() - stop the passes, so that another daemon can take over.
+ * @p: the placer
  */
 void
-keeper_stop(struct keeper *k)
+keeper_stop(struct keeper *p)
 {
-	if (k->state == KEEPER_HOLDING)
-		keeper_lose(k, "leaving");
-	k->state = KEEPER_IDLE;
-	uv_timer_stop(&k->timer);
-	uv_timer_stop(&k->soon);
+	if (p->state == KEEPER_HOLDING)
+		keeper_lose(p, "leaving");
+	p->state = KEEPER_IDLE;
+	uv_timer_stop(&p->timer);
+	uv_timer_stop(&p->soon);
 }
