--- a/src/evidence.c
+++ b/src/evidence.c
@@ -1,4 +1,4 @@
-/* Evidence: what a host lately said of itself. */
+/* Evidence: the newest probe answer of a host, and when it was asked for. */
 #include <string.h>
 #include <xxhash.h>
 
@@ -19,8 +19,10 @@
 }
 
 /**
- * evidence_model() - the hash that stands for a model's name.
- * @name: the name; "" gives 0
+ * evidence_model() - hash a model's name.
+ * @name: the name
+ *
+ * Return: the hash; 0 for the empty name.
  */
 uint32_t
 evidence_model(const char *name)
@@ -29,8 +31,8 @@
 }
 
 /**
- * evidence_parse() - take a host's answer to a probe.
- * @ev: replaced
+ * evidence_parse() - parse a host's answer to a probe.
+ * @ev: filled in
  * @json: the answer
  * @asked_ms: monotonic time just before the probe was sent
  *
@@ -58,10 +60,10 @@
 }
 
 /**
- * evidence_fresh() - whether the evidence still counts.
+ * evidence_fresh() - whether the evidence has not expired.
  * @ev: the evidence
- * @now: monotonic milliseconds
- * @limit_ms: age at which it lapses
+ * @now: monotonic time, in ms
+ * @limit_ms: age at which evidence expires
  */
 bool
 evidence_fresh(const struct evidence *ev, uint64_t now, uint64_t limit_ms)
@@ -70,7 +72,7 @@
 }
 
 /**
- * evidence_ready_in() - whether the host says that it is ready in a group.
+ * evidence_ready_in() - whether the host reports that it is ready in a group.
  * @ev: the evidence
  * @epoch: the group's epoch
  */
@@ -81,7 +83,7 @@
 }
 
 /**
- * evidence_idle() - whether the host says that it is in no group.
+ * evidence_idle() - whether the host reports that it is idle and in no group.
  * @ev: the evidence
  */
 bool
--- a/src/evidence.h
+++ b/src/evidence.h
@@ -1,4 +1,4 @@
-/* Evidence: what a host lately said of itself. */
+/* Evidence: the newest probe answer of a host, and when it was asked for. */
 #ifndef BL_EVIDENCE_H
 #define BL_EVIDENCE_H
 
@@ -15,15 +15,15 @@
 };
 
 /**
- * struct evidence - what a host said, and when it was asked.
- * @seen_ms: local monotonic time just before the question was sent, so that
- *	a pause of this daemon only makes it older; 0 for never
- * @state: its state
- * @epoch: epoch of the group that it says it is in; 0 for none
- * @model: hash of the name of the weights that it holds; 0 for none
- * @shard: rank of those weights
- * @shards: how many ranks those weights were cut into
- * @load: requests that run or wait there
+ * struct evidence - the newest probe answer of a host.
+ * @seen_ms: local monotonic time just before the probe was sent, so that a
+ *	pause of this daemon only makes the evidence older; 0 for never
+ * @state: state of the host
+ * @epoch: epoch of the group that the host reports; 0 for none
+ * @model: hash of the name of the model whose weights it holds; 0 for none
+ * @shard: rank of the shard of these weights
+ * @shards: number of shards that these weights are split into
+ * @load: number of requests that run or are queued on the host
  */
 struct evidence {
 	uint64_t seen_ms;
--- a/src/inventory.c
+++ b/src/inventory.c
@@ -1,9 +1,9 @@
-/* The hosts that the platform lists, with the evidence about each. */
+/* The hosts of the platform's host list, with the evidence about each. */
 #include "event-log.h"
 #include "inventory.h"
 
 /**
- * inventory_init() - begin with no hosts.
+ * inventory_init() - initialize an empty inventory.
  * @inv: the inventory
  */
 void
@@ -16,7 +16,7 @@
 }
 
 /**
- * inventory_destroy() - free all hosts.
+ * inventory_destroy() - free all hosts and the lock.
  * @inv: the inventory
  */
 void
@@ -33,9 +33,11 @@
 }
 
 /**
- * inventory_find() - look a host up.
- * @inv: locked
- * @name: its name
+ * inventory_find() - look up a host by its name.
+ * @inv: the inventory, locked
+ * @name: name of the host
+ *
+ * Return: the host, or NULL.
  */
 struct host *
 inventory_find(struct inventory *inv, const char *name)
@@ -43,9 +45,12 @@
 	return (g_hash_table_lookup(inv->by_name, name));
 }
 
-/* Adds or updates one host; returns whether it is new or moved. */
+/*
+ * Adds or updates one host. Returns whether it is new or whether it began or
+ * stopped leaving.
+ */
 static bool
-inventory_take(struct inventory *inv, json_t *item, uint64_t now)
+inventory_put(struct inventory *inv, json_t *item, uint64_t now)
 {
 	const char *name = json_string_value(json_object_get(item, "name"));
 	struct host *host;
@@ -68,15 +73,15 @@
 }
 
 /**
- * inventory_update() - take the host list.
+ * inventory_update() - apply a new host list.
  * @inv: the inventory
  * @list: array of entries
- * @now: monotonic milliseconds
+ * @now: monotonic time, in ms
  *
- * Hosts that are no longer listed stay, marked as gone, since a group may
- * still name them.
+ * Hosts that are no longer listed are kept and marked as gone, since a group
+ * may still name them.
  *
- * Return: whether a host came, left or changed its state.
+ * Return: whether a host was added, disappeared, or began or stopped leaving.
  */
 bool
 inventory_update(struct inventory *inv, json_t *list, uint64_t now)
@@ -96,7 +101,7 @@
 
 		if (name != NULL)
 			g_hash_table_add(listed, (char *)name);
-		changed = inventory_take(inv, item, now) || changed;
+		changed = inventory_put(inv, item, now) || changed;
 	}
 	TAILQ_FOREACH(host, &inv->hosts, entry) {
 		if (host->gone || g_hash_table_contains(listed, host->name))
--- a/src/inventory.h
+++ b/src/inventory.h
@@ -1,4 +1,4 @@
-/* The hosts that the platform lists, with the evidence about each. */
+/* The hosts of the platform's host list, with the evidence about each. */
 #ifndef BL_INVENTORY_H
 #define BL_INVENTORY_H
 
@@ -9,11 +9,12 @@
 #include "host.h"
 
 /**
- * struct inventory - the hosts.
- * @lock: guards all below, and each host
- * @hosts: the hosts, by intrusive list
- * @by_name: name to struct host
- * @listed_ms: last time the host list answered, 0 for never
+ * struct inventory - the hosts of the platform's host list.
+ * @lock: guards all fields below, and each host
+ * @hosts: the hosts
+ * @by_name: maps a name to its struct host
+ * @listed_ms: monotonic time of the last successful read of the host list, in
+ *	ms; 0 for never
  */
 struct inventory {
 	GMutex lock;
--- a/src/lease-keeper.c
+++ b/src/lease-keeper.c
@@ -1,8 +1,9 @@
 /*
- * Keeping a control lease. A holder counts from the moment before it sent a
- * renewal, a successor from the moment after it read the renewal, so the
- * holder stops first whatever the log's delay, by the difference of @hold and
- * @wait. Replay makes the records of an older term void in any case.
+ * Decides when a daemon takes and renews a control lease. A holder counts from
+ * the moment before it sent a renewal, a successor from the moment after it
+ * read that renewal. So the holder stops first whatever the delay of the log,
+ * by the difference of @wait and @hold. Replay voids the records of an older
+ * term in any case.
  */
 #include <string.h>
 
@@ -10,46 +11,49 @@
 #include "lease.h"
 
 /**
- * lease_keeper_init() - begin; an unknown holder may have renewed just now.
- * @keeper: the keeper
- * @now: monotonic milliseconds
+ * lease_keeper_init() - initialize an elector before any lease was read.
+ * @e: the elector
+ * @now: monotonic time, in ms
+ *
+ * An unknown holder may have renewed the lease just now, so the wait counts
+ * from @now.
  */
 void
-lease_keeper_init(struct lease_keeper *keeper, uint64_t now)
+lease_keeper_init(struct lease_keeper *e, uint64_t now)
 {
-	memset(keeper, 0, sizeof *keeper);
-	keeper->seen_ms = now;
+	memset(e, 0, sizeof *e);
+	e->seen_ms = now;
 }
 
-/* Takes note of a renewal that replay has reached. */
+/* Notes the newest renewal by replay. */
 static void
-keeper_observe(struct lease_keeper *k, const struct lease_times *t,
+elector_observe(struct lease_keeper *e, const struct lease_times *t,
     const struct lease *lease, bool mine, uint64_t now)
 {
-	if (lease->renewed != k->seen_renewed || lease->term != k->seen_term) {
-		k->seen_renewed = lease->renewed;
-		k->seen_term = lease->term;
-		k->seen_ms = now;
+	if (lease->renewed != e->seen_renewed || lease->term != e->seen_term) {
+		e->seen_renewed = lease->renewed;
+		e->seen_term = lease->term;
+		e->seen_ms = now;
 	}
 	if (!mine) {
-		k->hold_until_ms = 0;
+		e->hold_until_ms = 0;
 		return;
 	}
-	if (k->sent_offset != 0 && lease->renewed >= k->sent_offset)
-		k->hold_until_ms = k->sent_ms + t->hold;
+	if (e->sent_offset != 0 && lease->renewed >= e->sent_offset)
+		e->hold_until_ms = e->sent_ms + t->hold;
 }
 
 /**
  * lease_keeper_step() - what to do about the lease now.
- * @k: the keeper
- * @t: the bounds
- * @lease: the newest lease by replay, or NULL when none was ever taken
+ * @e: the elector
+ * @t: times of the lease
+ * @lease: the newest lease by replay, or NULL if none was ever taken
  * @me: holder name of this daemon, with its incarnation
- * @delay: extra wait of this daemon, so that contenders do not collide
- * @now: monotonic milliseconds
+ * @delay: extra delay of this daemon, in ms, so that contenders do not collide
+ * @now: monotonic time, in ms
  */
 enum lease_step
-lease_keeper_step(struct lease_keeper *k, const struct lease_times *t,
+lease_keeper_step(struct lease_keeper *e, const struct lease_times *t,
     const struct lease *lease, const char *me, uint64_t delay, uint64_t now)
 {
 	bool mine, vacant;
@@ -57,37 +61,38 @@
 	vacant = lease == NULL || lease->holder[0] == '\0';
 	mine = !vacant && strcmp(lease->holder, me) == 0;
 	if (lease != NULL)
-		keeper_observe(k, t, lease, mine, now);
+		elector_observe(e, t, lease, mine, now);
 	if (mine)
 		return (
-		    now >= k->sent_ms + t->renew ? LEASE_RENEW : LEASE_WAIT);
-	if (vacant && now >= k->seen_ms + delay)
+		    now >= e->sent_ms + t->renew ? LEASE_RENEW : LEASE_WAIT);
+	if (vacant && now >= e->seen_ms + delay)
 		return (LEASE_TAKE);
-	if (now >= k->seen_ms + t->wait + delay)
+	if (now >= e->seen_ms + t->wait + delay)
 		return (LEASE_TAKE);
 	return (LEASE_WAIT);
 }
 
 /**
- * lease_keeper_sent() - note that a lease record was appended.
- * @k: the keeper
- * @sent_ms: time just before the append was sent
- * @offset: its offset; 0 when the answer was lost, which extends nothing
+ * lease_keeper_sent() - note that a lease record was sent.
+ * @e: the elector
+ * @sent_ms: monotonic time just before the append was sent, in ms
+ * @offset: offset of the record; 0 if the answer was lost, in which case the
+ *	lease is not extended
  */
 void
-lease_keeper_sent(struct lease_keeper *k, uint64_t sent_ms, uint64_t offset)
+lease_keeper_sent(struct lease_keeper *e, uint64_t sent_ms, uint64_t offset)
 {
-	k->sent_ms = sent_ms;
-	k->sent_offset = offset;
+	e->sent_ms = sent_ms;
+	e->sent_offset = offset;
 }
 
 /**
- * lease_keeper_holds() - whether this daemon may act on the lease now.
- * @k: the keeper
- * @now: monotonic milliseconds; read it just before acting
+ * lease_keeper_holds() - whether this daemon holds the lease now.
+ * @e: the elector
+ * @now: monotonic time, in ms; read just before acting on the lease
  */
 bool
-lease_keeper_holds(const struct lease_keeper *k, uint64_t now)
+lease_keeper_holds(const struct lease_keeper *e, uint64_t now)
 {
-	return (now < k->hold_until_ms);
+	return (now < e->hold_until_ms);
 }
--- a/src/lease-keeper.h
+++ b/src/lease-keeper.h
@@ -1,4 +1,7 @@
-/* Keeping a control lease: when to take, renew and stop. Pure decisions. */
+/*
+ * Decides when a daemon takes and renews a control lease, and how long it holds
+ * it. Does no I/O; the time is an argument.
+ */
 #ifndef BL_LEASE_KEEPER_H
 #define BL_LEASE_KEEPER_H
 
@@ -7,6 +10,12 @@
 
 struct lease;
 
+/**
+ * enum lease_step - what to do about the lease.
+ * @LEASE_WAIT: nothing
+ * @LEASE_TAKE: append a record that takes the lease
+ * @LEASE_RENEW: append a renewal
+ */
 enum lease_step {
 	LEASE_WAIT,
 	LEASE_TAKE,
@@ -14,10 +23,11 @@
 };
 
 /**
- * struct lease_times - the bounds, in milliseconds.
- * @renew: between renewals
- * @hold: a holder stops this long after it *sent* its last known renewal
- * @wait: another takes over this long after it *read* the last renewal
+ * struct lease_times - the times of a lease, in ms.
+ * @renew: time between two renewals
+ * @hold: a holder stops this long after it *sent* the last renewal that it has
+ *	read back
+ * @wait: another daemon takes over this long after it *read* the last renewal
  */
 struct lease_times {
 	uint64_t renew;
@@ -26,13 +36,15 @@
 };
 
 /**
- * struct lease_keeper - one daemon's view of one lease.
+ * struct lease_keeper - one daemon's state for taking and holding a lease.
+ * Times are monotonic, in ms.
  * @seen_term: term that was read last
  * @seen_renewed: renewal that was read last
  * @seen_ms: when that renewal was first read
- * @sent_ms: when the record in flight was sent, before its append
- * @sent_offset: offset of that record, 0 while it is not known
- * @hold_until_ms: the holder may act before this time
+ * @sent_ms: when the last lease record was sent, just before its append
+ * @sent_offset: offset of that record; 0 while it is not known
+ * @hold_until_ms: this daemon holds the lease before this time; 0 if another
+ *	has it
  */
 struct lease_keeper {
 	uint64_t seen_term;
--- a/src/lease.c
+++ b/src/lease.c
@@ -4,11 +4,13 @@
 #include "lease.h"
 
 /**
- * lease_create() - make a lease.
+ * lease_create() - allocate a lease.
  * @domain: the failure domain
- * @holder: the daemon that holds it
- * @term: offset of the record that took it
- * @renewed: offset of the latest renewal
+ * @holder: the daemon that holds it, with its incarnation
+ * @term: log offset of the record that took it
+ * @renewed: log offset of the newest renewal
+ *
+ * Return: the lease; free with lease_free().
  */
 struct lease *
 lease_create(const char *domain, const char *holder, uint64_t term,
@@ -37,7 +39,7 @@
 }
 
 /**
- * lease_dump() - the lease as JSON, as kept in snapshots.
+ * lease_dump() - the lease as JSON, in the form that snapshots keep.
  * @lease: the lease
  */
 json_t *
--- a/src/lease.h
+++ b/src/lease.h
@@ -6,11 +6,12 @@
 #include <stdint.h>
 
 /**
- * struct lease - the newest lease of a failure domain, as replayed.
+ * struct lease - the newest lease of a failure domain, by replay of the log.
  * @domain: the failure domain
- * @holder: the daemon that took it, with its incarnation
- * @term: log offset of the record that took it; names this holding
- * @renewed: log offset of the latest renewal
+ * @holder: the daemon that took it, with its incarnation; empty if it was given
+ *	back
+ * @term: log offset of the record that took it, which identifies the term
+ * @renewed: log offset of the newest renewal
  */
 struct lease {
 	char *domain;
--- a/src/place-common.c
+++ b/src/place-common.c
@@ -1,7 +1,7 @@
-/* Steps that several placement policies take. */
+/* Functions that several placement policies share. */
 #include "place-common.h"
 
-/* Whether the plan dissolves the group already. */
+/* Whether the plan so far dissolves the group. */
 static bool
 group_dissolved(const GArray *actions, int group)
 {
@@ -16,7 +16,8 @@
 }
 
 /**
- * place_shrink() - dissolve groups beyond the wanted count, broken ones first.
+ * place_shrink() - dissolve groups beyond the wanted number, those that have
+ * lost hosts first.
  * @view: the view
  * @actions: the plan
  */
@@ -36,9 +37,10 @@
 	}
 }
 
-/* Usable hosts of a fabric domain that the plan has not taken yet. */
+/* Reusable hosts of a fabric domain that the plan so far does not use. */
 static int
-fabric_left(const struct place_view *view, int fabric, const GArray *actions)
+fabric_hosts_left(const struct place_view *view, int fabric,
+    const GArray *actions)
 {
 	int n = place_fabric_free(view, fabric);
 
@@ -56,8 +58,9 @@
 }
 
 /*
- * The fabric domain for the next group: the one whose hosts hold the most
- * shards, or with the most usable hosts; -1 when none has enough.
+ * The fabric domain for the next group: the one with the most reusable hosts
+ * or, if @prefer_cached is set, the one whose reusable hosts hold the most
+ * shards. Returns -1 if none has enough reusable hosts.
  */
 static int
 best_fabric(const struct place_view *view, int reserve, bool prefer_cached,
@@ -66,7 +69,7 @@
 	int best = -1, best_score = -1;
 
 	for (int f = 0; f < view->n_fabrics; f++) {
-		int left = fabric_left(view, f, actions);
+		int left = fabric_hosts_left(view, f, actions);
 		int score = left;
 
 		if (left < view->size + reserve)
@@ -82,11 +85,11 @@
 }
 
 /**
- * place_fill() - form groups until the wanted count stands or hosts run out.
+ * place_fill() - form groups up to the wanted number or until hosts run out.
  * @view: the view
- * @reserve: free hosts to leave in each fabric domain
- * @prefer_cached: take the fabric domain whose hosts hold the most shards;
- *	otherwise the one with the most usable hosts
+ * @reserve: reusable hosts to leave in each fabric domain
+ * @prefer_cached: prefer the fabric domain whose reusable hosts hold the most
+ *	shards; otherwise the one with the most reusable hosts
  * @actions: the plan
  */
 void
@@ -102,9 +105,9 @@
 	}
 }
 
-/* Shards that the newest group of a plan has to load. */
+/* Number of shards that the last group of a plan has to load. */
 static int
-loads_of_newest(const struct place_view *view, const GArray *actions)
+last_group_loads(const struct place_view *view, const GArray *actions)
 {
 	const struct place_action *a =
 	    &g_array_index(actions, struct place_action, actions->len - 1);
@@ -116,8 +119,9 @@
 }
 
 /**
- * place_fill_loading() - as place_fill(), but only groups whose loads can
- * begin now: hosts that would only wait for the weight store are not held.
+ * place_fill_loading() - like place_fill(), but form only groups whose loads
+ * can start now, so that no group holds hosts that only wait for the weight
+ * store.
  * @view: the view
  * @actions: the plan
  */
@@ -130,6 +134,6 @@
 		fabric = best_fabric(view, 0, true, actions);
 		if (fabric < 0 || !place_form_in(view, fabric, actions))
 			return;
-		loads_free -= loads_of_newest(view, actions);
+		loads_free -= last_group_loads(view, actions);
 	}
 }
--- a/src/place-common.h
+++ b/src/place-common.h
@@ -1,4 +1,4 @@
-/* Steps that several placement policies take. */
+/* Functions that several placement policies share. */
 #ifndef BL_PLACE_COMMON_H
 #define BL_PLACE_COMMON_H
 
--- a/src/place-live.c
+++ b/src/place-live.c
@@ -1,11 +1,11 @@
-/* Makes a placement policy's view from the live state. */
+/* Builds a placement policy's view from the live state. */
 #include <string.h>
 
 #include "group.h"
 #include "place-live.h"
 
-/* A host that leaves does not come back: as if lost for long. */
-#define LEFT_MS 3600000
+/* A host that leaves does not come back: it counts as lost for this long. */
+#define GONE_MS 3600000
 
 static int
 fabric_number(struct place_live *live, const char *fabric)
@@ -51,9 +51,9 @@
 	}
 }
 
-/* Fills in what the evidence says of a host. */
+/* Fills in what the evidence tells about a host. */
 static void
-host_evidence(struct place_host *out, const struct host *host,
+host_set_evidence(struct place_host *out, const struct host *host,
     const struct group *group, uint32_t model, int size,
     const struct place_live_times *t)
 {
@@ -64,7 +64,7 @@
 	out->lost_ms = out->alive ? 0 : age;
 	if (host_leaving(host)) {
 		out->alive = false;
-		out->lost_ms = LEFT_MS;
+		out->lost_ms = GONE_MS;
 	}
 	out->reusable = out->alive && group == NULL && !host->gone &&
 	    evidence_fresh(ev, t->now, t->evidence_ms) && evidence_idle(ev) &&
@@ -97,7 +97,7 @@
 		    out.group == PLACE_NO_GROUP)
 			continue;
 		out.fabric = fabric_number(live, host->fabric);
-		host_evidence(&out, host, group, model, live->view.size, t);
+		host_set_evidence(&out, host, group, model, live->view.size, t);
 		if (out.group != PLACE_NO_GROUP && !out.alive)
 			g_array_index(live->groups, struct place_group,
 			    out.group)
@@ -106,7 +106,7 @@
 	}
 }
 
-/* Hosts of groups that the host list never named here count as lost. */
+/* Adds as lost the hosts of groups that were never in the host list. */
 static void
 add_unknown_hosts(struct place_live *live, const struct state *state,
     struct inventory *inv)
@@ -121,7 +121,7 @@
 						      group->hosts->pdata[i],
 				.fabric = pg->fabric,
 				.group = (int)g,
-				.lost_ms = LEFT_MS,
+				.lost_ms = GONE_MS,
 				.shard = PLACE_NO_SHARD };
 
 			if (inventory_find(inv, out.name) != NULL)
@@ -133,13 +133,13 @@
 }
 
 /**
- * place_live_make() - make the view of one deployment.
+ * place_live_make() - build the view of one deployment.
  * @live: filled in; free with place_live_clear()
  * @state: the configuration, locked
  * @inv: the hosts, locked
  * @deployment: the deployment
- * @domain: failure domain
- * @t: time and bounds
+ * @domain: the failure domain
+ * @t: current time and limits
  */
 void
 place_live_make(struct place_live *live, const struct state *state,
@@ -174,7 +174,7 @@
 }
 
 /**
- * place_live_clear() - clean-up attribute for a view.
+ * place_live_clear() - free the data of a view; for use with CLEANUP().
  * @live: the view
  */
 void
--- a/src/place-live.h
+++ b/src/place-live.h
@@ -1,4 +1,4 @@
-/* Makes a placement policy's view from the live state. */
+/* Builds a placement policy's view from the live state. */
 #ifndef BL_PLACE_LIVE_H
 #define BL_PLACE_LIVE_H
 
@@ -7,6 +7,14 @@
 #include "resource.h"
 #include "state.h"
 
+/**
+ * struct place_live_times - current time and limits.
+ * @now: monotonic time, in ms
+ * @evidence_ms: age at which evidence expires
+ * @dead_ms: age of its evidence at which a host counts as dead
+ * @load_ms: time to load one shard from the weight store
+ * @loads_free: number of loads that may start now
+ */
 struct place_live_times {
 	uint64_t now;
 	uint64_t evidence_ms;
@@ -16,11 +24,11 @@
 };
 
 /**
- * struct place_live - a view and what it points into.
- * @view: what the policy looks at
+ * struct place_live - a view and the data that it points to.
+ * @view: input of the placement policy
  * @hosts: array of struct place_host
  * @groups: array of struct place_group
- * @fabrics: names of fabric domains, by number
+ * @fabrics: names of the fabric domains, by number
  */
 struct place_live {
 	struct place_view view;
--- a/src/place-reform.c
+++ b/src/place-reform.c
@@ -1,4 +1,7 @@
-/* Release at once: a broken group ends, and a new one forms anywhere. */
+/*
+ * Policy "reform": dissolves a group as soon as it has lost a host, and forms a
+ * new one in any fabric domain.
+ */
 #include "place-common.h"
 
 static void
--- a/src/place-replace.c
+++ b/src/place-replace.c
@@ -1,6 +1,7 @@
 /*
- * Keep the survivors and replace the lost host: a broken group stays, and
- * holds its hosts, until its fabric domain has a free host for each lost one.
+ * Policy "replace": keeps the surviving hosts of a group and replaces the lost
+ * ones. The group keeps its hosts until its fabric domain has a reusable host
+ * for each lost one.
  */
 #include "place-common.h"
 
--- a/src/place-spare.c
+++ b/src/place-spare.c
@@ -1,4 +1,7 @@
-/* As replace, but each fabric domain keeps free hosts back for repairs. */
+/*
+ * Policy "spare": like "replace", but holds back reusable hosts in each fabric
+ * domain for repairs.
+ */
 #include "place-common.h"
 
 static void
@@ -17,7 +20,7 @@
 		}
 	}
 	place_shrink(view, actions);
-	/* Between the end of a group and its repair the spares are in use. */
+	/* The spares are used between the end of a group and its repair. */
 	if (repaired == 0 && view->n_groups > 0 &&
 	    place_missing(view, actions) > 0)
 		place_fill(view, 0, true, actions);
--- a/src/place-weighted.c
+++ b/src/place-weighted.c
@@ -1,23 +1,25 @@
 /*
- * Weighted choice: for each broken group, weigh waiting for the lost hosts
- * against ending the group, by downtime and stranded time. Costs are in
- * replica-milliseconds; the deployment's weight says what either is worth.
+ * Policy "weighted": for each group that has lost hosts, compares the cost of
+ * waiting for these hosts with that of dissolving the group, by downtime and
+ * stranded host time. Costs are in ms x replicas; the weight of the
+ * deployment's placement sets how much either counts.
  */
 #include "place-common.h"
 
 /*
- * Pauses and restarts of a network end within this time; what lasts longer
- * goes on for long, so waiting on is no use then.
+ * Network pauses and restarts end within this time. Longer outages last long,
+ * so waiting any longer does not pay off.
  */
-#define PAUSE_MS 10000
-/* Waiting pays only while it has cost less than this share of the repair. */
-#define PATIENCE_PERCENT 25
-/* What it costs a group to form again from hosts that kept their shards. */
-#define REJOIN_MS 8000
+#define SHORT_OUTAGE_MS 10000
+/* Waiting pays off only while it has cost less than this share of the repair.
+ */
+#define WAIT_COST_PERCENT 25
+/* Cost of forming a group again from hosts that have kept their shards. */
+#define REFORM_MS 8000
 
-/* Whether some fabric domain could hold the group's successor now. */
+/* Whether some fabric domain has the hosts to replace the group now. */
 static bool
-successor_ready(const struct place_view *view, int g, int lost)
+replacement_available(const struct place_view *view, int g, int lost)
 {
 	int fabric = view->groups[g].fabric;
 
@@ -31,40 +33,40 @@
 }
 
 /*
- * Nothing can take the group's place. Ending it gives the survivors back; if
- * the lost hosts return with what they held, the group is down, and its hosts
- * are held, for the time that it takes to form again.
+ * Whether it pays off to dissolve a group that cannot be replaced. This
+ * releases the surviving hosts; but if the lost hosts return with their shards,
+ * the group is down, and its hosts are in use, for the time to form it again.
  */
 static bool
-worth_releasing(const struct place_view *view, int lost, uint64_t lost_ms)
+release_pays_off(const struct place_view *view, int lost, uint64_t lost_ms)
 {
 	double w = view->downtime_weight;
 	double held = (double)(view->size - lost) / view->size;
 
-	return ((1 - w) * held * (double)lost_ms > REJOIN_MS);
+	return ((1 - w) * held * (double)lost_ms > REFORM_MS);
 }
 
-/* Whether it costs less to end the group now than to wait on. */
+/* Whether it costs less to dissolve the group now than to continue to wait. */
 static bool
-group_worth_ending(const struct place_view *view, int g)
+group_should_end(const struct place_view *view, int g)
 {
-	uint64_t lost_ms, patience;
+	uint64_t lost_ms, wait_max_ms;
 	int lost = place_lost(view, g, &lost_ms);
 
 	if (lost == 0)
 		return (false);
-	if (!successor_ready(view, g, lost))
-		return (
-		    lost == view->size || worth_releasing(view, lost, lost_ms));
-	patience = view->load_ms * PATIENCE_PERCENT / 100;
-	return (lost_ms >= MIN(patience, PAUSE_MS));
+	if (!replacement_available(view, g, lost))
+		return (lost == view->size ||
+		    release_pays_off(view, lost, lost_ms));
+	wait_max_ms = view->load_ms * WAIT_COST_PERCENT / 100;
+	return (lost_ms >= MIN(wait_max_ms, SHORT_OUTAGE_MS));
 }
 
 static void
 weighted_plan(const struct place_view *view, GArray *actions)
 {
 	for (int g = 0; g < view->n_groups; g++) {
-		if (group_worth_ending(view, g))
+		if (group_should_end(view, g))
 			place_dissolve(actions, g);
 	}
 	place_shrink(view, actions);
--- a/src/place.c
+++ b/src/place.c
@@ -1,4 +1,4 @@
-/* The table of placement policies and what several of them share. */
+/* The table of placement policies, and functions on views and plans. */
 #include <string.h>
 
 #include "place.h"
@@ -12,8 +12,10 @@
 };
 
 /**
- * place_policy_find() - the policy of a name, or NULL.
- * @name: as operators name it
+ * place_policy_find() - look up a placement policy by its name.
+ * @name: name of the policy, as in a placement resource
+ *
+ * Return: the policy, or NULL.
  */
 const struct place_policy *
 place_policy_find(const char *name)
@@ -34,9 +36,9 @@
 }
 
 /**
- * place_plan() - what a policy would change now.
+ * place_plan() - the changes of group membership by a policy.
  * @policy: the policy
- * @view: what it looks at
+ * @view: input of the policy
  *
  * Return: array of struct place_action; free with g_array_unref().
  */
@@ -52,10 +54,11 @@
 }
 
 /**
- * place_lost() - how many hosts a group has lost.
+ * place_lost() - number of hosts that a group has lost.
  * @view: the view
  * @group: index of the group
- * @lost_ms: set to how long the latest loss has lasted
+ * @lost_ms: set to the time since the newest loss, in ms; UINT64_MAX without
+ * one
  */
 int
 place_lost(const struct place_view *view, int group, uint64_t *lost_ms)
@@ -76,7 +79,7 @@
 }
 
 /**
- * place_fabric_free() - how many hosts of a fabric domain can be used now.
+ * place_fabric_free() - number of reusable hosts of a fabric domain.
  * @view: the view
  * @fabric: number of the fabric domain
  */
@@ -93,8 +96,8 @@
 }
 
 /**
- * place_cached() - how many distinct shards the usable hosts of a fabric
- * domain hold.
+ * place_cached() - number of distinct shards that the reusable hosts of a
+ * fabric domain hold.
  * @view: the view
  * @fabric: number of the fabric domain
  */
@@ -114,7 +117,7 @@
 }
 
 /**
- * place_dissolve() - add the end of a group to a plan.
+ * place_dissolve() - add the dissolution of a group to a plan.
  * @actions: the plan
  * @group: index of the group
  */
@@ -126,7 +129,7 @@
 	g_array_append_val(actions, action);
 }
 
-/* Whether an action of the plan uses the host already. */
+/* Whether a group that the plan forms uses the host. */
 static bool
 host_taken(const GArray *actions, int host)
 {
@@ -143,7 +146,10 @@
 	return (false);
 }
 
-/* A usable host of the fabric domain that holds the shard, or any. */
+/*
+ * A reusable host of the fabric domain that is not in the plan and holds the
+ * shard, or any such host for PLACE_NO_SHARD; -1 if there is none.
+ */
 static int
 pick_host(const struct place_view *view, const GArray *actions,
     const int *ranks, int fabric, int shard)
@@ -171,9 +177,10 @@
  * @fabric: number of the fabric domain
  * @actions: the plan
  *
- * Hosts that hold a shard get its rank; the others fill up.
+ * A host that holds a shard gets the rank of that shard; other hosts fill the
+ * remaining ranks.
  *
- * Return: false when the fabric domain has too few usable hosts.
+ * Return: false if the fabric domain has too few reusable hosts.
  */
 bool
 place_form_in(const struct place_view *view, int fabric, GArray *actions)
@@ -203,7 +210,8 @@
 }
 
 /**
- * place_missing() - how many groups are still to be formed after a plan.
+ * place_missing() - number of groups that are missing after a plan; negative
+ * if there are too many.
  * @view: the view
  * @actions: the plan
  */
--- a/src/place.h
+++ b/src/place.h
@@ -1,4 +1,4 @@
-/* Placement: which hosts form which group. Pure decisions. */
+/* Placement: which hosts form which group. Does no I/O. */
 #ifndef BL_PLACE_H
 #define BL_PLACE_H
 
@@ -8,18 +8,20 @@
 
 #define PLACE_NO_GROUP (-1)
 #define PLACE_NO_SHARD (-1)
-/* The policy of deployments that name none. */
+/* Policy of deployments that do not name one. */
 #define PLACE_DEFAULT "weighted"
 
 /**
- * struct place_host - one host of the failure domain and pool.
- * @name: its name
+ * struct place_host - a host of the failure domain and pool.
+ * @name: name of the host
  * @fabric: number of its fabric domain
- * @group: index of the group it belongs to, or PLACE_NO_GROUP
- * @alive: seen lately and not leaving
- * @reusable: alive, in no group, said so, and old evidence has lapsed
- * @lost_ms: how long it has not been alive; 0 while it is
- * @shard: rank of the deployment's weights that it holds, or PLACE_NO_SHARD
+ * @group: index of its group, or PLACE_NO_GROUP
+ * @alive: its evidence is recent and it is not leaving
+ * @reusable: it is alive, in no group and has reported so, and all evidence
+ *from its last group has expired
+ * @lost_ms: time since it was last alive, in ms; 0 while it is
+ * @shard: rank of the shard of the deployment's weights that it holds, or
+ *	PLACE_NO_SHARD
  */
 struct place_host {
 	const char *name;
@@ -32,10 +34,10 @@
 };
 
 /**
- * struct place_group - one group of the deployment.
- * @name: its name
+ * struct place_group - a group of the deployment.
+ * @name: name of the group
  * @fabric: number of its fabric domain
- * @whole: serving now
+ * @whole: all its hosts are alive
  */
 struct place_group {
 	const char *name;
@@ -44,18 +46,18 @@
 };
 
 /**
- * struct place_view - all that a policy may look at.
+ * struct place_view - input of a placement policy.
  * @hosts: the hosts
- * @n_hosts: how many
+ * @n_hosts: number of hosts
  * @groups: the deployment's groups in this failure domain
- * @n_groups: how many
- * @n_fabrics: fabric domains are numbered from 0 below it
- * @size: hosts of a replica
- * @wanted: replicas that the operator asks for in this failure domain
- * @spares: free hosts to keep in each fabric domain
- * @downtime_weight: weight of downtime against stranded time, 0 to 1
+ * @n_groups: number of groups
+ * @n_fabrics: number of fabric domains, which are numbered from 0
+ * @size: number of hosts of a replica
+ * @wanted: number of replicas configured for this failure domain
+ * @spares: number of hosts to hold back in each fabric domain
+ * @downtime_weight: weight of downtime against stranded host time, 0 to 1
  * @load_ms: time to load one shard from the weight store
- * @loads_free: loads that may start now
+ * @loads_free: number of loads that may start now
  */
 struct place_view {
 	const struct place_host *hosts;
@@ -71,16 +73,21 @@
 	int loads_free;
 };
 
+/**
+ * enum place_action_kind - kind of a change of group membership.
+ * @PLACE_FORM: form a new group
+ * @PLACE_DISSOLVE: dissolve a group
+ */
 enum place_action_kind {
 	PLACE_FORM,
 	PLACE_DISSOLVE,
 };
 
 /**
- * struct place_action - one change of membership.
- * @kind: what to do
+ * struct place_action - a change of group membership.
+ * @kind: kind of the change
  * @group: PLACE_DISSOLVE: index of the group
- * @hosts: PLACE_FORM: indexes of the hosts in the order of their ranks
+ * @hosts: PLACE_FORM: indexes of the hosts, by rank
  */
 struct place_action {
 	enum place_action_kind kind;
@@ -89,9 +96,9 @@
 };
 
 /**
- * struct place_policy - a way to place.
- * @name: as operators name it
- * @plan: append actions to an array of struct place_action
+ * struct place_policy - a placement policy.
+ * @name: name of the policy, as in a placement resource
+ * @plan: appends its actions to an array of struct place_action
  */
 struct place_policy {
 	const char *name;
--- a/src/plan.c
+++ b/src/plan.c
@@ -1,4 +1,4 @@
-/* Plans changes of membership as records for the log. */
+/* Plans changes of group membership as records for the log. */
 #include <string.h>
 
 #include "cleanup.h"
@@ -7,7 +7,7 @@
 #include "plan.h"
 #include "resource.h"
 
-/* What the steps of one plan share. */
+/* A plan that is being made. */
 struct plan {
 	const struct plan_input *in;
 	uint64_t term;
@@ -23,7 +23,7 @@
 		group->name, "base", (json_int_t)group->epoch));
 }
 
-/* Whether a group of the state, or one planned before, has the name. */
+/* Whether a group of the state or of the plan so far has the name. */
 static bool
 name_used(const struct plan *plan, const char *name)
 {
@@ -39,9 +39,12 @@
 	return (false);
 }
 
-/* The lowest free name of a new group; free with g_free(). */
+/*
+ * A name for a new group, with the lowest number that is not in use; free with
+ * g_free().
+ */
 static char *
-free_name(const struct plan *plan, const char *deployment)
+unused_name(const struct plan *plan, const char *deployment)
 {
 	char *name;
 
@@ -58,7 +61,7 @@
 plan_form(struct plan *plan, const struct place_live *live, const GArray *ranks,
     const char *deployment)
 {
-	g_autofree char *name = free_name(plan, deployment);
+	g_autofree char *name = unused_name(plan, deployment);
 	const struct place_host *host = NULL;
 	json_t *hosts = json_array();
 	const char *fabric;
@@ -75,7 +78,7 @@
 		"hosts", hosts));
 }
 
-/* Plans one deployment by its placement policy. */
+/* Adds the changes of one deployment, by its placement policy. */
 static void
 plan_deployment(struct plan *plan, const struct resource *deployment)
 {
@@ -104,9 +107,9 @@
 	}
 }
 
-/* Groups whose deployment was deleted end. */
+/* Dissolves the groups whose deployment was deleted. */
 static void
-plan_orphans(struct plan *plan)
+plan_dissolve_orphans(struct plan *plan)
 {
 	const struct state *state = plan->in->state;
 	struct resource *deployment;
@@ -132,11 +135,12 @@
 }
 
 /**
- * plan_changes() - the changes of membership that are due.
- * @in: what the plan is made from
+ * plan_changes() - the changes of group membership that are due.
+ * @in: input of the plan
  *
  * Return: records (json_t *) under the newest lease of the failure domain, in
- * the order to write them; free with g_ptr_array_unref().
+ * the order in which they are to be written; none if there is no lease. Free
+ * with g_ptr_array_unref().
  */
 GPtrArray *
 plan_changes(const struct plan_input *in)
@@ -156,6 +160,6 @@
 		if (resource_live(res) && strcmp(res->type, "deployment") == 0)
 			plan_deployment(&plan, res);
 	}
-	plan_orphans(&plan);
+	plan_dissolve_orphans(&plan);
 	return (plan.records);
 }
--- a/src/plan.h
+++ b/src/plan.h
@@ -1,15 +1,15 @@
-/* Plans changes of membership as records for the log. Pure. */
+/* Plans changes of group membership as records for the log. Does no I/O. */
 #ifndef BL_PLAN_H
 #define BL_PLAN_H
 
 #include "place-live.h"
 
 /**
- * struct plan_input - all that a plan is made from.
+ * struct plan_input - input of a plan.
  * @state: the configuration, locked
  * @inv: the hosts, locked
- * @domain: the failure domain that is controlled
- * @times: time and bounds
+ * @domain: failure domain to plan for
+ * @times: current time and limits
  */
 struct plan_input {
 	const struct state *state;
--- a/src/policy-series.c
+++ b/src/policy-series.c
@@ -1,15 +1,15 @@
-/* Counts per routing policy and per class; a fixed set of labels. */
+/* Metrics per routing policy and per request class; a fixed set of labels. */
 #include "policy-series.h"
 
 #define POLICIES_MAX 16
 
-/* The last slot counts requests that no policy came to choose for. */
+/* The last series is for requests that ended before a policy was applied. */
 static struct series by_policy[POLICIES_MAX + 1];
 static struct series by_class[2];
 
 /**
- * policy_series() - the counts of a policy.
- * @policy: the policy, or NULL for none
+ * policy_series() - the series of a routing policy.
+ * @policy: the policy, or NULL for requests without one
  */
 struct series *
 policy_series(const struct route_policy *policy)
@@ -26,8 +26,8 @@
 }
 
 /**
- * class_series() - the counts of a class.
- * @batch: class batch rather than interactive
+ * class_series() - the series of a request class.
+ * @batch: the class "batch" rather than "interactive"
  */
 struct series *
 class_series(bool batch)
@@ -36,8 +36,9 @@
 }
 
 /**
- * policy_series_print() - append all of them to the metrics page.
- * @out: the page
+ * policy_series_print() - append the series of all policies and classes to the
+ * metrics page.
+ * @out: the metrics page
  */
 void
 policy_series_print(GString *out)
--- a/src/policy-series.h
+++ b/src/policy-series.h
@@ -1,4 +1,4 @@
-/* Counts per routing policy and per class; a fixed set of labels. */
+/* Metrics per routing policy and per request class; a fixed set of labels. */
 #ifndef BL_POLICY_SERIES_H
 #define BL_POLICY_SERIES_H
 
