--- a/src/edge.c
+++ b/src/edge.c
@@ -93,7 +93,7 @@
 	set->keys_fail_closed = e->set.keys_fail_closed;
 	set->rest_most_ms = (uint64_t)e->set.rest_most_ms;
 	set->deny_proof_ms = (uint64_t)e->set.apply_ms;
-	e->keeper.stall_ms = (uint64_t)e->set.stall_ms;
+	e->placer.stall_ms = (uint64_t)e->set.stall_ms;
 	set->released_works = e->set.released_works;
 	set->refused_works = e->set.refused_works;
 	set->retry.ratio = e->set.retry_ratio;
@@ -182,7 +182,7 @@
 		return;
 	e->leaving_ms = clock_loop_ms(e->loop);
 	event_log(LOG_NOTICE, "leaving", "exchanges=%u", e->fwd.n_exchanges);
-	keeper_stop(&e->keeper);
+	placer_stop(&e->placer);
 	e->mesh.self.leaving = true;
 	mesh_tell_now(&e->mesh);
 	fwd_leave(&e->fwd);
@@ -208,14 +208,14 @@
 static void
 edge_choose_reader(struct edge *e)
 {
-	bool places = e->keeper.state == KEEPER_HOLDING;
+	bool places = e->placer.state == PLACER_HOLDING;
 	bool reader = places ||
 	    (!mesh_placer_heard(&e->mesh) && mesh_first_reader(&e->mesh));
 
 	dir_follow_set_reader(&e->dir.config, reader);
 	/* One that takes the lease reads all entries for itself first. */
 	dir_follow_set_reader(&e->dir.endpoints,
-	    reader || e->keeper.preparing || e->keeper.state != KEEPER_IDLE);
+	    reader || e->placer.preparing || e->placer.state != PLACER_IDLE);
 }
 
 /* A part of a bound of the settings, in milliseconds. */
@@ -354,7 +354,7 @@
 	e->told_version = version;
 	if (!TAILQ_EMPTY(&e->fwd.waiting))
 		fwd_kick(&e->fwd);
-	keeper_look_soon(&e->keeper);
+	placer_schedule_pass(&e->placer);
 }
 
 static void
@@ -362,7 +362,7 @@
 {
 	struct edge *e = arg;
 
-	keeper_suspect(&e->keeper, ep);
+	placer_suspect(&e->placer, ep);
 	mesh_tell_now(&e->mesh);
 }
 
@@ -379,7 +379,7 @@
 {
 	struct edge *e = arg;
 
-	keeper_suspect(&e->keeper, ep);
+	placer_suspect(&e->placer, ep);
 }
 
 /* No other daemon could tell which entries changed: read the store. */
@@ -452,11 +452,11 @@
 	e->mesh.avoided_arg = e;
 	e->dir.relayed = on_relayed;
 	e->dir.relayed_arg = e;
-	e->keeper.store = e->store;
-	e->keeper.dir = &e->dir;
-	e->keeper.mesh = &e->mesh;
-	e->keeper.orders = e->platform->orders;
-	e->keeper.name = e->set.name;
+	e->placer.store = e->store;
+	e->placer.dir = &e->dir;
+	e->placer.mesh = &e->mesh;
+	e->placer.orders = e->platform->orders;
+	e->placer.name = e->set.name;
 }
 
 /**
@@ -497,7 +497,7 @@
 	    (unsigned)(e->set.drain_ms / ENDPOINT_READS));
 	edge_choose_patience(e);
 	edge_apply(e);
-	keeper_open(&e->keeper, e->loop);
+	placer_start(&e->placer, e->loop);
 	edge_find_daemons(e);
 	edge_announce(e);
 	return (true);
--- a/src/lease-keeper.c
+++ b/src/lease-elector.c
@@ -7,11 +7,11 @@
  */
 #include <string.h>
 
-#include "lease-keeper.h"
+#include "lease-elector.h"
 #include "lease.h"
 
 /**
- * lease_keeper_init() - initialize an elector before any lease was read.
+ * lease_elector_init() - initialize an elector before any lease was read.
  * @e: the elector
  * @now: monotonic time, in ms
  *
@@ -19,7 +19,7 @@
  * from @now.
  */
 void
-lease_keeper_init(struct lease_keeper *e, uint64_t now)
+lease_elector_init(struct lease_elector *e, uint64_t now)
 {
 	memset(e, 0, sizeof *e);
 	e->seen_ms = now;
@@ -27,7 +27,7 @@
 
 /* Notes the newest renewal by replay. */
 static void
-elector_observe(struct lease_keeper *e, const struct lease_times *t,
+elector_observe(struct lease_elector *e, const struct lease_times *t,
     const struct lease *lease, bool mine, uint64_t now)
 {
 	if (lease->renewed != e->seen_renewed || lease->term != e->seen_term) {
@@ -44,7 +44,7 @@
 }
 
 /**
- * lease_keeper_step() - what to do about the lease now.
+ * lease_elector_step() - what to do about the lease now.
  * @e: the elector
  * @t: times of the lease
  * @lease: the newest lease by replay, or NULL if none was ever taken
@@ -53,7 +53,7 @@
  * @now: monotonic time, in ms
  */
 enum lease_step
-lease_keeper_step(struct lease_keeper *e, const struct lease_times *t,
+lease_elector_step(struct lease_elector *e, const struct lease_times *t,
     const struct lease *lease, const char *me, uint64_t delay, uint64_t now)
 {
 	bool mine, vacant;
@@ -73,26 +73,26 @@
 }
 
 /**
- * lease_keeper_sent() - note that a lease record was sent.
+ * lease_elector_sent() - note that a lease record was sent.
  * @e: the elector
  * @sent_ms: monotonic time just before the append was sent, in ms
  * @offset: offset of the record; 0 if the answer was lost, in which case the
  *	lease is not extended
  */
 void
-lease_keeper_sent(struct lease_keeper *e, uint64_t sent_ms, uint64_t offset)
+lease_elector_sent(struct lease_elector *e, uint64_t sent_ms, uint64_t offset)
 {
 	e->sent_ms = sent_ms;
 	e->sent_offset = offset;
 }
 
 /**
- * lease_keeper_holds() - whether this daemon holds the lease now.
+ * lease_elector_holds() - whether this daemon holds the lease now.
  * @e: the elector
  * @now: monotonic time, in ms; read just before acting on the lease
  */
 bool
-lease_keeper_holds(const struct lease_keeper *e, uint64_t now)
+lease_elector_holds(const struct lease_elector *e, uint64_t now)
 {
 	return (now < e->hold_until_ms);
 }
--- a/src/lease-keeper.h
+++ b/src/lease-elector.h
@@ -2,8 +2,8 @@
  * Decides when a daemon takes and renews a control lease, and how long it holds
  * it. Does no I/O; the time is an argument.
  */
-#ifndef BL_LEASE_KEEPER_H
-#define BL_LEASE_KEEPER_H
+#ifndef BL_LEASE_ELECTOR_H
+#define BL_LEASE_ELECTOR_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -36,7 +36,7 @@
 };
 
 /**
- * struct lease_keeper - one daemon's state for taking and holding a lease.
+ * struct lease_elector - one daemon's state for taking and holding a lease.
  * Times are monotonic, in ms.
  * @seen_term: term that was read last
  * @seen_renewed: renewal that was read last
@@ -46,7 +46,7 @@
  * @hold_until_ms: this daemon holds the lease before this time; 0 if another
  *	has it
  */
-struct lease_keeper {
+struct lease_elector {
 	uint64_t seen_term;
 	uint64_t seen_renewed;
 	uint64_t seen_ms;
@@ -55,11 +55,11 @@
 	uint64_t hold_until_ms;
 };
 
-void lease_keeper_init(struct lease_keeper *, uint64_t);
-enum lease_step lease_keeper_step(struct lease_keeper *,
+void lease_elector_init(struct lease_elector *, uint64_t);
+enum lease_step lease_elector_step(struct lease_elector *,
     const struct lease_times *, const struct lease *, const char *, uint64_t,
     uint64_t);
-void lease_keeper_sent(struct lease_keeper *, uint64_t, uint64_t);
-bool lease_keeper_holds(const struct lease_keeper *, uint64_t);
+void lease_elector_sent(struct lease_elector *, uint64_t, uint64_t);
+bool lease_elector_holds(const struct lease_elector *, uint64_t);
 
 #endif
--- a/src/place.c
+++ b/src/place.c
@@ -54,14 +54,14 @@
 }
 
 /**
- * place_lost() - number of hosts that a group has lost.
+ * place_hosts_lost() - number of hosts that a group has lost.
  * @view: the view
  * @group: index of the group
  * @lost_ms: set to the time since the newest loss, in ms; UINT64_MAX without
  * one
  */
 int
-place_lost(const struct place_view *view, int group, uint64_t *lost_ms)
+place_hosts_lost(const struct place_view *view, int group, uint64_t *lost_ms)
 {
 	int lost = 0;
 
@@ -79,12 +79,12 @@
 }
 
 /**
- * place_fabric_free() - number of reusable hosts of a fabric domain.
+ * place_fabric_reusable() - number of reusable hosts of a fabric domain.
  * @view: the view
  * @fabric: number of the fabric domain
  */
 int
-place_fabric_free(const struct place_view *view, int fabric)
+place_fabric_reusable(const struct place_view *view, int fabric)
 {
 	int n = 0;
 
@@ -96,13 +96,13 @@
 }
 
 /**
- * place_cached() - number of distinct shards that the reusable hosts of a
+ * place_shards_held() - number of distinct shards that the reusable hosts of a
  * fabric domain hold.
  * @view: the view
  * @fabric: number of the fabric domain
  */
 int
-place_cached(const struct place_view *view, int fabric)
+place_shards_held(const struct place_view *view, int fabric)
 {
 	uint64_t held = 0;
 
@@ -117,12 +117,12 @@
 }
 
 /**
- * place_dissolve() - add the dissolution of a group to a plan.
+ * place_add_dissolve() - add the dissolution of a group to a plan.
  * @actions: the plan
  * @group: index of the group
  */
 void
-place_dissolve(GArray *actions, int group)
+place_add_dissolve(GArray *actions, int group)
 {
 	struct place_action action = { .kind = PLACE_DISSOLVE, .group = group };
 
@@ -172,7 +172,7 @@
 }
 
 /**
- * place_form_in() - add a new group in one fabric domain to a plan.
+ * place_add_form() - add a new group in one fabric domain to a plan.
  * @view: the view
  * @fabric: number of the fabric domain
  * @actions: the plan
@@ -183,7 +183,7 @@
  * Return: false if the fabric domain has too few reusable hosts.
  */
 bool
-place_form_in(const struct place_view *view, int fabric, GArray *actions)
+place_add_form(const struct place_view *view, int fabric, GArray *actions)
 {
 	struct place_action action = { .kind = PLACE_FORM };
 	int *ranks;
@@ -210,13 +210,13 @@
 }
 
 /**
- * place_missing() - number of groups that are missing after a plan; negative
- * if there are too many.
+ * place_groups_missing() - number of groups that are missing after a plan;
+ * negative if there are too many.
  * @view: the view
  * @actions: the plan
  */
 int
-place_missing(const struct place_view *view, const GArray *actions)
+place_groups_missing(const struct place_view *view, const GArray *actions)
 {
 	int n = view->n_groups;
 
--- a/src/place.h
+++ b/src/place.h
@@ -9,7 +9,7 @@
 #define PLACE_NO_GROUP (-1)
 #define PLACE_NO_SHARD (-1)
 /* Policy of deployments that do not name one. */
-#define PLACE_DEFAULT "weighted"
+#define PLACE_POLICY_DEFAULT "weighted"
 
 /**
  * struct place_host - a host of the failure domain and pool.
@@ -18,7 +18,7 @@
  * @group: index of its group, or PLACE_NO_GROUP
  * @alive: its evidence is recent and it is not leaving
  * @reusable: it is alive, in no group and has reported so, and all evidence
- *from its last group has expired
+ *	from its last group has expired
  * @lost_ms: time since it was last alive, in ms; 0 while it is
  * @shard: rank of the shard of the deployment's weights that it holds, or
  *	PLACE_NO_SHARD
@@ -37,12 +37,12 @@
  * struct place_group - a group of the deployment.
  * @name: name of the group
  * @fabric: number of its fabric domain
- * @whole: all its hosts are alive
+ * @intact: all its hosts are alive
  */
 struct place_group {
 	const char *name;
 	int fabric;
-	bool whole;
+	bool intact;
 };
 
 /**
@@ -112,11 +112,11 @@
 
 const struct place_policy *place_policy_find(const char *);
 GArray *place_plan(const struct place_policy *, const struct place_view *);
-int place_lost(const struct place_view *, int, uint64_t *);
-int place_fabric_free(const struct place_view *, int);
-void place_dissolve(GArray *, int);
-bool place_form_in(const struct place_view *, int, GArray *);
-int place_missing(const struct place_view *, const GArray *);
-int place_cached(const struct place_view *, int);
+int place_hosts_lost(const struct place_view *, int, uint64_t *);
+int place_fabric_reusable(const struct place_view *, int);
+void place_add_dissolve(GArray *, int);
+bool place_add_form(const struct place_view *, int, GArray *);
+int place_groups_missing(const struct place_view *, const GArray *);
+int place_shards_held(const struct place_view *, int);
 
 #endif
--- a/src/keeper-adopt.c
+++ b/src/placer-adopt.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "event-log.h"
-#include "keeper.h"
+#include "placer.h"
 
 /*
  * An entry that was read at least this long after a group was dissolved was
@@ -15,7 +15,7 @@
 
 /* Whether a group has a record. */
 static bool
-group_has_record(const struct keeper *p, const char *name)
+group_has_record(const struct placer *p, const char *name)
 {
 	const struct replica *r;
 
@@ -28,9 +28,10 @@
 
 /* Whether an entry may be older than the end of its group. */
 static bool
-entry_predates_dissolve(const struct keeper *p, const struct endpoint *ep)
+entry_predates_dissolve(const struct placer *p, const struct endpoint *ep)
 {
-	const uint64_t *ended = g_hash_table_lookup(p->ended, ep->report.group);
+	const uint64_t *ended =
+	    g_hash_table_lookup(p->dissolved, ep->report.group);
 
 	return (ended != NULL && ep->seen_ms < *ended + ENTRY_LAG_MS);
 }
@@ -39,7 +40,7 @@
  * Adds a replica of all hosts that report the group of a head, to be dissolved.
  */
 static void
-adopt_group(struct keeper *p, const struct endpoint *head, uint64_t now_ms)
+adopt_group(struct placer *p, const struct endpoint *head, uint64_t now_ms)
 {
 	struct replica *r =
 	    replica_create(head->report.group, head->report.service,
@@ -66,22 +67,24 @@
 }
 
 /**
- * keeper_heads() - whether an endpoint is, as far as is known, the head of a
- * group that serves, or that would serve if an order to open arrived late.
+ * placer_is_active_head() - whether an endpoint is, as far as is known, the
+ * head of a group that serves, or that would serve if an order to open arrived
+ * late.
  * @ep: the endpoint
  */
 bool
-keeper_heads(const struct endpoint *ep)
+placer_is_active_head(const struct endpoint *ep)
 {
 	const struct endpoint_report *report = &ep->report;
 
 	return (report->group != NULL && report->rank == 0 &&
 	    report->state != GROUP_NONE && report->state != GROUP_BROKEN &&
-	    !keeper_sole(report->group) && report->epoch > ep->out_epoch);
+	    !placer_is_warm_group(report->group) &&
+	    report->epoch > ep->out_epoch);
 }
 
 /**
- * keeper_adopt() - adopt groups that serve but have no record.
+ * placer_adopt_groups() - adopt groups that serve but have no record.
  * @p: the placer
  * @now_ms: loop time, in ms
  *
@@ -89,12 +92,12 @@
  * are free only once it has been closed.
  */
 void
-keeper_adopt(struct keeper *p, uint64_t now_ms)
+placer_adopt_groups(struct placer *p, uint64_t now_ms)
 {
 	struct endpoint *ep;
 
 	TAILQ_FOREACH(ep, &p->dir->fleet.endpoints, entry) {
-		if (ep->lapsed_ms == 0 && keeper_heads(ep) &&
+		if (ep->lapsed_ms == 0 && placer_is_active_head(ep) &&
 		    !group_has_record(p, ep->report.group) &&
 		    !entry_predates_dissolve(p, ep))
 			adopt_group(p, ep, now_ms);
--- a/src/keeper-call.c
+++ b/src/placer-call.c
@@ -3,7 +3,7 @@
 
 #include "clock.h"
 #include "event-log.h"
-#include "keeper.h"
+#include "placer.h"
 
 /* An order without an answer within this time is sent again. */
 #define ORDER_TIMEOUT_MS 800
@@ -24,8 +24,8 @@
  * An order or query in flight. The group is NULL for an order to a host outside
  * a replica.
  */
-struct keeper_call {
-	struct keeper *keeper;
+struct placer_call {
+	struct placer *placer;
 	int64_t term;
 	char *group;
 	char *id;
@@ -34,7 +34,7 @@
 };
 
 static struct replica *
-replica_find(struct keeper *p, const char *name)
+replica_find(struct placer *p, const char *name)
 {
 	struct replica *r;
 
@@ -50,12 +50,12 @@
  * the call was made is no longer held, or the replica is gone.
  */
 static struct replica_member *
-call_member(const struct keeper_call *call, struct replica **replica)
+call_member(const struct placer_call *call, struct replica **replica)
 {
-	struct keeper *p = call->keeper;
+	struct placer *p = call->placer;
 	struct replica *r = NULL;
 
-	if (p->state == KEEPER_HOLDING && p->term == call->term)
+	if (p->state == PLACER_HOLDING && p->term == call->term)
 		r = replica_find(p, call->group);
 	*replica = r;
 	for (unsigned i = 0; r != NULL && i < r->n; i++) {
@@ -66,31 +66,31 @@
 }
 
 static void
-call_free(struct keeper_call *call)
+call_free(struct placer_call *call)
 {
-	call->keeper->calls--;
+	call->placer->n_calls--;
 	g_free(call->group);
 	g_free(call->id);
 	g_free(call);
 }
 
 /**
- * keeper_calls_free() - whether one more order or query may be sent now.
+ * placer_call_allowed() - whether one more order or query may be sent now.
  * @p: the placer
  */
 bool
-keeper_calls_free(const struct keeper *p)
+placer_call_allowed(const struct placer *p)
 {
-	return (p->calls < CALLS_MAX);
+	return (p->n_calls < CALLS_MAX);
 }
 
-static struct keeper_call *
-call_new(struct keeper *p, const struct replica *r, unsigned member)
+static struct placer_call *
+call_new(struct placer *p, const struct replica *r, unsigned member)
 {
-	struct keeper_call *call = g_new0(struct keeper_call, 1);
+	struct placer_call *call = g_new0(struct placer_call, 1);
 
-	call->keeper = p;
-	p->calls++;
+	call->placer = p;
+	p->n_calls++;
 	call->term = p->term;
 	call->group = g_strdup(r->name);
 	call->id = g_strdup(r->members[member].id);
@@ -104,7 +104,7 @@
  * it meanwhile.
  */
 static void
-host_mark_gone(struct keeper *p, const char *id)
+host_mark_gone(struct placer *p, const char *id)
 {
 	struct endpoint *ep = fleet_find(&p->dir->fleet, id);
 
@@ -159,8 +159,8 @@
 static void
 on_order_done(void *arg, enum order_result result)
 {
-	struct keeper_call *call = arg;
-	struct keeper *p = call->keeper;
+	struct placer_call *call = arg;
+	struct placer *p = call->placer;
 	struct replica *r;
 	struct replica_member *m = call_member(call, &r);
 
@@ -182,20 +182,20 @@
 		if (result == ORDER_OTHER)
 			m->life = MEMBER_DEAD;
 		if (result == ORDER_FENCED && call->order != ORDER_JOIN)
-			keeper_lose(p, "fenced");
+			placer_step_down(p, "fenced");
 	}
 	dir_follow_hurry(&p->dir->endpoints);
-	keeper_look_soon(p);
+	placer_schedule_pass(p);
 	call_free(call);
 }
 
 /**
- * keeper_sole() - whether a group consists of one host that only keeps a model
- * in memory; such a group is never opened.
+ * placer_is_warm_group() - whether a group consists of one host that only keeps
+ * a model in memory; such a group is never opened.
  * @name: name of the group
  */
 bool
-keeper_sole(const char *name)
+placer_is_warm_group(const char *name)
 {
 	return (g_str_has_prefix(name, WARM_PREFIX));
 }
@@ -205,7 +205,7 @@
  * known, a pool for its address.
  */
 static struct net_pool *
-member_pool(struct keeper *p, const struct replica_member *m)
+member_pool(struct placer *p, const struct replica_member *m)
 {
 	struct endpoint *ep = fleet_find(&p->dir->fleet, m->id);
 	struct net_pool *pool;
@@ -226,19 +226,19 @@
 }
 
 /**
- * keeper_order() - send an order to a member.
+ * placer_order_member() - send an order to a member.
  * @p: the placer; its lease was verified just before
  * @r: the replica
  * @index: index of the member
  * @kind: which order
  */
 void
-keeper_order(struct keeper *p, struct replica *r, unsigned index,
+placer_order_member(struct placer *p, struct replica *r, unsigned index,
     enum order_kind kind)
 {
 	struct replica_member *m = &r->members[index];
 	g_autoptr(GPtrArray) ids = g_ptr_array_new();
-	struct keeper_call *call = call_new(p, r, index);
+	struct placer_call *call = call_new(p, r, index);
 	struct order order = { .kind = kind,
 		.fence = p->term,
 		.group = r->name,
@@ -295,13 +295,13 @@
 static void
 on_report(void *arg, enum order_answer answer, struct endpoint_report *report)
 {
-	struct keeper_call *call = arg;
+	struct placer_call *call = arg;
 	struct replica *r;
 	struct replica_member *m = call_member(call, &r);
-	uint64_t now = clock_loop_ms(call->keeper->loop);
+	uint64_t now = clock_loop_ms(call->placer->loop);
 
 	if (answer == ANSWER_ABSENT)
-		host_mark_gone(call->keeper, call->id);
+		host_mark_gone(call->placer, call->id);
 	if (m != NULL) {
 		m->asking = false;
 		if (answer == ANSWER_REPORT)
@@ -319,20 +319,20 @@
 }
 
 /**
- * keeper_ask() - query a member for its report, at most once per
+ * placer_ask_member() - query a member for its report, at most once per
  * ASK_INTERVAL_MS.
  * @p: the placer
  * @r: the replica
  * @index: index of the member
  */
 void
-keeper_ask(struct keeper *p, struct replica *r, unsigned index)
+placer_ask_member(struct placer *p, struct replica *r, unsigned index)
 {
 	struct replica_member *m = &r->members[index];
 	uint64_t now = clock_loop_ms(p->loop);
-	struct keeper_call *call;
+	struct placer_call *call;
 
-	if (m->asking || !keeper_calls_free(p) ||
+	if (m->asking || !placer_call_allowed(p) ||
 	    (m->asked_ms != 0 && now - m->asked_ms < ASK_INTERVAL_MS))
 		return;
 	call = call_new(p, r, index);
@@ -346,28 +346,28 @@
 static void
 on_host_order_done(void *arg, enum order_result result)
 {
-	struct keeper_call *call = arg;
+	struct placer_call *call = arg;
 
 	event_log(result == ORDER_TAKEN ? LOG_INFO : LOG_NOTICE, "order_ended",
 	    "member=%s order=%s result=%s term=%lld", call->id,
 	    call->order == ORDER_STAGE ? "stage" : "warm",
 	    order_result_name(result), (long long)call->term);
 	if (result == ORDER_OTHER)
-		host_mark_gone(call->keeper, call->id);
+		host_mark_gone(call->placer, call->id);
 	if (call->order == ORDER_STAGE)
-		keeper_stage_answered(call->keeper, call->id, result);
+		placer_copy_answered(call->placer, call->id, result);
 	call_free(call);
 }
 
 /* Sends an order to a host outside a replica; returns whether it was sent. */
 static bool
-host_send_order(struct keeper *p, const char *id, const struct order *order)
+host_send_order(struct placer *p, const char *id, const struct order *order)
 {
 	struct endpoint *ep = fleet_find(&p->dir->fleet, id);
-	struct keeper_call *call = g_new0(struct keeper_call, 1);
+	struct placer_call *call = g_new0(struct placer_call, 1);
 
-	call->keeper = p;
-	p->calls++;
+	call->placer = p;
+	p->n_calls++;
 	call->term = p->term;
 	call->id = g_strdup(id);
 	call->order = order->kind;
@@ -380,7 +380,7 @@
 }
 
 /**
- * keeper_order_stage() - order a host to copy a model beside its other work.
+ * placer_order_stage() - order a host to copy a model beside its other work.
  * @p: the placer
  * @id: id of the host
  * @model: name of the model
@@ -388,7 +388,7 @@
  * Return: whether the order was sent.
  */
 bool
-keeper_order_stage(struct keeper *p, const char *id, const char *model)
+placer_order_stage(struct placer *p, const char *id, const char *model)
 {
 	const struct order order = { .kind = ORDER_STAGE,
 		.fence = p->term,
@@ -398,7 +398,7 @@
 }
 
 /**
- * keeper_order_warm() - order an idle host to load a model into memory.
+ * placer_order_warm() - order an idle host to load a model into memory.
  * @p: the placer
  * @id: id of the host
  * @model: name of the model
@@ -408,7 +408,7 @@
  * nothing, so it needs no record; the next order to join replaces it.
  */
 void
-keeper_order_warm(struct keeper *p, const char *id, const char *model,
+placer_order_warm(struct placer *p, const char *id, const char *model,
     int64_t epoch)
 {
 	g_autofree char *group =
--- a/src/keeper-place.c
+++ b/src/placer-form.c
@@ -3,7 +3,7 @@
 
 #include "event-log.h"
 #include "fwd-expect.h"
-#include "keeper.h"
+#include "placer.h"
 #include "replica-form.h"
 
 /* Epochs available under one lease; for more, the lease must be taken anew. */
@@ -50,7 +50,7 @@
 
 /* Maps the id of each host that is bound to a replica to its membership. */
 static GHashTable *
-host_memberships(const struct keeper *p)
+host_memberships(const struct placer *p)
 {
 	GHashTable *memberships =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
@@ -77,7 +77,7 @@
 
 /* Names of the groups of all replicas. */
 static GHashTable *
-group_names(const struct keeper *p)
+group_names(const struct placer *p)
 {
 	GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 	struct replica *r;
@@ -99,13 +99,13 @@
 	const char *group = ep->report.group;
 
 	return (ep->unreadable_ms == 0 && now_ms >= ep->unfit_until_ms &&
-	    !keeper_heads(ep) &&
+	    !placer_is_active_head(ep) &&
 	    (group == NULL || !g_hash_table_contains(names, group)));
 }
 
 /* Whether a host is loading a model into memory. */
 static bool
-host_warming(const struct keeper *p, const char *id, uint64_t now_ms)
+host_warming(const struct placer *p, const char *id, uint64_t now_ms)
 {
 	const uint64_t *until = g_hash_table_lookup(p->warming, id);
 
@@ -114,7 +114,7 @@
 
 /* Adds the live hosts of a service to the view. */
 static void
-view_add_hosts(struct keeper *p, const char *service, struct form_view *view,
+view_add_hosts(struct placer *p, const char *service, struct form_view *view,
     uint64_t now_ms)
 {
 	g_autoptr(GHashTable) memberships = host_memberships(p);
@@ -133,7 +133,7 @@
 		host.fabric = ep->report.fabric;
 		host.last = ep->memory;
 		host.staged = ep->report.staged;
-		host.staging = keeper_staging(p, ep->report.id);
+		host.staging = placer_copying(p, ep->report.id);
 		host.warming = host_warming(p, ep->report.id, now_ms);
 		membership = g_hash_table_lookup(memberships, ep->report.id);
 		host.group = membership != NULL ? membership->replica : NULL;
@@ -148,7 +148,7 @@
 
 /* Adds the replicas of a service that are not being dissolved to the view. */
 static void
-view_add_replicas(const struct keeper *p, const char *service,
+view_add_replicas(const struct placer *p, const char *service,
     struct form_view *view)
 {
 	const struct replica *r;
@@ -166,14 +166,14 @@
 
 /* Issues an epoch above all that were issued so far. */
 static int64_t
-next_epoch(struct keeper *p)
+next_epoch(struct placer *p)
 {
-	return (p->term * EPOCHS_PER_TERM + ++p->groups);
+	return (p->term * EPOCHS_PER_TERM + ++p->epochs_issued);
 }
 
 /* Adds the replica of a plan and queues its record. */
 static void
-replica_add(struct keeper *p, const char *service, const struct form_view *view,
+replica_add(struct placer *p, const char *service, const struct form_view *view,
     const struct form_plan *plan, uint64_t now_ms)
 {
 	int64_t epoch = next_epoch(p);
@@ -190,14 +190,14 @@
 		replica_add_member(r, h->id, &ep->report.address);
 	}
 	for (unsigned i = 0; i < plan->loads; i++)
-		g_array_append_val(p->loads, now_ms);
+		g_array_append_val(p->load_starts, now_ms);
 	event_log(LOG_NOTICE, "group_planned",
 	    "group=%s epoch=%lld model=%s hosts=%u loads=%u head=%s fabric=%s",
 	    name, (long long)epoch, r->model, r->n, plan->loads,
 	    r->members[0].id,
 	    form_host_at(view, g_array_index(plan->members, guint, 0))->fabric);
 	TAILQ_INSERT_TAIL(&p->replicas, r, entry);
-	keeper_record_replica(p, r, false);
+	placer_record_replica(p, r, false);
 }
 
 /*
@@ -205,7 +205,7 @@
  * store; returns whether one was formed.
  */
 static bool
-try_form(struct keeper *p, const char *service, struct form_view *view,
+try_form(struct placer *p, const char *service, struct form_view *view,
     unsigned loads, uint64_t now_ms)
 {
 	unsigned free = view->loads;
@@ -224,7 +224,7 @@
 
 /* Has a host copy a model; returns whether one was chosen. */
 static bool
-try_copy(struct keeper *p, struct form_view *view, uint64_t now_ms)
+try_copy(struct placer *p, struct form_view *view, uint64_t now_ms)
 {
 	const struct model_profile *model;
 	const struct form_host *h = form_stage(view, &model);
@@ -235,13 +235,13 @@
 	event_log(LOG_NOTICE, "copy_planned",
 	    "host=%s model=%s fabric=%s free=%d", h->id, model->name, h->fabric,
 	    h->free);
-	keeper_stage_begin(p, h->id, model, now_ms);
+	placer_copy_start(p, h->id, model, now_ms);
 	return (true);
 }
 
 /* Has an idle host load a model into memory; returns whether one was chosen. */
 static bool
-try_warm(struct keeper *p, struct form_view *view, uint64_t now_ms)
+try_warm(struct placer *p, struct form_view *view, uint64_t now_ms)
 {
 	const struct model_profile *big = form_model(view, view->largest);
 	const struct form_host *h;
@@ -251,7 +251,7 @@
 	 * This join has no record. While the end of a group is not yet recorded
 	 * either, another placer may take over the group again.
 	 */
-	if (p->writing || p->records->len > 0)
+	if (p->store_busy || p->pending->len > 0)
 		return (false);
 	h = form_warm(view);
 	if (h == NULL)
@@ -261,7 +261,7 @@
 	    h->id, big->name, h->fabric);
 	g_hash_table_replace(p->warming, g_strdup(h->id),
 	    g_memdup2(&until, sizeof until));
-	keeper_order_warm(p, h->id, big->name, next_epoch(p));
+	placer_order_warm(p, h->id, big->name, next_epoch(p));
 	return (true);
 }
 
@@ -270,14 +270,14 @@
  * whether there was one.
  */
 static bool
-try_donate(struct keeper *p, const struct form_view *view, uint64_t now_ms)
+try_donate(struct placer *p, const struct form_view *view, uint64_t now_ms)
 {
 	struct replica *donor = form_donor(view);
 
 	if (donor == NULL)
 		return (false);
 	replica_donate(donor, now_ms);
-	keeper_doomed(p, donor, now_ms);
+	placer_announce_dissolve(p, donor, now_ms);
 	return (true);
 }
 
@@ -286,7 +286,7 @@
  * there was one.
  */
 static bool
-try_retire_surplus(struct keeper *p, const struct form_view *view,
+try_retire_surplus(struct placer *p, const struct form_view *view,
     uint64_t now_ms)
 {
 	struct replica *r = form_surplus(view);
@@ -294,7 +294,7 @@
 	if (r == NULL)
 		return (false);
 	replica_give_up(r, now_ms);
-	keeper_doomed(p, r, now_ms);
+	placer_announce_dissolve(p, r, now_ms);
 	return (true);
 }
 
@@ -316,7 +316,7 @@
  * loads.
  */
 static enum step_result
-service_step(struct keeper *p, const char *service, struct form_view *view,
+service_step(struct placer *p, const char *service, struct form_view *view,
     uint64_t now_ms)
 {
 	unsigned loads = view->serving ? 0 : view->loads;
@@ -326,7 +326,7 @@
 		(try_donate(p, view, now_ms) ||
 		    try_retire_surplus(p, view, now_ms))))
 		return (STEP_CHANGED);
-	if (!keeper_calls_free(p))
+	if (!placer_call_allowed(p))
 		return (STEP_NONE);
 	if (try_copy(p, view, now_ms))
 		return (STEP_PREPARED);
@@ -336,12 +336,12 @@
 }
 
 /**
- * keeper_usage() - the counts of a service, which are created if needed.
+ * placer_usage() - the counts of a service, which are created if needed.
  * @p: the placer
  * @service: name of the service
  */
 struct service_usage *
-keeper_usage(struct keeper *p, const char *service)
+placer_usage(struct placer *p, const char *service)
 {
 	struct service_usage *u = g_hash_table_lookup(p->usage, service);
 
@@ -354,7 +354,7 @@
 
 /* Counts the requests of each model that run now, over all heads. */
 static void
-demand_sample_service(const struct keeper *p, const char *service,
+demand_sample_service(const struct placer *p, const char *service,
     const struct form_view *view, struct form_seen *seen)
 {
 	const struct replica *r;
@@ -383,10 +383,10 @@
  * the bound on the replicas of the largest model, the bound is recorded.
  */
 static void
-view_apply_demand(struct keeper *p, const char *service, struct form_view *view,
+view_apply_demand(struct placer *p, const char *service, struct form_view *view,
     uint64_t now_ms)
 {
-	struct form_demand *d = &keeper_usage(p, service)->demand;
+	struct form_demand *d = &placer_usage(p, service)->demand;
 	struct form_seen seen[FORM_MODELS_MAX] = { 0 };
 	unsigned most = d->most;
 
@@ -400,7 +400,7 @@
 	form_demand_apply(d, view, now_ms);
 	if (d->most == most)
 		return;
-	keeper_record_bound(p, service, d->most);
+	placer_record_bound(p, service, d->most);
 	event_log(LOG_NOTICE, "share_moved",
 	    "service=%s model=%s most=%u was=%u share=%.2f busy=%.1f", service,
 	    form_model(view, view->largest)->name, d->most, most,
@@ -409,7 +409,7 @@
 
 /* Builds the planner's view of a service. */
 static void
-service_view_build(struct keeper *p, const struct catalog_service *service,
+service_view_build(struct placer *p, const struct catalog_service *service,
     struct form_view *view, uint64_t now_ms)
 {
 	form_view_init(view, service->engine);
@@ -420,7 +420,7 @@
 	form_view_finish(view);
 	view->serving = p->served;
 	view->settled = now_ms - p->grew_ms >= HOSTS_STABLE_MS;
-	view->loads = keeper_loads_free(p, service->engine, now_ms);
+	view->loads = placer_loads_available(p, service->engine, now_ms);
 }
 
 /*
@@ -428,10 +428,10 @@
  * Returns whether to continue with a new view.
  */
 static bool
-service_run_steps(struct keeper *p, const char *service, struct form_view *view,
+service_run_steps(struct placer *p, const char *service, struct form_view *view,
     unsigned *steps, uint64_t now_ms)
 {
-	while (*steps > 0 && p->groups < EPOCHS_PER_TERM - 1) {
+	while (*steps > 0 && p->epochs_issued < EPOCHS_PER_TERM - 1) {
 		enum step_result result =
 		    service_step(p, service, view, now_ms);
 
@@ -449,7 +449,7 @@
  * pass.
  */
 static bool
-service_form_replicas(struct keeper *p, const struct catalog_service *service,
+service_form_replicas(struct placer *p, const struct catalog_service *service,
     uint64_t now_ms)
 {
 	unsigned steps = STEPS_PER_PASS;
@@ -460,35 +460,35 @@
 
 		service_view_build(p, service, &view, now_ms);
 		if (!counted)
-			service_usage_count(keeper_usage(p, service->name),
+			service_usage_count(placer_usage(p, service->name),
 			    service->name, &view, &p->replicas, now_ms);
 		counted = true;
 		more =
 		    service_run_steps(p, service->name, &view, &steps, now_ms);
 		form_view_clear(&view);
 	} while (more);
-	return (steps == 0 || !keeper_calls_free(p));
+	return (steps == 0 || !placer_call_allowed(p));
 }
 
 /**
- * keeper_place() - form new replicas for all services that have models.
+ * placer_form_replicas() - form new replicas for all services that have models.
  * @p: the placer
  * @now_ms: loop time, in ms
  */
 void
-keeper_place(struct keeper *p, uint64_t now_ms)
+placer_form_replicas(struct placer *p, uint64_t now_ms)
 {
 	unsigned hosts = g_hash_table_size(p->dir->fleet.by_id);
 	GHashTableIter iter;
 	gpointer value;
 
 	if (mesh_serving(p->mesh))
-		keeper_record_served(p);
-	keeper_stage_look(p, now_ms);
-	if (hosts > p->hosts)
+		placer_record_served(p);
+	placer_copies_update(p, now_ms);
+	if (hosts > p->n_hosts)
 		p->grew_ms = now_ms;
-	p->hosts = hosts;
-	p->more = false;
+	p->n_hosts = hosts;
+	p->unfinished = false;
 	g_hash_table_iter_init(&iter, p->dir->catalog->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct catalog_service *service = value;
@@ -496,8 +496,8 @@
 		if (service->engine == NULL ||
 		    service->engine->models->len == 0)
 			continue;
-		p->more |= service_form_replicas(p, service, now_ms);
+		p->unfinished |= service_form_replicas(p, service, now_ms);
 	}
-	if (p->more)
-		keeper_look_soon(p);
+	if (p->unfinished)
+		placer_schedule_pass(p);
 }
--- a/src/keeper-idle.c
+++ b/src/placer-idle.c
@@ -2,27 +2,27 @@
 #include <string.h>
 
 #include "event-log.h"
-#include "keeper-idle.h"
+#include "placer-idle.h"
 
 /**
- * idle_watch_init() - initialize a log state without any hosts.
+ * idle_log_init() - initialize a log state without any hosts.
  * @log: the log state
  */
 void
-idle_watch_init(struct idle_watch *log)
+idle_log_init(struct idle_log *log)
 {
-	log->said =
+	log->logged =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
 /**
- * idle_watch_clear() - free the contents of a log state.
+ * idle_log_clear() - free the contents of a log state.
  * @log: the log state
  */
 void
-idle_watch_clear(struct idle_watch *log)
+idle_log_clear(struct idle_log *log)
 {
-	g_hash_table_destroy(log->said);
+	g_hash_table_destroy(log->logged);
 }
 
 /*
@@ -85,16 +85,16 @@
 
 /* Logs the use of a host if it has changed. */
 static void
-idle_log_host(struct idle_watch *log, const struct form_view *view,
+idle_log_host(struct idle_log *log, const struct form_view *view,
     const struct form_host *h)
 {
 	const char *reason = "in_replica";
 
 	if (h->group == NULL)
 		reason = idle_reason(view, h);
-	if (g_hash_table_lookup(log->said, h->id) == reason)
+	if (g_hash_table_lookup(log->logged, h->id) == reason)
 		return;
-	g_hash_table_replace(log->said, g_strdup(h->id), (gpointer)reason);
+	g_hash_table_replace(log->logged, g_strdup(h->id), (gpointer)reason);
 	event_log(LOG_INFO, "host_use",
 	    "host=%s fabric=%s use=%s model=%s memory=%s copy=%s copying=%s",
 	    h->id, h->fabric != NULL ? h->fabric : "-", reason,
@@ -105,12 +105,12 @@
 }
 
 /**
- * idle_watch_look() - log each host whose use has changed.
+ * idle_log_update() - log each host whose use has changed.
  * @log: the log state
  * @view: the planner's view of the service
  */
 void
-idle_watch_look(struct idle_watch *log, const struct form_view *view)
+idle_log_update(struct idle_log *log, const struct form_view *view)
 {
 	for (guint i = 0; i < view->hosts->len; i++)
 		idle_log_host(log, view, form_host_at(view, i));
--- a/src/keeper-lease.c
+++ b/src/placer-lease.c
@@ -3,7 +3,7 @@
 
 #include "clock.h"
 #include "event-log.h"
-#include "keeper.h"
+#include "placer.h"
 
 #define LEASE_KEY "lease"
 #define GROUP_PREFIX "group/"
@@ -20,36 +20,37 @@
 /* Delay after the records of the daemons were read, until relays are chosen. */
 #define PEERS_WAIT_MS 600
 
-static void lease_read(struct keeper *);
+static void lease_read(struct placer *);
 
 /**
- * keeper_lose() - give up the lease, and drop all replicas and pending records.
+ * placer_step_down() - give up the lease, and drop all replicas and pending
+ * records.
  * @p: the placer
  * @reason: reason to log
  */
 void
-keeper_lose(struct keeper *p, const char *reason)
+placer_step_down(struct placer *p, const char *reason)
 {
 	struct replica *r;
 
-	if (p->state == KEEPER_HOLDING)
+	if (p->state == PLACER_HOLDING)
 		event_log(LOG_NOTICE, "placer_lost", "term=%lld reason=%s",
 		    (long long)p->term, reason);
-	p->state = KEEPER_IDLE;
+	p->state = PLACER_IDLE;
 	p->served = false;
-	p->alone_ms = 0;
+	p->no_placer_ms = 0;
 	p->preparing = false;
 	p->mesh->self.placer = false;
 	while ((r = TAILQ_FIRST(&p->replicas)) != NULL) {
 		TAILQ_REMOVE(&p->replicas, r, entry);
 		replica_free(r);
 	}
-	g_array_set_size(p->records, 0);
+	g_array_set_size(p->pending, 0);
 }
 
 /* Queues a record to be written; takes ownership of the value. */
 static void
-record_queue(struct keeper *p, const char *prefix, const char *key,
+record_queue(struct placer *p, const char *prefix, const char *key,
     guint8 *value, size_t length)
 {
 	struct store_record record = { 0 };
@@ -57,35 +58,35 @@
 	record.key = g_strconcat(prefix, key, NULL);
 	record.value = value;
 	record.length = length;
-	g_array_append_val(p->records, record);
+	g_array_append_val(p->pending, record);
 }
 
 /**
- * keeper_record_replica() - queue the writing or removal of a replica's record.
+ * placer_record_replica() - queue the writing or removal of a replica's record.
  * @p: the placer
  * @r: the replica
  * @remove: remove the record instead of writing it
  */
 void
-keeper_record_replica(struct keeper *p, const struct replica *r, bool remove)
+placer_record_replica(struct placer *p, const struct replica *r, bool remove)
 {
 	guint8 *value = NULL;
 	size_t length = 0;
 
 	if (!remove)
-		value = keeper_encode_replica(r, &length);
+		value = placer_encode_replica(r, &length);
 	record_queue(p, GROUP_PREFIX, r->name, value, length);
 }
 
 /**
- * keeper_record_served() - record permanently that requests have arrived.
+ * placer_record_served() - record permanently that requests have arrived.
  * @p: the placer
  *
  * Only before the first request are loads quick and not counted. Daemons that
  * have all been restarted have seen no request, so the record tells them.
  */
 void
-keeper_record_served(struct keeper *p)
+placer_record_served(struct placer *p)
 {
 	if (p->served)
 		return;
@@ -94,14 +95,14 @@
 }
 
 /**
- * keeper_record_bound() - record the bound on the replicas of a service's
+ * placer_record_bound() - record the bound on the replicas of a service's
  * largest model, for the next placer.
  * @p: the placer
  * @service: name of the service
  * @most: maximum number of these replicas; 0 for no bound
  */
 void
-keeper_record_bound(struct keeper *p, const char *service, unsigned most)
+placer_record_bound(struct placer *p, const char *service, unsigned most)
 {
 	char *text = g_strdup_printf("%u", most);
 
@@ -110,19 +111,19 @@
 
 /* Loads the record of a service's bound. */
 static void
-record_load_bound(struct keeper *p, const struct store_record *record)
+record_load_bound(struct placer *p, const struct store_record *record)
 {
 	g_autofree char *text =
 	    g_strndup((const char *)record->value, record->length);
 	const char *service = record->key + strlen(BOUND_PREFIX);
 
-	keeper_usage(p, service)->demand.most =
+	placer_usage(p, service)->demand.most =
 	    (unsigned)g_ascii_strtoull(text, NULL, 10);
 }
 
 /* Marks the replicas whose records were written: their orders may be sent. */
 static void
-replicas_mark_recorded(struct keeper *p, const GArray *records)
+replicas_mark_recorded(struct placer *p, const GArray *records)
 {
 	for (guint i = 0; i < records->len; i++) {
 		const struct store_record *record =
@@ -141,8 +142,8 @@
 }
 
 /* An append in flight. */
-struct keeper_append {
-	struct keeper *keeper;
+struct placer_append {
+	struct placer *placer;
 	GArray *records;
 	int64_t term;
 };
@@ -150,21 +151,21 @@
 static void
 on_written(void *arg, const struct store_answer *answer)
 {
-	struct keeper_append *append = arg;
-	struct keeper *p = append->keeper;
+	struct placer_append *append = arg;
+	struct placer *p = append->placer;
 
-	p->writing = false;
-	if (p->state == KEEPER_HOLDING && p->term == append->term) {
+	p->store_busy = false;
+	if (p->state == PLACER_HOLDING && p->term == append->term) {
 		switch (answer->result) {
 		case STORE_OK:
-			p->end = answer->end;
+			p->end_offset = answer->end;
 			p->verified_ms = answer->asked_ms;
 			replicas_mark_recorded(p, append->records);
-			keeper_look_soon(p);
+			placer_schedule_pass(p);
 			break;
 		case STORE_REFUSED:
 			/* Nothing was written: keep the records for a retry. */
-			g_array_prepend_vals(p->records, append->records->data,
+			g_array_prepend_vals(p->pending, append->records->data,
 			    append->records->len);
 			g_array_set_clear_func(append->records, NULL);
 			break;
@@ -173,7 +174,7 @@
 			 * Another daemon wrote, or this write may still take
 			 * effect: the records have to be read anew.
 			 */
-			keeper_lose(p, store_result_name(answer->result));
+			placer_step_down(p, store_result_name(answer->result));
 			break;
 		}
 	}
@@ -182,26 +183,26 @@
 }
 
 /**
- * keeper_write() - write the pending records, unless a call to the store is in
- * flight.
+ * placer_flush_records() - write the pending records, unless a call to the
+ * store is in flight.
  * @p: the placer
  */
 void
-keeper_write(struct keeper *p)
+placer_flush_records(struct placer *p)
 {
-	struct keeper_append *append;
+	struct placer_append *append;
 
-	if (p->writing || p->records->len == 0 || p->state != KEEPER_HOLDING)
+	if (p->store_busy || p->pending->len == 0 || p->state != PLACER_HOLDING)
 		return;
-	append = g_new0(struct keeper_append, 1);
-	append->keeper = p;
+	append = g_new0(struct placer_append, 1);
+	append->placer = p;
 	append->term = p->term;
-	append->records = p->records;
-	p->records = g_array_new(FALSE, TRUE, sizeof(struct store_record));
-	g_array_set_clear_func(p->records, store_record_clear);
-	p->writing = true;
+	append->records = p->pending;
+	p->pending = g_array_new(FALSE, TRUE, sizeof(struct store_record));
+	g_array_set_clear_func(p->pending, store_record_clear);
+	p->store_busy = true;
 	if (!p->store->ops->append(p->store, TOPIC_PLACEMENT, append->records,
-		(int64_t)p->end, on_written, append)) {
+		(int64_t)p->end_offset, on_written, append)) {
 		const struct store_answer none = { .result = STORE_REFUSED };
 
 		on_written(append, &none);
@@ -211,33 +212,33 @@
 static void
 on_taken(void *arg, const struct store_answer *answer)
 {
-	struct keeper *p = arg;
+	struct placer *p = arg;
 
-	p->writing = false;
-	if (p->state != KEEPER_TAKING)
+	p->store_busy = false;
+	if (p->state != PLACER_TAKING)
 		return;
 	if (answer->result != STORE_OK) {
 		event_log(LOG_NOTICE, "placer_not_taken", "term=%lld result=%s",
 		    (long long)p->term, store_result_name(answer->result));
-		keeper_lose(p, "not_taken");
+		placer_step_down(p, "not_taken");
 		return;
 	}
-	p->end = answer->end;
+	p->end_offset = answer->end;
 	p->verified_ms = answer->asked_ms;
-	p->state = KEEPER_HOLDING;
-	p->groups = 0;
+	p->state = PLACER_HOLDING;
+	p->epochs_issued = 0;
 	p->mesh->self.placer = true;
 	p->mesh->self.term = p->term;
 	p->mesh->held_term = p->term;
 	event_log(LOG_NOTICE, "placer_taken", "term=%lld end=%llu served=%d",
-	    (long long)p->term, (unsigned long long)p->end, p->served);
+	    (long long)p->term, (unsigned long long)p->end_offset, p->served);
 	mesh_tell_now(p->mesh);
 }
 
 /* Writes the lease, provided nothing was written since the records were read.
  */
 static void
-lease_take(struct keeper *p)
+lease_take(struct placer *p)
 {
 	g_autoptr(GArray) records =
 	    g_array_new(FALSE, TRUE, sizeof(struct store_record));
@@ -246,20 +247,20 @@
 	g_array_set_clear_func(records, store_record_clear);
 	p->term++;
 	record.key = g_strdup(LEASE_KEY);
-	record.value = keeper_encode_lease(p->name, p->term, &record.length);
+	record.value = placer_encode_lease(p->name, p->term, &record.length);
 	g_array_append_val(records, record);
-	p->state = KEEPER_TAKING;
-	p->writing = true;
+	p->state = PLACER_TAKING;
+	p->store_busy = true;
 	if (!p->store->ops->append(p->store, TOPIC_PLACEMENT, records,
-		(int64_t)p->end, on_taken, p)) {
-		p->writing = false;
-		keeper_lose(p, "store_unreachable");
+		(int64_t)p->end_offset, on_taken, p)) {
+		p->store_busy = false;
+		placer_step_down(p, "store_unreachable");
 	}
 }
 
 /* Loads one record while the lease is being taken. */
 static void
-record_load(struct keeper *p, const struct store_record *record)
+record_load(struct placer *p, const struct store_record *record)
 {
 	struct replica *r;
 	int64_t term;
@@ -267,7 +268,7 @@
 	if (record->value == NULL)
 		return;
 	if (strcmp(record->key, LEASE_KEY) == 0) {
-		term = keeper_decode_lease(record->value, record->length);
+		term = placer_decode_lease(record->value, record->length);
 		p->term = MAX(p->term, term);
 		return;
 	}
@@ -277,7 +278,7 @@
 		record_load_bound(p, record);
 	if (!g_str_has_prefix(record->key, GROUP_PREFIX))
 		return;
-	r = keeper_decode_replica(record->key + strlen(GROUP_PREFIX),
+	r = placer_decode_replica(record->key + strlen(GROUP_PREFIX),
 	    record->value, record->length);
 	if (r == NULL)
 		return;
@@ -288,17 +289,17 @@
 static void
 on_read(void *arg, const struct store_answer *answer)
 {
-	struct keeper *p = arg;
+	struct placer *p = arg;
 
-	p->writing = false;
-	if (p->state != KEEPER_READING)
+	p->store_busy = false;
+	if (p->state != PLACER_READING)
 		return;
 	if (answer->result != STORE_OK) {
-		keeper_lose(p, store_result_name(answer->result));
+		placer_step_down(p, store_result_name(answer->result));
 		return;
 	}
-	if (p->after == NULL)
-		p->end = answer->end;
+	if (p->read_after == NULL)
+		p->end_offset = answer->end;
 	for (guint i = 0; i < answer->records->len; i++)
 		record_load(p,
 		    &g_array_index(answer->records, struct store_record, i));
@@ -307,8 +308,8 @@
 		    &g_array_index(answer->records, struct store_record,
 			answer->records->len - 1);
 
-		g_free(p->after);
-		p->after = g_strdup(last->key);
+		g_free(p->read_after);
+		p->read_after = g_strdup(last->key);
 		lease_read(p);
 		return;
 	}
@@ -317,36 +318,36 @@
 
 /* Reads the next page of the records. */
 static void
-lease_read(struct keeper *p)
+lease_read(struct placer *p)
 {
-	p->writing = true;
-	if (!p->store->ops->newest(p->store, TOPIC_PLACEMENT, p->after, on_read,
-		p)) {
-		p->writing = false;
-		keeper_lose(p, "store_unreachable");
+	p->store_busy = true;
+	if (!p->store->ops->newest(p->store, TOPIC_PLACEMENT, p->read_after,
+		on_read, p)) {
+		p->store_busy = false;
+		placer_step_down(p, "store_unreachable");
 	}
 }
 
 /* Whether this daemon should take the lease now. */
 static bool
-lease_due(struct keeper *p, uint64_t now_ms)
+lease_due(struct placer *p, uint64_t now_ms)
 {
 	const struct mesh *mesh = p->mesh;
 	uint64_t wait;
 
-	if (p->writing || mesh->self.leaving || !mesh->self.store_ok ||
+	if (p->store_busy || mesh->self.leaving || !mesh->self.store_ok ||
 	    p->dir->catalog == NULL || mesh->known_ms == 0 ||
 	    now_ms - MIN(mesh->known_ms, now_ms) < PEERS_WAIT_MS)
 		return (false);
 	if (mesh_placer_heard(mesh)) {
-		p->alone_ms = 0;
+		p->no_placer_ms = 0;
 		p->preparing = false;
 		return (false);
 	}
-	if (p->alone_ms == 0)
-		p->alone_ms = now_ms;
+	if (p->no_placer_ms == 0)
+		p->no_placer_ms = now_ms;
 	wait = TAKEOVER_DELAY_MS + (uint64_t)mesh_rank(mesh) * RANK_DELAY_MS;
-	if (now_ms - p->alone_ms < wait)
+	if (now_ms - p->no_placer_ms < wait)
 		return (false);
 	/* The entries from other daemons lack the hosts that serve nothing. */
 	p->preparing = true;
@@ -355,58 +356,58 @@
 }
 
 /**
- * keeper_lease_look() - start to take the lease if no daemon holds it and it is
+ * placer_lease_poll() - start to take the lease if no daemon holds it and it is
  * this daemon's turn.
  * @p: the placer
  * @now_ms: loop time, in ms
  */
 void
-keeper_lease_look(struct keeper *p, uint64_t now_ms)
+placer_lease_poll(struct placer *p, uint64_t now_ms)
 {
-	if (p->state != KEEPER_IDLE || !lease_due(p, now_ms))
+	if (p->state != PLACER_IDLE || !lease_due(p, now_ms))
 		return;
 	event_log(LOG_INFO, "placer_taking", "alone_ms=%llu rank=%u",
-	    (unsigned long long)(now_ms - p->alone_ms), mesh_rank(p->mesh));
-	keeper_lose(p, "begin");
-	g_clear_pointer(&p->after, g_free);
+	    (unsigned long long)(now_ms - p->no_placer_ms), mesh_rank(p->mesh));
+	placer_step_down(p, "begin");
+	g_clear_pointer(&p->read_after, g_free);
 	g_hash_table_remove_all(p->usage);
-	p->state = KEEPER_READING;
+	p->state = PLACER_READING;
 	lease_read(p);
 }
 
 static void
 on_checked(void *arg, const struct store_answer *answer)
 {
-	struct keeper *p = arg;
+	struct placer *p = arg;
 
-	p->writing = false;
-	if (p->state != KEEPER_HOLDING)
+	p->store_busy = false;
+	if (p->state != PLACER_HOLDING)
 		return;
 	if (answer->result == STORE_OK && answer->records->len == 0) {
 		p->verified_ms = answer->asked_ms;
 		return;
 	}
 	if (answer->result == STORE_OK || answer->result == STORE_TRIMMED)
-		keeper_lose(p, "others_wrote");
+		placer_step_down(p, "others_wrote");
 }
 
 /**
- * keeper_verified() - whether the lease was verified recently enough to send
- * orders.
+ * placer_lease_verified() - whether the lease was verified recently enough to
+ * send orders.
  * @p: the placer
  * @now_ms: loop time, in ms
  *
  * Queries the store if the last verification is too old.
  */
 bool
-keeper_verified(struct keeper *p, uint64_t now_ms)
+placer_lease_verified(struct placer *p, uint64_t now_ms)
 {
-	if (p->state != KEEPER_HOLDING)
+	if (p->state != PLACER_HOLDING)
 		return (false);
 	if (now_ms - p->verified_ms < REPLICA_OUTDONE_MS)
 		return (true);
-	if (!p->writing)
-		p->writing = p->store->ops->read(p->store, TOPIC_PLACEMENT,
-		    p->end, on_checked, p);
+	if (!p->store_busy)
+		p->store_busy = p->store->ops->read(p->store, TOPIC_PLACEMENT,
+		    p->end_offset, on_checked, p);
 	return (false);
 }
--- a/src/keeper-record.c
+++ b/src/placer-record.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "event-log.h"
-#include "keeper.h"
+#include "placer.h"
 
 /* Encodes a JSON object as a record's value; takes ownership of the object. */
 static guint8 *
@@ -21,14 +21,14 @@
 }
 
 /**
- * keeper_encode_replica() - encode a replica's record.
+ * placer_encode_replica() - encode a replica's record.
  * @r: the replica
  * @length: set to the length of the value
  *
  * Return: the record's value; free with g_free().
  */
 guint8 *
-keeper_encode_replica(const struct replica *r, size_t *length)
+placer_encode_replica(const struct replica *r, size_t *length)
 {
 	json_t *root = json_object();
 	json_t *members = json_array();
@@ -52,7 +52,7 @@
 }
 
 /**
- * keeper_decode_replica() - decode a replica's record.
+ * placer_decode_replica() - decode a replica's record.
  * @name: name of the replica
  * @bytes: value of the record
  * @length: length of the value
@@ -60,7 +60,7 @@
  * Return: the replica, or NULL if the record is malformed or has no members.
  */
 struct replica *
-keeper_decode_replica(const char *name, const void *bytes, size_t length)
+placer_decode_replica(const char *name, const void *bytes, size_t length)
 {
 	json_auto_t *root = json_loadb(bytes, length, 0, NULL);
 	const char *service, *model, *id, *ip;
@@ -96,7 +96,7 @@
 }
 
 /**
- * keeper_encode_lease() - encode the lease's record.
+ * placer_encode_lease() - encode the lease's record.
  * @holder: name of the daemon that holds the lease
  * @term: term of the lease
  * @length: set to the length of the value
@@ -104,7 +104,7 @@
  * Return: the record's value; free with g_free().
  */
 guint8 *
-keeper_encode_lease(const char *holder, int64_t term, size_t *length)
+placer_encode_lease(const char *holder, int64_t term, size_t *length)
 {
 	return (record_bytes(json_pack("{s:s,s:I}", "holder", holder, "term",
 				 (json_int_t)term),
@@ -112,14 +112,14 @@
 }
 
 /**
- * keeper_decode_lease() - decode the term of the lease's record.
+ * placer_decode_lease() - decode the term of the lease's record.
  * @bytes: value of the record
  * @length: length of the value
  *
  * Return: the term, or 0 if the record is malformed.
  */
 int64_t
-keeper_decode_lease(const void *bytes, size_t length)
+placer_decode_lease(const void *bytes, size_t length)
 {
 	json_auto_t *root = json_loadb(bytes, length, 0, NULL);
 	json_int_t term;
--- a/src/keeper-usage.h
+++ b/src/placer-usage.h
@@ -1,8 +1,8 @@
 /* Group downtime and stranded host time of each service. */
-#ifndef BL_KEEPER_USAGE_H
-#define BL_KEEPER_USAGE_H
+#ifndef BL_PLACER_USAGE_H
+#define BL_PLACER_USAGE_H
 
-#include "keeper-idle.h"
+#include "placer-idle.h"
 #include "replica-demand.h"
 
 /**
@@ -25,7 +25,7 @@
  * struct service_usage - counts of one service since this daemon took the
  * lease.
  * @counted_ms: loop time of the last count, in ms; 0 before the first
- * @said_ms: loop time at which the counts were last logged, in ms
+ * @logged_ms: loop time at which the counts were last logged, in ms
  * @hosts: number of live hosts
  * @free: number of live hosts that are in no replica
  * @stranded_ms: time summed over hosts that are in no serving replica, in
@@ -38,14 +38,14 @@
  */
 struct service_usage {
 	uint64_t counted_ms;
-	uint64_t said_ms;
+	uint64_t logged_ms;
 	unsigned hosts;
 	unsigned free;
 	double stranded_ms;
 	char *names[FORM_MODELS_MAX];
 	struct model_usage models[FORM_MODELS_MAX];
 	unsigned n_models;
-	struct idle_watch idle;
+	struct idle_log idle;
 	struct form_demand demand;
 };
 
--- a/src/keeper.c
+++ b/src/placer.c
@@ -7,7 +7,7 @@
 
 #include "clock.h"
 #include "event-log.h"
-#include "keeper.h"
+#include "placer.h"
 
 /* Time between two passes while replicas change, and otherwise. */
 #define PASS_BUSY_MS 150
@@ -40,7 +40,7 @@
  * those that have no entry or did not answer an order.
  */
 static void
-replica_ask_members(struct keeper *p, struct replica *r, uint64_t now_ms)
+replica_ask_members(struct placer *p, struct replica *r, uint64_t now_ms)
 {
 	bool suspect = suspicion_active(r->suspect_ms, now_ms);
 
@@ -52,7 +52,7 @@
 		if (m->life != MEMBER_DEAD &&
 		    (suspect || unlisted ||
 			suspicion_active(m->suspect_ms, now_ms)))
-			keeper_ask(p, r, i);
+			placer_ask_member(p, r, i);
 	}
 }
 
@@ -86,7 +86,7 @@
  * dissolved by a proof that covers a head that cannot be reached.
  */
 static void
-replica_mark_head_out(struct keeper *p, const struct replica *r,
+replica_mark_head_out(struct placer *p, const struct replica *r,
     enum replica_proof proof)
 {
 	struct endpoint *head = fleet_find(&p->dir->fleet, r->members[0].id);
@@ -97,7 +97,7 @@
 
 /* Removes a dissolved replica and its record: its hosts are free. */
 static void
-replica_remove(struct keeper *p, struct replica *r, uint64_t now_ms)
+replica_remove(struct placer *p, struct replica *r, uint64_t now_ms)
 {
 	for (unsigned i = 0; i < r->n; i++) {
 		struct endpoint *ep =
@@ -107,22 +107,22 @@
 		if (ep != NULL && r->members[i].life >= MEMBER_SILENT)
 			ep->unfit_until_ms = now_ms + SUSPECT_MS;
 	}
-	g_hash_table_replace(p->ended, g_strdup(r->name),
+	g_hash_table_replace(p->dissolved, g_strdup(r->name),
 	    g_memdup2(&now_ms, sizeof now_ms));
-	keeper_record_replica(p, r, true);
+	placer_record_replica(p, r, true);
 	TAILQ_REMOVE(&p->replicas, r, entry);
 	replica_free(r);
 }
 
 /**
- * keeper_doomed() - log that a replica is being dissolved, and have all daemons
- * avoid its head.
+ * placer_announce_dissolve() - log that a replica is being dissolved, and have
+ * all daemons avoid its head.
  * @p: the placer
  * @r: the replica
  * @now_ms: loop time, in ms
  */
 void
-keeper_doomed(struct keeper *p, struct replica *r, uint64_t now_ms)
+placer_announce_dissolve(struct placer *p, struct replica *r, uint64_t now_ms)
 {
 	struct endpoint *head = fleet_find(&p->dir->fleet, r->members[0].id);
 
@@ -138,7 +138,7 @@
 
 /* Updates one replica from what its members report and takes its next steps. */
 static void
-replica_update(struct keeper *p, struct replica *r, uint64_t now_ms)
+replica_update(struct placer *p, struct replica *r, uint64_t now_ms)
 {
 	bool was_open = r->opened, was_dissolving = r->doomed != NULL;
 	struct replica_step step;
@@ -155,9 +155,9 @@
 			replica_remove(p, r, now_ms);
 			return;
 		}
-		if (step.act != REPLICA_ORDER || !keeper_calls_free(p))
+		if (step.act != REPLICA_ORDER || !placer_call_allowed(p))
 			break;
-		keeper_order(p, r, step.member, step.order);
+		placer_order_member(p, r, step.member, step.order);
 	}
 	if (!was_open && r->opened)
 		event_log(LOG_NOTICE, "group_serves",
@@ -165,16 +165,16 @@
 		    (long long)r->epoch, r->model,
 		    (unsigned long long)(now_ms - r->made_ms));
 	if (!was_dissolving && r->doomed != NULL)
-		keeper_doomed(p, r, now_ms);
+		placer_announce_dissolve(p, r, now_ms);
 	if (replica_settles(r, now_ms)) {
 		r->settled = true;
-		keeper_record_replica(p, r, false);
+		placer_record_replica(p, r, false);
 	}
 }
 
 /* Whether any replica is changing or suspect, or work is left to do. */
 static bool
-keeper_busy(const struct keeper *p)
+placer_changing(const struct placer *p)
 {
 	const struct replica *r;
 
@@ -182,12 +182,12 @@
 		if (!r->opened || r->doomed != NULL || r->suspect_ms != 0)
 			return (true);
 	}
-	return (p->records->len > 0 || p->more);
+	return (p->pending->len > 0 || p->unfinished);
 }
 
 /* Runs one pass over all replicas and services while the lease is held. */
 static void
-keeper_look_holding(struct keeper *p, uint64_t now_ms)
+placer_holder_pass(struct placer *p, uint64_t now_ms)
 {
 	uint64_t began_us = clock_now_us();
 	struct replica *r, *next;
@@ -196,50 +196,50 @@
 		next = TAILQ_NEXT(r, entry);
 		replica_update(p, r, now_ms);
 	}
-	keeper_adopt(p, now_ms);
-	keeper_place(p, now_ms);
-	keeper_write(p);
-	p->look_us = clock_now_us() - began_us;
-	if (p->look_us >= PASS_SLOW_US)
+	placer_adopt_groups(p, now_ms);
+	placer_form_replicas(p, now_ms);
+	placer_flush_records(p);
+	p->pass_us = clock_now_us() - began_us;
+	if (p->pass_us >= PASS_SLOW_US)
 		event_log(LOG_NOTICE, "look_slow", "us=%llu calls=%u hosts=%u",
-		    (unsigned long long)p->look_us, p->calls, p->hosts);
+		    (unsigned long long)p->pass_us, p->n_calls, p->n_hosts);
 }
 
 /**
- * keeper_look() - run one pass.
+ * placer_run_pass() - run one pass.
  * @p: the placer
  *
  * Takes the lease if it is this daemon's turn, and updates all replicas while
  * this daemon holds it.
  */
 void
-keeper_look(struct keeper *p)
+placer_run_pass(struct placer *p)
 {
 	uint64_t now = clock_loop_ms(p->loop);
 
-	if (p->state == KEEPER_HOLDING && now - p->last_ms > SUSPEND_MS)
+	if (p->state == PLACER_HOLDING && now - p->last_pass_ms > SUSPEND_MS)
 		p->verified_ms = 0;
-	p->last_ms = now;
+	p->last_pass_ms = now;
 	p->mesh->self.store_ok =
 	    p->dir->endpoints.synced && p->dir->endpoints.failures == 0;
 	if (mesh_lease_outdone(p->mesh))
-		keeper_lose(p, "taken_over");
-	keeper_lease_look(p, now);
-	if (p->state != KEEPER_HOLDING || p->dir->catalog == NULL)
+		placer_step_down(p, "taken_over");
+	placer_lease_poll(p, now);
+	if (p->state != PLACER_HOLDING || p->dir->catalog == NULL)
 		return;
-	if (keeper_busy(p) && !keeper_verified(p, now))
+	if (placer_changing(p) && !placer_lease_verified(p, now))
 		return;
-	keeper_look_holding(p, now);
+	placer_holder_pass(p, now);
 }
 
 static void
 on_timer(uv_timer_t *timer)
 {
-	struct keeper *p = timer->data;
+	struct placer *p = timer->data;
 	bool busy;
 
-	keeper_look(p);
-	busy = p->state == KEEPER_HOLDING && keeper_busy(p);
+	placer_run_pass(p);
+	busy = p->state == PLACER_HOLDING && placer_changing(p);
 	if (busy)
 		dir_follow_hurry(&p->dir->endpoints);
 	uv_timer_start(timer, on_timer, busy ? PASS_BUSY_MS : PASS_IDLE_MS, 0);
@@ -248,31 +248,31 @@
 static void
 on_wakeup(uv_timer_t *timer)
 {
-	keeper_look(timer->data);
+	placer_run_pass(timer->data);
 }
 
 /**
- * keeper_look_soon() - schedule an early pass after a change.
+ * placer_schedule_pass() - schedule an early pass after a change.
  * @p: the placer
  */
 void
-keeper_look_soon(struct keeper *p)
+placer_schedule_pass(struct placer *p)
 {
-	if (p->state != KEEPER_HOLDING || !keeper_busy(p) ||
-	    uv_is_active((uv_handle_t *)&p->soon))
+	if (p->state != PLACER_HOLDING || !placer_changing(p) ||
+	    uv_is_active((uv_handle_t *)&p->wakeup))
 		return;
-	uv_timer_start(&p->soon, on_wakeup,
-	    MAX(WAKEUP_DELAY_MS, p->look_us * WAKEUP_PASS_FACTOR / 1000), 0);
+	uv_timer_start(&p->wakeup, on_wakeup,
+	    MAX(WAKEUP_DELAY_MS, p->pass_us * WAKEUP_PASS_FACTOR / 1000), 0);
 }
 
 /**
- * keeper_suspect() - mark the replica suspect whose head is an endpoint, since
+ * placer_suspect() - mark the replica suspect whose head is an endpoint, since
  * the endpoint's streams have fallen silent.
  * @p: the placer
  * @ep: the endpoint
  */
 void
-keeper_suspect(struct keeper *p, const struct endpoint *ep)
+placer_suspect(struct placer *p, const struct endpoint *ep)
 {
 	struct replica *r;
 
@@ -283,45 +283,45 @@
 }
 
 /**
- * keeper_open() - initialize the placer and start its passes.
+ * placer_start() - initialize the placer and start its passes.
  * @p: the placer; @store, @dir, @mesh, @orders, @name and @stall_ms are set
  * @loop: the event loop
  */
 void
-keeper_open(struct keeper *p, uv_loop_t *loop)
+placer_start(struct placer *p, uv_loop_t *loop)
 {
 	p->loop = loop;
-	p->records = g_array_new(FALSE, TRUE, sizeof(struct store_record));
-	g_array_set_clear_func(p->records, store_record_clear);
-	p->loads = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	p->staging = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-	    keeper_stage_free);
+	p->pending = g_array_new(FALSE, TRUE, sizeof(struct store_record));
+	g_array_set_clear_func(p->pending, store_record_clear);
+	p->load_starts = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	p->copies = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+	    placer_copy_free);
 	p->warming =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	p->usage = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 	    service_usage_free);
-	p->ended =
+	p->dissolved =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	p->pools =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 	TAILQ_INIT(&p->replicas);
 	uv_timer_init(loop, &p->timer);
 	p->timer.data = p;
-	uv_timer_init(loop, &p->soon);
-	p->soon.data = p;
+	uv_timer_init(loop, &p->wakeup);
+	p->wakeup.data = p;
 	uv_timer_start(&p->timer, on_timer, PASS_BUSY_MS, 0);
 }
 
 /**
- * keeper_stop() - stop the passes, so that another daemon can take over.
+ * placer_stop() - stop the passes, so that another daemon can take over.
  * @p: the placer
  */
 void
-keeper_stop(struct keeper *p)
+placer_stop(struct placer *p)
 {
-	if (p->state == KEEPER_HOLDING)
-		keeper_lose(p, "leaving");
-	p->state = KEEPER_IDLE;
+	if (p->state == PLACER_HOLDING)
+		placer_step_down(p, "leaving");
+	p->state = PLACER_IDLE;
 	uv_timer_stop(&p->timer);
-	uv_timer_stop(&p->soon);
+	uv_timer_stop(&p->wakeup);
 }
--- a/tests/test-schedules.c
+++ b/tests/test-schedules.c
@@ -17,7 +17,7 @@
 #include "claim-index.h"
 #include "group.h"
 #include "http-batch.h"
-#include "lease-keeper.h"
+#include "lease-elector.h"
 #include "lease.h"
 #include "orders.h"
 #include "plan.h"
@@ -51,7 +51,7 @@
 	bool log_cut;
 	bool host_cut[HOSTS];
 	struct state *state;
-	struct lease_keeper elector;
+	struct lease_elector elector;
 	struct inventory inv;
 	struct view_tables tables;
 	struct view *view;
@@ -141,7 +141,7 @@
 		memset(d, 0, sizeof *d);
 		snprintf(d->name, sizeof d->name, "d%d#1", i);
 		d->state = state_create();
-		lease_keeper_init(&d->elector, now);
+		lease_elector_init(&d->elector, now);
 		inventory_init(&d->inv);
 		inventory_update(&d->inv, list, now);
 		view_tables_init(&d->tables);
@@ -311,7 +311,7 @@
 	enum lease_step step;
 	uint64_t offset, term = lease != NULL ? lease->term : 0;
 
-	step = lease_keeper_step(&d->elector, &times, lease, d->name,
+	step = lease_elector_step(&d->elector, &times, lease, d->name,
 	    random_below(1000), now);
 	if (step == LEASE_WAIT)
 		return;
@@ -319,7 +319,7 @@
 	    step == LEASE_TAKE ? "lease" : "renew", "domain", "a", "holder",
 	    d->name, "base", (json_int_t)term, "term", (json_int_t)term);
 	offset = sim_append(d, config_log, record);
-	lease_keeper_sent(&d->elector, now, offset);
+	lease_elector_sent(&d->elector, now, offset);
 }
 
 /* Sends the orders that are due; some arrive late, some are lost. */
@@ -362,7 +362,7 @@
 	g_autoptr(GPtrArray) records = NULL;
 
 	daemon_lease(d);
-	if (!lease_keeper_holds(&d->elector, now))
+	if (!lease_elector_holds(&d->elector, now))
 		return;
 	records = plan_changes(&in);
 	for (guint i = 0; i < records->len; i++)
