--- a/src/lease-elector.c
+++ b/src/lease-elector.c
@@ -2,8 +2,8 @@
  * Decides when a daemon takes and renews a control lease. A holder counts from
  * the moment before it sent a renewal, a successor from the moment after it
  * read that renewal. So the holder stops first whatever the delay of the log,
- * by the difference of @wait and @hold. Replay voids the records of an older
- * term in any case.
+ * by the difference of the wait and hold times. Replay voids the records of an
+ * older term in any case.
  */
 #include <string.h>
 
--- a/src/place-weighted.c
+++ b/src/place-weighted.c
@@ -11,8 +11,7 @@
  * so waiting any longer does not pay off.
  */
 #define SHORT_OUTAGE_MS 10000
-/* Waiting pays off only while it has cost less than this share of the repair.
- */
+/* Waiting pays off only while it costs less than this share of the repair. */
 #define WAIT_COST_PERCENT 25
 /* Cost of forming a group again from hosts that have kept their shards. */
 #define REFORM_MS 8000
--- a/src/placer-call.c
+++ b/src/placer-call.c
@@ -273,8 +273,8 @@
 	    m->elsewhere == was->elsewhere)
 		return;
 	event_log(LOG_INFO, "member_told",
-	    "group=%s member=%s here=%d state=%s said_group=%s said_epoch=%lld "
-	    "sequence=%lld started_ms=%lld",
+	    "group=%s member=%s here=%d state=%s reported_group=%s "
+	    "reported_epoch=%lld sequence=%lld started_ms=%lld",
 	    r->name, m->id, m->here, group_state_name(m->state),
 	    report->group != NULL ? report->group : "-",
 	    (long long)report->epoch, (long long)report->sequence,
@@ -311,7 +311,8 @@
 		m->absent = answer == ANSWER_ABSENT;
 		if (answer != ANSWER_REPORT)
 			event_log(LOG_INFO, "member_silent",
-			    "group=%s member=%s absent=%d silent_ms=%llu",
+			    "group=%s member=%s address_reused=%d "
+			    "silent_ms=%llu",
 			    call->group, call->id, answer == ANSWER_ABSENT,
 			    (unsigned long long)(now - m->silent_ms));
 	}
--- a/src/placer-lease.c
+++ b/src/placer-lease.c
@@ -141,7 +141,7 @@
 	}
 }
 
-/* An append in flight. */
+/* An append in flight, with its records and the term that it was made in. */
 struct placer_append {
 	struct placer *placer;
 	GArray *records;
@@ -235,8 +235,7 @@
 	mesh_tell_now(p->mesh);
 }
 
-/* Writes the lease, provided nothing was written since the records were read.
- */
+/* Writes the lease if nothing was written since the records were read. */
 static void
 lease_take(struct placer *p)
 {
@@ -366,7 +365,7 @@
 {
 	if (p->state != PLACER_IDLE || !lease_due(p, now_ms))
 		return;
-	event_log(LOG_INFO, "placer_taking", "alone_ms=%llu rank=%u",
+	event_log(LOG_INFO, "placer_taking", "no_placer_ms=%llu rank=%u",
 	    (unsigned long long)(now_ms - p->no_placer_ms), mesh_rank(p->mesh));
 	placer_step_down(p, "begin");
 	g_clear_pointer(&p->read_after, g_free);
--- a/src/placer-stage.c
+++ b/src/placer-stage.c
@@ -9,11 +9,15 @@
 #define LOADS_USED_SHARE 0.8
 /* Number of loads that may start where none bounds them. */
 #define LOADS_UNLIMITED 1000
-/* Time allowed for a copy, over the load time of one alone: copies that run at
- * the same time slow each other down. */
+/*
+ * Time allowed for a copy, as a multiple of the load time of the model: copies
+ * that are made at the same time slow each other down.
+ */
 #define COPY_TIME_FACTOR 1.5
-/* An order to copy that was not answered is sent again after this; an answer
- * takes some milliseconds, and a repeated order has no further effect. */
+/*
+ * An order to copy that was not answered is sent again after this time. An
+ * answer takes some milliseconds, and a repeated order has no further effect.
+ */
 #define COPY_RETRY_MS 300
 
 /**
@@ -161,7 +165,7 @@
 {
 	double max_loads =
 	    e->loads_per_s * LOADS_WINDOW_MS / 1000 * LOADS_USED_SHARE;
-	unsigned staging = g_hash_table_size(p->copies);
+	unsigned n_copies = g_hash_table_size(p->copies);
 
 	while (p->load_starts->len > 0 &&
 	    now_ms - g_array_index(p->load_starts, uint64_t, 0) >=
@@ -176,8 +180,8 @@
 	if (!p->served)
 		return (LOADS_UNLIMITED);
 	/* More loads at once would only slow each other down. */
-	if (staging >= e->loads_at_once || p->load_starts->len >= max_loads)
+	if (n_copies >= e->loads_at_once || p->load_starts->len >= max_loads)
 		return (0);
-	return (MIN(e->loads_at_once - staging,
+	return (MIN(e->loads_at_once - n_copies,
 	    (unsigned)(max_loads - p->load_starts->len)));
 }
--- a/src/placer.c
+++ b/src/placer.c
@@ -65,7 +65,7 @@
 
 	event_log(LOG_NOTICE, "group_dissolved",
 	    "group=%s epoch=%lld model=%s reason=%s ms=%llu proof=%s head=%s "
-	    "head_state=%s told_ms_ago=%llu",
+	    "head_state=%s reported_ms_ago=%llu",
 	    r->name, (long long)r->epoch, r->model, r->doomed,
 	    (unsigned long long)(now_ms - r->doomed_ms),
 	    replica_proof_name(proof), head->id, group_state_name(head->state),
--- a/src/placer.h
+++ b/src/placer.h
@@ -46,7 +46,7 @@
  * struct placer - the placer of this daemon.
  * @loop: the event loop
  * @store: the store
- * @dir: directory of services and endpoints
+ * @dir: registry of endpoints and configuration
  * @mesh: the other daemons
  * @orders: the adapter's calls to hosts
  * @name: name of this daemon
--- a/tests/test-schedules.c
+++ b/tests/test-schedules.c
@@ -45,6 +45,7 @@
 	uint64_t ready_seen_ms;
 };
 
+/* A simulated daemon. */
 struct sim_daemon {
 	char name[8];
 	bool paused;
@@ -380,7 +381,7 @@
 	    h->ready_epoch == epoch && now < h->ready_seen_ms + EVIDENCE_MS);
 }
 
-/* Checks each target to which this daemon may send requests now. */
+/* Checks the hosts of each target to which this daemon may send requests. */
 static void
 daemon_dispatch(struct sim_daemon *d)
 {
@@ -442,7 +443,10 @@
 	g_clear_pointer(&d->token[id], g_free);
 }
 
-/* No host may be in two groups that have a valid target at any daemons. */
+/*
+ * No host may be in two groups that both have a valid target, be it at the same
+ * daemon or at two.
+ */
 static void
 check_groups(void)
 {
@@ -576,7 +580,7 @@
 		failed += run_seed(s) ? 0 : 1;
 	printf("\n%" PRIu64 " schedules of %d steps: %" PRIu64
 	       " dispatches, %" PRIu64 " claims granted, longest log %" PRIu64
-	       ", %u broken\n",
+	       ", %u with a violation\n",
 	    seeds, STEPS, dispatched, granted, longest_log, failed);
 	CU_ASSERT_EQUAL(failed, 0);
 	/* Schedules that dispatch and grant little would prove nothing. */
