--- a/src/placer-form.c
+++ b/src/placer-form.c
@@ -183,8 +183,8 @@
 
 	r->made_ms = now_ms;
 	for (guint i = 0; i < plan->members->len; i++) {
-		guint at = g_array_index(plan->members, guint, i);
-		const struct form_host *h = form_host_at(view, at);
+		guint index = g_array_index(plan->members, guint, i);
+		const struct form_host *h = form_host_at(view, index);
 		const struct endpoint *ep = fleet_find(&p->dir->fleet, h->id);
 
 		replica_add_member(r, h->id, &ep->report.address);
@@ -208,13 +208,13 @@
 try_form(struct placer *p, const char *service, struct form_view *view,
     unsigned loads, uint64_t now_ms)
 {
-	unsigned free = view->loads;
+	unsigned loads_free = view->loads;
 	struct form_plan plan = { 0 };
 	bool formed;
 
-	view->loads = MIN(loads, free);
+	view->loads = MIN(loads, loads_free);
 	formed = form_next(view, &plan);
-	view->loads = free;
+	view->loads = loads_free;
 	if (!formed)
 		return (false);
 	replica_add(p, service, view, &plan, now_ms);
@@ -243,7 +243,7 @@
 static bool
 try_warm(struct placer *p, struct form_view *view, uint64_t now_ms)
 {
-	const struct model_profile *big = form_model(view, view->largest);
+	const struct model_profile *model = form_model(view, view->largest);
 	const struct form_host *h;
 	uint64_t until = now_ms + WARM_RETRY_MS;
 
@@ -258,10 +258,10 @@
 		return (false);
 	form_view_warming(view, h);
 	event_log(LOG_INFO, "warming_planned", "host=%s model=%s fabric=%s",
-	    h->id, big->name, h->fabric);
+	    h->id, model->name, h->fabric);
 	g_hash_table_replace(p->warming, g_strdup(h->id),
 	    g_memdup2(&until, sizeof until));
-	placer_order_warm(p, h->id, big->name, next_epoch(p));
+	placer_order_warm(p, h->id, model->name, next_epoch(p));
 	return (true);
 }
 
@@ -363,18 +363,18 @@
 		const struct endpoint *head =
 		    fleet_find(&p->dir->fleet, r->members[0].id);
 
-		struct form_seen *of;
+		struct form_seen *sample;
 
 		if (head == NULL || !r->opened ||
 		    strcmp(r->service, service) != 0)
 			continue;
-		of = &seen[form_model_index(view, r->model)];
+		sample = &seen[form_model_index(view, r->model)];
 		if (head->limit.holds) {
-			of->limited++;
+			sample->limited++;
 			continue;
 		}
-		of->unlimited++;
-		of->running += fwd_expect_running(head);
+		sample->unlimited++;
+		sample->running += fwd_expect_running(head);
 	}
 }
 
@@ -388,7 +388,7 @@
 {
 	struct form_demand *d = &placer_usage(p, service)->demand;
 	struct form_seen seen[FORM_MODELS_MAX] = { 0 };
-	unsigned most = d->most;
+	unsigned old_max = d->most;
 
 	if (!p->served)
 		return;
@@ -398,12 +398,12 @@
 		form_demand_note(d, view, seen, now_ms);
 	}
 	form_demand_apply(d, view, now_ms);
-	if (d->most == most)
+	if (d->most == old_max)
 		return;
 	placer_record_bound(p, service, d->most);
 	event_log(LOG_NOTICE, "share_moved",
 	    "service=%s model=%s most=%u was=%u share=%.2f busy=%.1f", service,
-	    form_model(view, view->largest)->name, d->most, most,
+	    form_model(view, view->largest)->name, d->most, old_max,
 	    view->work[view->largest], d->busy[view->largest]);
 }
 
--- a/src/placer-idle.c
+++ b/src/placer-idle.c
@@ -30,7 +30,7 @@
  * without a load from the weight store.
  */
 static unsigned
-fabric_hosts_with_model(const struct form_view *view, unsigned at,
+fabric_hosts_with_model(const struct form_view *view, unsigned fabric,
     const struct model_profile *m)
 {
 	unsigned n = 0;
@@ -38,7 +38,7 @@
 	for (guint i = 0; i < view->hosts->len; i++) {
 		const struct form_host *h = form_host_at(view, i);
 
-		n += h->free && h->at == at && form_host_has(h, m);
+		n += h->free && h->at == fabric && form_host_has(h, m);
 	}
 	return (n);
 }
--- a/src/placer-lease.c
+++ b/src/placer-lease.c
@@ -99,12 +99,12 @@
  * largest model, for the next placer.
  * @p: the placer
  * @service: name of the service
- * @most: maximum number of these replicas; 0 for no bound
+ * @max: maximum number of these replicas; 0 for no bound
  */
 void
-placer_record_bound(struct placer *p, const char *service, unsigned most)
+placer_record_bound(struct placer *p, const char *service, unsigned max)
 {
-	char *text = g_strdup_printf("%u", most);
+	char *text = g_strdup_printf("%u", max);
 
 	record_queue(p, BOUND_PREFIX, service, (guint8 *)text, strlen(text));
 }
