--- a/src/mesh-poison.c
+++ b/src/mesh-poison.c
@@ -1,7 +1,7 @@
 /* Work that is suspected of ending endpoints: who is told, and what is taken.
  */
 #include "event-log.h"
-#include "fwd-work.h"
+#include "fwd-fingerprint.h"
 #include "mesh.h"
 
 /* What is new is told in every datagram for so long, so that some may be lost,
@@ -24,13 +24,13 @@
 /* Whether a datagram of a kind tells what is known from there: others tell the
  * rest to those who get it. */
 static bool
-reach_told(enum mesh_kind kind, enum poison_reach reach)
+reach_told(enum mesh_kind kind, enum poison_origin reach)
 {
 	switch (kind) {
 	case MESH_REPORT:
-		return (reach == POISON_OWN);
-	case MESH_CELL:
-		return (reach != POISON_FAR);
+		return (reach == POISON_LOCAL);
+	case MESH_CELL_SUMMARY:
+		return (reach != POISON_REMOTE);
 	default:
 		return (true);
 	}
@@ -38,56 +38,57 @@
 
 /* Whether there is room for all that is told of some work. */
 static bool
-has_room(const struct mesh_news *news, unsigned most,
-    const struct poison_work *w)
+has_room(const struct mesh_message *news, unsigned most,
+    const struct poison_request *w)
 {
-	return (news->n_poison + MAX(w->n_ends, 1) <= most);
+	return (news->n_poison + MAX(w->n_crashes, 1) <= most);
 }
 
 static struct mesh_poison *
-news_add(struct mesh_news *news, uint64_t work, uint64_t age_ms)
+news_add(struct mesh_message *news, uint64_t work, uint64_t age_ms)
 {
 	struct mesh_poison *told = &news->poison[news->n_poison++];
 
-	told->work = work;
-	told->key = 0;
+	told->fingerprint = work;
+	told->id_hash = 0;
 	told->started = 0;
 	told->age_ms = (uint32_t)MIN(age_ms, UINT32_MAX);
-	told->sign = MESH_CLEARED;
+	told->kind = MESH_POISON_CLEARED;
 	return (told);
 }
 
 /* Tells the ends of some work that are of a reach, or that it was cleared. */
 static void
-work_fill(const struct mesh *mesh, const struct poison_work *w, bool all,
-    struct mesh_news *news)
+work_fill(const struct mesh *mesh, const struct poison_request *w, bool all,
+    struct mesh_message *news)
 {
-	for (unsigned i = 0; i < w->n_ends; i++) {
-		const struct poison_end *end = &w->ends[i];
+	for (unsigned i = 0; i < w->n_crashes; i++) {
+		const struct poison_crash *end = &w->crashes[i];
 		struct mesh_poison *told;
 
-		if (!all && !reach_told(news->kind, end->reach))
+		if (!all && !reach_told(news->kind, end->origin))
 			continue;
-		told = news_add(news, w->work,
+		told = news_add(news, w->fingerprint,
 		    mesh->now_ms - MIN(end->at_ms, mesh->now_ms));
-		told->key = end->key;
+		told->id_hash = end->id_hash;
 		told->started = end->started;
-		told->sign = end->silent ? MESH_SILENT : MESH_BROKEN;
+		told->kind =
+		    end->silent ? MESH_POISON_SILENT : MESH_POISON_BROKEN;
 	}
-	if (w->n_ends == 0 && w->cleared_ms != 0 &&
-	    reach_told(news->kind, w->cleared_reach))
-		news_add(news, w->work, mesh->now_ms - w->cleared_ms);
+	if (w->n_crashes == 0 && w->cleared_ms != 0 &&
+	    reach_told(news->kind, w->cleared_origin))
+		news_add(news, w->fingerprint, mesh->now_ms - w->cleared_ms);
 }
 
 /* Tells of what changed lately, or of all, if it has ends enough. */
 static void
-fill_news(const struct mesh *mesh, struct mesh_news *news, bool all,
+fill_news(const struct mesh *mesh, struct mesh_message *news, bool all,
     unsigned least, unsigned most)
 {
-	const struct poison_work *w;
+	const struct poison_request *w;
 
-	TAILQ_FOREACH(w, &mesh->dir->poison.works, entry) {
-		if (w->n_ends < least || w->n_ends > most ||
+	TAILQ_FOREACH(w, &mesh->registry->poison.requests, entry) {
+		if (w->n_crashes < least || w->n_crashes > most ||
 		    (!all && mesh->now_ms - w->changed_ms >= news_ms(mesh)))
 			continue;
 		if (!has_room(news, MESH_POISON_MAX, w))
@@ -98,25 +99,25 @@
 
 /* Whether some work is told of long after it changed. */
 static bool
-told_again(const struct mesh *mesh, const struct poison_work *w)
+told_again(const struct mesh *mesh, const struct poison_request *w)
 {
 	uint64_t since = mesh->now_ms - w->changed_ms;
 
-	if (since < news_ms(mesh) || w->n_ends == 0)
+	if (since < news_ms(mesh) || w->n_crashes == 0)
 		return (false);
-	return (w->n_ends > 1 || since < SINGLE_TOLD_MS);
+	return (w->n_crashes > 1 || since < SINGLE_TOLD_MS);
 }
 
 /* Tells of some of the others, in turn. */
 static void
-fill_again(struct mesh *mesh, struct mesh_news *news)
+fill_again(struct mesh *mesh, struct mesh_message *news)
 {
 	unsigned *next = &mesh->poison_next[news->kind];
 	unsigned most = MIN(news->n_poison + AGAIN_MOST, MESH_POISON_MAX);
-	const struct poison_work *w;
+	const struct poison_request *w;
 	unsigned at = 0;
 
-	TAILQ_FOREACH(w, &mesh->dir->poison.works, entry) {
+	TAILQ_FOREACH(w, &mesh->registry->poison.requests, entry) {
 		if (!told_again(mesh, w))
 			continue;
 		if (!has_room(news, most, w))
@@ -138,13 +139,13 @@
  * innocent.
  */
 void
-mesh_fill_poison(struct mesh *mesh, struct mesh_news *news)
+mesh_fill_poison(struct mesh *mesh, struct mesh_message *news)
 {
-	uint64_t *told_ms = &mesh->poison_told_ms[news->kind];
+	uint64_t *told_ms = &mesh->poison_sent_ms[news->kind];
 	bool all = mesh->newcomer_ms != 0 &&
 	    mesh->now_ms - mesh->newcomer_ms < RELAY_NEWS_MS;
 
-	fill_news(mesh, news, all, 2, POISON_ENDS_MAX);
+	fill_news(mesh, news, all, 2, POISON_CRASHES_MAX);
 	fill_news(mesh, news, all, 0, 1);
 	if (all || (*told_ms != 0 && mesh->now_ms - *told_ms < AGAIN_MS))
 		return;
@@ -156,59 +157,60 @@
 static int
 told_level(const struct poison *poison, const struct mesh_poison *told)
 {
-	const struct poison_work *w = poison_find(poison, told->work);
+	const struct poison_request *w = poison_find(poison, told->fingerprint);
 
-	return (w != NULL && w->n_ends > 1 ? LOG_INFO : LOG_DEBUG);
+	return (w != NULL && w->n_crashes > 1 ? LOG_INFO : LOG_DEBUG);
 }
 
 /* Takes what a datagram tells of some work; true where it is news. */
 static bool
 take_poison(struct mesh *mesh, const struct mesh_peer *peer,
-    enum poison_reach reach, const struct mesh_poison *told)
+    enum poison_origin reach, const struct mesh_poison *told)
 {
-	struct poison *poison = &mesh->dir->poison;
+	struct poison *poison = &mesh->registry->poison;
 	uint64_t now = mesh->now_ms, at = now - MIN(told->age_ms, now - 1);
-	const struct poison_end end = {
-		.key = told->key,
+	const struct poison_crash end = {
+		.id_hash = told->id_hash,
 		.started = told->started,
 		.at_ms = at,
-		.silent = told->sign == MESH_SILENT,
-		.reach = reach,
+		.silent = told->kind == MESH_POISON_SILENT,
+		.origin = reach,
 	};
-	bool cleared = told->sign == MESH_CLEARED;
-	bool news = cleared ? poison_clear(poison, told->work, at, reach, now) :
-			      poison_told(poison, told->work, &end, now);
+	bool cleared = told->kind == MESH_POISON_CLEARED;
+	bool news = cleared ?
+	    poison_clear(poison, told->fingerprint, at, reach, now) :
+	    poison_add_crash(poison, told->fingerprint, &end, now);
 
 	/* A single end is a bystander's most often, and there are many. */
 	if (news)
 		event_log(told_level(poison, told), "work_told",
 		    "work=%08x sign=%s endpoint_key=%08x started=%08x "
 		    "age_ms=%u peer=%s",
-		    WORK_SHORT(told->work),
+		    FINGERPRINT_SHORT(told->fingerprint),
 		    cleared	   ? "cleared" :
 			end.silent ? "silent" :
 				     "broken",
-		    told->key, told->started, told->age_ms, peer->name);
+		    told->id_hash, told->started, told->age_ms, peer->name);
 	return (news);
 }
 
 /**
- * mesh_take_poison() - take in what a datagram tells of suspected work.
+ * mesh_apply_poison() - take in what a datagram tells of suspected work.
  * @mesh: the mesh
  * @peer: its sender
  * @news: the datagram
  */
 void
-mesh_take_poison(struct mesh *mesh, const struct mesh_peer *peer,
-    const struct mesh_news *news)
+mesh_apply_poison(struct mesh *mesh, const struct mesh_peer *peer,
+    const struct mesh_message *news)
 {
-	enum poison_reach reach =
-	    news->kind == MESH_REPORT ? POISON_CELL : POISON_FAR;
+	enum poison_origin reach =
+	    news->kind == MESH_REPORT ? POISON_CELL : POISON_REMOTE;
 	bool fresh = false;
 
 	for (uint32_t i = 0; i < news->n_poison; i++)
 		fresh |= take_poison(mesh, peer, reach, &news->poison[i]);
 	/* A relay tells news on at once. */
 	if (fresh && mesh->relay == NULL && !mesh_flat(mesh))
-		mesh_tell(mesh);
+		mesh_send(mesh);
 }
--- a/src/placer-adopt.c
+++ b/src/placer-adopt.c
@@ -49,7 +49,7 @@
 	const struct endpoint *ep;
 
 	replica_add_member(r, head->report.id, &head->report.address);
-	TAILQ_FOREACH(ep, &p->dir->fleet.endpoints, entry) {
+	TAILQ_FOREACH(ep, &p->registry->fleet.endpoints, entry) {
 		if (ep != head && g_strcmp0(ep->report.group, r->name) == 0 &&
 		    ep->report.epoch == r->epoch)
 			replica_add_member(r, ep->report.id,
@@ -57,8 +57,8 @@
 	}
 	replica_inherit(r, now_ms);
 	r->adopted = true;
-	r->doomed = "no_record";
-	r->doomed_ms = now_ms;
+	r->dissolve_reason = "no_record";
+	r->dissolving_ms = now_ms;
 	event_log(LOG_NOTICE, "group_adopted",
 	    "group=%s epoch=%lld head=%s state=%s hosts=%u", r->name,
 	    (long long)r->epoch, head->report.id,
@@ -80,7 +80,7 @@
 	return (report->group != NULL && report->rank == 0 &&
 	    report->state != GROUP_NONE && report->state != GROUP_BROKEN &&
 	    !placer_is_warm_group(report->group) &&
-	    report->epoch > ep->out_epoch);
+	    report->epoch > ep->excluded_epoch);
 }
 
 /**
@@ -96,7 +96,7 @@
 {
 	struct endpoint *ep;
 
-	TAILQ_FOREACH(ep, &p->dir->fleet.endpoints, entry) {
+	TAILQ_FOREACH(ep, &p->registry->fleet.endpoints, entry) {
 		if (ep->lapsed_ms == 0 && placer_is_active_head(ep) &&
 		    !group_has_record(p, ep->report.group) &&
 		    !entry_predates_dissolve(p, ep))
--- a/src/placer-call.c
+++ b/src/placer-call.c
@@ -106,10 +106,10 @@
 static void
 host_mark_gone(struct placer *p, const char *id)
 {
-	struct endpoint *ep = fleet_find(&p->dir->fleet, id);
+	struct endpoint *ep = fleet_find(&p->registry->fleet, id);
 
 	if (ep != NULL)
-		fleet_gone(ep);
+		endpoint_mark_gone(ep);
 }
 
 /* Updates a member from the result of an order to join. */
@@ -118,13 +118,13 @@
     uint64_t now_ms)
 {
 	if (result == ORDER_UNKNOWN)
-		m->late_until_ms = now_ms + REPLICA_LATE_MS;
+		m->late_join_until_ms = now_ms + REPLICA_LATE_ORDER_MS;
 	if (result == ORDER_FENCED)
-		m->refused = true;
+		m->join_fenced = true;
 	if (result != ORDER_TAKEN)
 		return;
 	m->joined = true;
-	m->unproven = false;
+	m->unverified = false;
 }
 
 /* Updates a member and its replica from the result of an order. */
@@ -152,8 +152,8 @@
     uint64_t now_ms)
 {
 	m->suspect_ms = now_ms;
-	m->doubt_ms = now_ms;
-	m->doubt = order;
+	m->unanswered_ms = now_ms;
+	m->unanswered_order = order;
 }
 
 static void
@@ -173,18 +173,18 @@
 	if (result == ORDER_OTHER)
 		host_mark_gone(p, call->id);
 	if (m != NULL) {
-		m->busy = false;
+		m->order_pending = false;
 		if (result == ORDER_UNKNOWN)
 			member_set_unanswered(m, call->order,
 			    clock_loop_ms(p->loop));
 		member_set_order_result(r, m, call->order, result,
 		    clock_loop_ms(p->loop));
 		if (result == ORDER_OTHER)
-			m->life = MEMBER_DEAD;
+			m->liveness = MEMBER_DEAD;
 		if (result == ORDER_FENCED && call->order != ORDER_JOIN)
 			placer_step_down(p, "fenced");
 	}
-	dir_follow_hurry(&p->dir->endpoints);
+	topic_follower_poll(&p->registry->endpoints);
 	placer_schedule_pass(p);
 	call_free(call);
 }
@@ -207,7 +207,7 @@
 static struct net_pool *
 member_pool(struct placer *p, const struct replica_member *m)
 {
-	struct endpoint *ep = fleet_find(&p->dir->fleet, m->id);
+	struct endpoint *ep = fleet_find(&p->registry->fleet, m->id);
 	struct net_pool *pool;
 	gint64 key;
 
@@ -218,7 +218,7 @@
 	if (pool == NULL) {
 		pool = g_new0(struct net_pool, 1);
 		net_pool_init(pool, p->loop, &m->address);
-		pool->source = p->dir->fleet.source;
+		pool->source = p->registry->fleet.source;
 		g_hash_table_insert(p->pools, g_memdup2(&key, sizeof key),
 		    pool);
 	}
@@ -251,16 +251,16 @@
 		order.members = ids;
 	}
 	call->order = kind;
-	m->order = kind;
+	m->last_order = kind;
 	m->ordered_ms = clock_loop_ms(p->loop);
 	/* If this daemon ends, the results of its orders are never logged. */
 	event_log(LOG_INFO, "order_given",
 	    "group=%s member=%s rank=%u order=%s epoch=%lld term=%lld", r->name,
 	    m->id, index, order_kind_name(kind), (long long)r->epoch,
 	    (long long)p->term);
-	m->busy = p->orders->send(member_pool(p, m), m->id, &order,
+	m->order_pending = p->orders->send(member_pool(p, m), m->id, &order,
 	    ORDER_TIMEOUT_MS, on_order_done, call);
-	if (!m->busy)
+	if (!m->order_pending)
 		call_free(call);
 }
 
@@ -269,13 +269,13 @@
 member_log_change(const struct replica *r, const struct replica_member *m,
     const struct replica_member *was, const struct endpoint_report *report)
 {
-	if (m->here == was->here && m->state == was->state &&
-	    m->elsewhere == was->elsewhere)
+	if (m->in_group == was->in_group && m->state == was->state &&
+	    m->in_newer_group == was->in_newer_group)
 		return;
 	event_log(LOG_INFO, "member_told",
 	    "group=%s member=%s here=%d state=%s reported_group=%s "
 	    "reported_epoch=%lld sequence=%lld started_ms=%lld",
-	    r->name, m->id, m->here, group_state_name(m->state),
+	    r->name, m->id, m->in_group, group_state_name(m->state),
 	    report->group != NULL ? report->group : "-",
 	    (long long)report->epoch, (long long)report->sequence,
 	    (long long)report->started_ms);
@@ -288,7 +288,7 @@
 {
 	struct replica_member was = *m;
 
-	replica_member_told(r, m, report, now_ms);
+	replica_member_set_answer(r, m, report, now_ms);
 	member_log_change(r, m, &was, report);
 }
 
@@ -303,18 +303,18 @@
 	if (answer == ANSWER_ABSENT)
 		host_mark_gone(call->placer, call->id);
 	if (m != NULL) {
-		m->asking = false;
+		m->ask_pending = false;
 		if (answer == ANSWER_REPORT)
 			member_set_report(r, m, report, now);
-		else if (m->silent_ms == 0)
-			m->silent_ms = call->sent_ms;
-		m->absent = answer == ANSWER_ABSENT;
+		else if (m->silent_since_ms == 0)
+			m->silent_since_ms = call->sent_ms;
+		m->address_reused = answer == ANSWER_ABSENT;
 		if (answer != ANSWER_REPORT)
 			event_log(LOG_INFO, "member_silent",
 			    "group=%s member=%s address_reused=%d "
 			    "silent_ms=%llu",
 			    call->group, call->id, answer == ANSWER_ABSENT,
-			    (unsigned long long)(now - m->silent_ms));
+			    (unsigned long long)(now - m->silent_since_ms));
 	}
 	call_free(call);
 }
@@ -333,14 +333,14 @@
 	uint64_t now = clock_loop_ms(p->loop);
 	struct placer_call *call;
 
-	if (m->asking || !placer_call_allowed(p) ||
+	if (m->ask_pending || !placer_call_allowed(p) ||
 	    (m->asked_ms != 0 && now - m->asked_ms < ASK_INTERVAL_MS))
 		return;
 	call = call_new(p, r, index);
 	m->asked_ms = now;
-	m->asking = p->orders->ask(member_pool(p, m), m->id, ASK_TIMEOUT_MS,
-	    on_report, call);
-	if (!m->asking)
+	m->ask_pending = p->orders->ask(member_pool(p, m), m->id,
+	    ASK_TIMEOUT_MS, on_report, call);
+	if (!m->ask_pending)
 		call_free(call);
 }
 
@@ -364,7 +364,7 @@
 static bool
 host_send_order(struct placer *p, const char *id, const struct order *order)
 {
-	struct endpoint *ep = fleet_find(&p->dir->fleet, id);
+	struct endpoint *ep = fleet_find(&p->registry->fleet, id);
 	struct placer_call *call = g_new0(struct placer_call, 1);
 
 	call->placer = p;
--- a/src/placer-form.c
+++ b/src/placer-form.c
@@ -4,7 +4,7 @@
 #include "event-log.h"
 #include "fwd-expect.h"
 #include "placer.h"
-#include "replica-form.h"
+#include "planner.h"
 
 /* Epochs available under one lease; for more, the lease must be taken anew. */
 #define EPOCHS_PER_TERM 100000
@@ -44,8 +44,8 @@
 static bool
 member_bound(const struct replica *r, unsigned i)
 {
-	return (
-	    r->doomed == NULL || i == 0 || !replica_member_out(&r->members[i]));
+	return (r->dissolve_reason == NULL || i == 0 ||
+	    !replica_member_released(&r->members[i]));
 }
 
 /* Maps the id of each host that is bound to a replica to its membership. */
@@ -114,15 +114,15 @@
 
 /* Adds the live hosts of a service to the view. */
 static void
-view_add_hosts(struct placer *p, const char *service, struct form_view *view,
+view_add_hosts(struct placer *p, const char *service, struct planner_view *view,
     uint64_t now_ms)
 {
 	g_autoptr(GHashTable) memberships = host_memberships(p);
 	g_autoptr(GHashTable) names = group_names(p);
 	struct endpoint *ep;
 
-	TAILQ_FOREACH(ep, &p->dir->fleet.endpoints, entry) {
-		struct form_host host = { 0 };
+	TAILQ_FOREACH(ep, &p->registry->fleet.endpoints, entry) {
+		struct planner_host host = { 0 };
 		const struct host_membership *membership;
 
 		if (strcmp(ep->report.service, service) != 0 || ep->gone ||
@@ -131,16 +131,16 @@
 		host.id = ep->report.id;
 		host.domain = ep->report.domain;
 		host.fabric = ep->report.fabric;
-		host.last = ep->memory;
+		host.loaded_model = ep->loaded_model;
 		host.staged = ep->report.staged;
-		host.staging = placer_copying(p, ep->report.id);
+		host.copying = placer_copying(p, ep->report.id);
 		host.warming = host_warming(p, ep->report.id, now_ms);
 		membership = g_hash_table_lookup(memberships, ep->report.id);
 		host.group = membership != NULL ? membership->replica : NULL;
 		host.free =
 		    membership == NULL && host_available(ep, names, now_ms);
-		host.soon = membership != NULL &&
-		    membership->member->life < MEMBER_SILENT &&
+		host.free_soon = membership != NULL &&
+		    membership->member->liveness < MEMBER_SILENT &&
 		    replica_ends_soon(membership->replica, now_ms);
 		g_array_append_val(view->hosts, host);
 	}
@@ -149,16 +149,16 @@
 /* Adds the replicas of a service that are not being dissolved to the view. */
 static void
 view_add_replicas(const struct placer *p, const char *service,
-    struct form_view *view)
+    struct planner_view *view)
 {
 	const struct replica *r;
 
 	TAILQ_FOREACH(r, &p->replicas, entry) {
 		const struct endpoint *head =
-		    fleet_find(&p->dir->fleet, r->members[0].id);
+		    fleet_find(&p->registry->fleet, r->members[0].id);
 
-		if (replica_wanted(r) && strcmp(r->service, service) == 0)
-			form_view_add_replica(view, r,
+		if (replica_active(r) && strcmp(r->service, service) == 0)
+			planner_view_add_replica(view, r,
 			    head != NULL ? head->report.domain : NULL,
 			    head != NULL ? head->report.fabric : NULL);
 	}
@@ -173,19 +173,21 @@
 
 /* Adds the replica of a plan and queues its record. */
 static void
-replica_add(struct placer *p, const char *service, const struct form_view *view,
-    const struct form_plan *plan, uint64_t now_ms)
+replica_add(struct placer *p, const char *service,
+    const struct planner_view *view, const struct replica_plan *plan,
+    uint64_t now_ms)
 {
 	int64_t epoch = next_epoch(p);
 	g_autofree char *name = g_strdup_printf("g%lld", (long long)epoch);
 	struct replica *r =
 	    replica_create(name, service, plan->model->name, epoch);
 
-	r->made_ms = now_ms;
+	r->known_ms = now_ms;
 	for (guint i = 0; i < plan->members->len; i++) {
 		guint index = g_array_index(plan->members, guint, i);
-		const struct form_host *h = form_host_at(view, index);
-		const struct endpoint *ep = fleet_find(&p->dir->fleet, h->id);
+		const struct planner_host *h = planner_host_at(view, index);
+		const struct endpoint *ep =
+		    fleet_find(&p->registry->fleet, h->id);
 
 		replica_add_member(r, h->id, &ep->report.address);
 	}
@@ -195,7 +197,8 @@
 	    "group=%s epoch=%lld model=%s hosts=%u loads=%u head=%s fabric=%s",
 	    name, (long long)epoch, r->model, r->n, plan->loads,
 	    r->members[0].id,
-	    form_host_at(view, g_array_index(plan->members, guint, 0))->fabric);
+	    planner_host_at(view, g_array_index(plan->members, guint, 0))
+		->fabric);
 	TAILQ_INSERT_TAIL(&p->replicas, r, entry);
 	placer_record_replica(p, r, false);
 }
@@ -205,16 +208,16 @@
  * store; returns whether one was formed.
  */
 static bool
-try_form(struct placer *p, const char *service, struct form_view *view,
+try_form(struct placer *p, const char *service, struct planner_view *view,
     unsigned loads, uint64_t now_ms)
 {
-	unsigned loads_free = view->loads;
-	struct form_plan plan = { 0 };
+	unsigned loads_free = view->loads_free;
+	struct replica_plan plan = { 0 };
 	bool formed;
 
-	view->loads = MIN(loads, loads_free);
-	formed = form_next(view, &plan);
-	view->loads = loads_free;
+	view->loads_free = MIN(loads, loads_free);
+	formed = planner_plan_replica(view, &plan);
+	view->loads_free = loads_free;
 	if (!formed)
 		return (false);
 	replica_add(p, service, view, &plan, now_ms);
@@ -224,14 +227,14 @@
 
 /* Has a host copy a model; returns whether one was chosen. */
 static bool
-try_copy(struct placer *p, struct form_view *view, uint64_t now_ms)
+try_copy(struct placer *p, struct planner_view *view, uint64_t now_ms)
 {
 	const struct model_profile *model;
-	const struct form_host *h = form_stage(view, &model);
+	const struct planner_host *h = planner_plan_copy(view, &model);
 
 	if (h == NULL)
 		return (false);
-	form_view_staging(view, h, model);
+	planner_view_set_copying(view, h, model);
 	event_log(LOG_NOTICE, "copy_planned",
 	    "host=%s model=%s fabric=%s free=%d", h->id, model->name, h->fabric,
 	    h->free);
@@ -241,10 +244,10 @@
 
 /* Has an idle host load a model into memory; returns whether one was chosen. */
 static bool
-try_warm(struct placer *p, struct form_view *view, uint64_t now_ms)
+try_warm(struct placer *p, struct planner_view *view, uint64_t now_ms)
 {
-	const struct model_profile *model = form_model(view, view->largest);
-	const struct form_host *h;
+	const struct model_profile *model = planner_model(view, view->largest);
+	const struct planner_host *h;
 	uint64_t until = now_ms + WARM_RETRY_MS;
 
 	/*
@@ -253,10 +256,10 @@
 	 */
 	if (p->store_busy || p->pending->len > 0)
 		return (false);
-	h = form_warm(view);
+	h = planner_plan_warming(view);
 	if (h == NULL)
 		return (false);
-	form_view_warming(view, h);
+	planner_view_set_warming(view, h);
 	event_log(LOG_INFO, "warming_planned", "host=%s model=%s fabric=%s",
 	    h->id, model->name, h->fabric);
 	g_hash_table_replace(p->warming, g_strdup(h->id),
@@ -270,9 +273,9 @@
  * whether there was one.
  */
 static bool
-try_donate(struct placer *p, const struct form_view *view, uint64_t now_ms)
+try_donate(struct placer *p, const struct planner_view *view, uint64_t now_ms)
 {
-	struct replica *donor = form_donor(view);
+	struct replica *donor = planner_find_donor(view);
 
 	if (donor == NULL)
 		return (false);
@@ -286,14 +289,14 @@
  * there was one.
  */
 static bool
-try_retire_surplus(struct placer *p, const struct form_view *view,
+try_retire_surplus(struct placer *p, const struct planner_view *view,
     uint64_t now_ms)
 {
-	struct replica *r = form_surplus(view);
+	struct replica *r = planner_find_surplus(view);
 
 	if (r == NULL)
 		return (false);
-	replica_give_up(r, now_ms);
+	replica_retire(r, now_ms);
 	placer_announce_dissolve(p, r, now_ms);
 	return (true);
 }
@@ -316,10 +319,10 @@
  * loads.
  */
 static enum step_result
-service_step(struct placer *p, const char *service, struct form_view *view,
+service_step(struct placer *p, const char *service, struct planner_view *view,
     uint64_t now_ms)
 {
-	unsigned loads = view->serving ? 0 : view->loads;
+	unsigned loads = view->serving ? 0 : view->loads_free;
 
 	if (try_form(p, service, view, loads, now_ms) ||
 	    (view->serving &&
@@ -330,7 +333,8 @@
 		return (STEP_NONE);
 	if (try_copy(p, view, now_ms))
 		return (STEP_PREPARED);
-	if (view->serving && try_form(p, service, view, view->loads, now_ms))
+	if (view->serving &&
+	    try_form(p, service, view, view->loads_free, now_ms))
 		return (STEP_CHANGED);
 	return (try_warm(p, view, now_ms) ? STEP_PREPARED : STEP_NONE);
 }
@@ -355,21 +359,21 @@
 /* Counts the requests of each model that run now, over all heads. */
 static void
 demand_sample_service(const struct placer *p, const char *service,
-    const struct form_view *view, struct form_seen *seen)
+    const struct planner_view *view, struct demand_sample *seen)
 {
 	const struct replica *r;
 
 	TAILQ_FOREACH(r, &p->replicas, entry) {
 		const struct endpoint *head =
-		    fleet_find(&p->dir->fleet, r->members[0].id);
+		    fleet_find(&p->registry->fleet, r->members[0].id);
 
-		struct form_seen *sample;
+		struct demand_sample *sample;
 
 		if (head == NULL || !r->opened ||
 		    strcmp(r->service, service) != 0)
 			continue;
-		sample = &seen[form_model_index(view, r->model)];
-		if (head->limit.holds) {
+		sample = &seen[planner_model_index(view, r->model)];
+		if (head->limit.active) {
 			sample->limited++;
 			continue;
 		}
@@ -383,44 +387,44 @@
  * the bound on the replicas of the largest model, the bound is recorded.
  */
 static void
-view_apply_demand(struct placer *p, const char *service, struct form_view *view,
-    uint64_t now_ms)
+view_apply_demand(struct placer *p, const char *service,
+    struct planner_view *view, uint64_t now_ms)
 {
-	struct form_demand *d = &placer_usage(p, service)->demand;
-	struct form_seen seen[FORM_MODELS_MAX] = { 0 };
-	unsigned old_max = d->most;
+	struct planner_demand *d = &placer_usage(p, service)->demand;
+	struct demand_sample seen[PLANNER_MODELS_MAX] = { 0 };
+	unsigned old_max = d->largest_max;
 
 	if (!p->served)
 		return;
 	/* A pass builds many views but counts the requests once. */
-	if (d->noted_ms != now_ms) {
+	if (d->updated_ms != now_ms) {
 		demand_sample_service(p, service, view, seen);
-		form_demand_note(d, view, seen, now_ms);
+		planner_demand_update(d, view, seen, now_ms);
 	}
-	form_demand_apply(d, view, now_ms);
-	if (d->most == old_max)
+	planner_demand_apply(d, view, now_ms);
+	if (d->largest_max == old_max)
 		return;
-	placer_record_bound(p, service, d->most);
+	placer_record_bound(p, service, d->largest_max);
 	event_log(LOG_NOTICE, "share_moved",
 	    "service=%s model=%s most=%u was=%u share=%.2f busy=%.1f", service,
-	    form_model(view, view->largest)->name, d->most, old_max,
-	    view->work[view->largest], d->busy[view->largest]);
+	    planner_model(view, view->largest)->name, d->largest_max, old_max,
+	    view->work_share[view->largest], d->busy_hosts[view->largest]);
 }
 
 /* Builds the planner's view of a service. */
 static void
 service_view_build(struct placer *p, const struct catalog_service *service,
-    struct form_view *view, uint64_t now_ms)
+    struct planner_view *view, uint64_t now_ms)
 {
-	form_view_init(view, service->engine);
+	planner_view_init(view, service->engine);
 	view_add_hosts(p, service->name, view, now_ms);
 	view_add_replicas(p, service->name, view);
-	form_view_count(view);
+	planner_view_count_hosts(view);
 	view_apply_demand(p, service->name, view, now_ms);
-	form_view_finish(view);
+	planner_view_set_targets(view);
 	view->serving = p->served;
-	view->settled = now_ms - p->grew_ms >= HOSTS_STABLE_MS;
-	view->loads = placer_loads_available(p, service->engine, now_ms);
+	view->hosts_stable = now_ms - p->grew_ms >= HOSTS_STABLE_MS;
+	view->loads_free = placer_loads_available(p, service->engine, now_ms);
 }
 
 /*
@@ -428,8 +432,8 @@
  * Returns whether to continue with a new view.
  */
 static bool
-service_run_steps(struct placer *p, const char *service, struct form_view *view,
-    unsigned *steps, uint64_t now_ms)
+service_run_steps(struct placer *p, const char *service,
+    struct planner_view *view, unsigned *steps, uint64_t now_ms)
 {
 	while (*steps > 0 && p->epochs_issued < EPOCHS_PER_TERM - 1) {
 		enum step_result result =
@@ -456,7 +460,7 @@
 	bool more, counted = false;
 
 	do {
-		struct form_view view;
+		struct planner_view view;
 
 		service_view_build(p, service, &view, now_ms);
 		if (!counted)
@@ -465,7 +469,7 @@
 		counted = true;
 		more =
 		    service_run_steps(p, service->name, &view, &steps, now_ms);
-		form_view_clear(&view);
+		planner_view_clear(&view);
 	} while (more);
 	return (steps == 0 || !placer_call_allowed(p));
 }
@@ -478,7 +482,7 @@
 void
 placer_form_replicas(struct placer *p, uint64_t now_ms)
 {
-	unsigned hosts = g_hash_table_size(p->dir->fleet.by_id);
+	unsigned hosts = g_hash_table_size(p->registry->fleet.by_id);
 	GHashTableIter iter;
 	gpointer value;
 
@@ -489,7 +493,7 @@
 		p->grew_ms = now_ms;
 	p->n_hosts = hosts;
 	p->unfinished = false;
-	g_hash_table_iter_init(&iter, p->dir->catalog->services);
+	g_hash_table_iter_init(&iter, p->registry->catalog->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct catalog_service *service = value;
 
--- a/src/placer-idle.c
+++ b/src/placer-idle.c
@@ -30,15 +30,16 @@
  * without a load from the weight store.
  */
 static unsigned
-fabric_hosts_with_model(const struct form_view *view, unsigned fabric,
+fabric_hosts_with_model(const struct planner_view *view, unsigned fabric,
     const struct model_profile *m)
 {
 	unsigned n = 0;
 
 	for (guint i = 0; i < view->hosts->len; i++) {
-		const struct form_host *h = form_host_at(view, i);
+		const struct planner_host *h = planner_host_at(view, i);
 
-		n += h->free && h->at == fabric && form_host_has(h, m);
+		n += h->free && h->fabric_index == fabric &&
+		    planner_host_has_model(h, m);
 	}
 	return (n);
 }
@@ -48,15 +49,16 @@
  * the weight store.
  */
 static bool
-host_can_form(const struct form_view *view, const struct form_host *h)
+host_can_form(const struct planner_view *view, const struct planner_host *h)
 {
 	const GPtrArray *models = view->engine->models;
 
 	for (guint i = 0; i < models->len; i++) {
 		const struct model_profile *m = models->pdata[i];
 
-		if (form_host_has(h, m) &&
-		    fabric_hosts_with_model(view, h->at, m) >= m->size)
+		if (planner_host_has_model(h, m) &&
+		    fabric_hosts_with_model(view, h->fabric_index, m) >=
+			m->size)
 			return (true);
 	}
 	return (false);
@@ -70,23 +72,23 @@
  * Return: the reason, as logged; a string constant.
  */
 const char *
-idle_reason(const struct form_view *view, const struct form_host *h)
+idle_reason(const struct planner_view *view, const struct planner_host *h)
 {
 	if (!h->free)
 		return ("unfit");
 	if (h->warming)
 		return ("warming");
-	if (h->staging != NULL)
+	if (h->copying != NULL)
 		return ("copying");
-	if (h->last == NULL && h->staged->len == 0)
+	if (h->loaded_model == NULL && h->staged->len == 0)
 		return ("no_copy");
 	return (host_can_form(view, h) ? "kept" : "alone");
 }
 
 /* Logs the use of a host if it has changed. */
 static void
-idle_log_host(struct idle_log *log, const struct form_view *view,
-    const struct form_host *h)
+idle_log_host(struct idle_log *log, const struct planner_view *view,
+    const struct planner_host *h)
 {
 	const char *reason = "in_replica";
 
@@ -99,9 +101,9 @@
 	    "host=%s fabric=%s use=%s model=%s memory=%s copy=%s copying=%s",
 	    h->id, h->fabric != NULL ? h->fabric : "-", reason,
 	    h->group != NULL ? h->group->model : "-",
-	    h->last != NULL ? h->last : "-",
+	    h->loaded_model != NULL ? h->loaded_model : "-",
 	    h->staged->len > 0 ? (char *)h->staged->pdata[0] : "-",
-	    h->staging != NULL ? h->staging : "-");
+	    h->copying != NULL ? h->copying : "-");
 }
 
 /**
@@ -110,8 +112,8 @@
  * @view: the planner's view of the service
  */
 void
-idle_log_update(struct idle_log *log, const struct form_view *view)
+idle_log_update(struct idle_log *log, const struct planner_view *view)
 {
 	for (guint i = 0; i < view->hosts->len; i++)
-		idle_log_host(log, view, form_host_at(view, i));
+		idle_log_host(log, view, planner_host_at(view, i));
 }
--- a/src/placer-idle.h
+++ b/src/placer-idle.h
@@ -2,7 +2,7 @@
 #ifndef BL_PLACER_IDLE_H
 #define BL_PLACER_IDLE_H
 
-#include "replica-form.h"
+#include "planner.h"
 
 /**
  * struct idle_log - the uses last logged for the hosts of a service.
@@ -14,7 +14,8 @@
 
 void idle_log_init(struct idle_log *);
 void idle_log_clear(struct idle_log *);
-const char *idle_reason(const struct form_view *, const struct form_host *);
-void idle_log_update(struct idle_log *, const struct form_view *);
+const char *idle_reason(const struct planner_view *,
+    const struct planner_host *);
+void idle_log_update(struct idle_log *, const struct planner_view *);
 
 #endif
--- a/src/placer-lease.c
+++ b/src/placer-lease.c
@@ -117,7 +117,7 @@
 	    g_strndup((const char *)record->value, record->length);
 	const char *service = record->key + strlen(BOUND_PREFIX);
 
-	placer_usage(p, service)->demand.most =
+	placer_usage(p, service)->demand.largest_max =
 	    (unsigned)g_ascii_strtoull(text, NULL, 10);
 }
 
@@ -232,7 +232,7 @@
 	p->mesh->held_term = p->term;
 	event_log(LOG_NOTICE, "placer_taken", "term=%lld end=%llu served=%d",
 	    (long long)p->term, (unsigned long long)p->end_offset, p->served);
-	mesh_tell_now(p->mesh);
+	mesh_send_now(p->mesh);
 }
 
 /* Writes the lease if nothing was written since the records were read. */
@@ -335,8 +335,8 @@
 	uint64_t wait;
 
 	if (p->store_busy || mesh->self.leaving || !mesh->self.store_ok ||
-	    p->dir->catalog == NULL || mesh->known_ms == 0 ||
-	    now_ms - MIN(mesh->known_ms, now_ms) < PEERS_WAIT_MS)
+	    p->registry->catalog == NULL || mesh->records_read_ms == 0 ||
+	    now_ms - MIN(mesh->records_read_ms, now_ms) < PEERS_WAIT_MS)
 		return (false);
 	if (mesh_placer_heard(mesh)) {
 		p->no_placer_ms = 0;
@@ -350,8 +350,8 @@
 		return (false);
 	/* The entries from other daemons lack the hosts that serve nothing. */
 	p->preparing = true;
-	dir_follow_set_reader(&p->dir->endpoints, true);
-	return (dir_follow_complete(&p->dir->endpoints));
+	topic_follower_set_reader(&p->registry->endpoints, true);
+	return (topic_follower_complete(&p->registry->endpoints));
 }
 
 /**
@@ -403,7 +403,7 @@
 {
 	if (p->state != PLACER_HOLDING)
 		return (false);
-	if (now_ms - p->verified_ms < REPLICA_OUTDONE_MS)
+	if (now_ms - p->verified_ms < REPLICA_LEASE_FRESH_MS)
 		return (true);
 	if (!p->store_busy)
 		p->store_busy = p->store->ops->read(p->store, TOPIC_PLACEMENT,
--- a/src/placer-stage.c
+++ b/src/placer-stage.c
@@ -82,7 +82,7 @@
 
 	g_hash_table_iter_init(&iter, p->copies);
 	while (g_hash_table_iter_next(&iter, &host, &value)) {
-		struct endpoint *ep = fleet_find(&p->dir->fleet, host);
+		struct endpoint *ep = fleet_find(&p->registry->fleet, host);
 
 		if (copy_in_progress(value, ep, now_ms))
 			copy_retry_order(p, host, value, now_ms);
@@ -102,7 +102,7 @@
 placer_copy_start(struct placer *p, const char *host,
     const struct model_profile *m, uint64_t now_ms)
 {
-	const struct endpoint *ep = fleet_find(&p->dir->fleet, host);
+	const struct endpoint *ep = fleet_find(&p->registry->fleet, host);
 	struct placer_copy *copy = g_new0(struct placer_copy, 1);
 
 	copy->started_ms = ep != NULL ? ep->report.started_ms : 0;
--- a/src/placer.c
+++ b/src/placer.c
@@ -46,10 +46,10 @@
 
 	for (unsigned i = 0; i < r->n; i++) {
 		const struct replica_member *m = &r->members[i];
-		bool unlisted =
-		    m->life == MEMBER_LAPSED || m->life == MEMBER_SILENT;
+		bool unlisted = m->liveness == MEMBER_LAPSED ||
+		    m->liveness == MEMBER_SILENT;
 
-		if (m->life != MEMBER_DEAD &&
+		if (m->liveness != MEMBER_DEAD &&
 		    (suspect || unlisted ||
 			suspicion_active(m->suspect_ms, now_ms)))
 			placer_ask_member(p, r, i);
@@ -66,18 +66,19 @@
 	event_log(LOG_NOTICE, "group_dissolved",
 	    "group=%s epoch=%lld model=%s reason=%s ms=%llu proof=%s head=%s "
 	    "head_state=%s reported_ms_ago=%llu",
-	    r->name, (long long)r->epoch, r->model, r->doomed,
-	    (unsigned long long)(now_ms - r->doomed_ms),
+	    r->name, (long long)r->epoch, r->model, r->dissolve_reason,
+	    (unsigned long long)(now_ms - r->dissolving_ms),
 	    replica_proof_name(proof), head->id, group_state_name(head->state),
-	    (unsigned long long)(now_ms - MIN(head->told_ms, now_ms)));
+	    (unsigned long long)(now_ms - MIN(head->last_report_ms, now_ms)));
 	for (unsigned i = 0; i < r->n; i++) {
 		const struct replica_member *m = &r->members[i];
 
-		if (m->doubt_ms != 0)
+		if (m->unanswered_ms != 0)
 			event_log(LOG_NOTICE, "order_in_doubt",
 			    "group=%s member=%s rank=%u order=%s ms_ago=%llu",
-			    r->name, m->id, i, order_kind_name(m->doubt),
-			    (unsigned long long)(now_ms - m->doubt_ms));
+			    r->name, m->id, i,
+			    order_kind_name(m->unanswered_order),
+			    (unsigned long long)(now_ms - m->unanswered_ms));
 	}
 }
 
@@ -89,10 +90,12 @@
 replica_mark_head_out(struct placer *p, const struct replica *r,
     enum replica_proof proof)
 {
-	struct endpoint *head = fleet_find(&p->dir->fleet, r->members[0].id);
+	struct endpoint *head =
+	    fleet_find(&p->registry->fleet, r->members[0].id);
 
-	if (head != NULL && proof != PROOF_MEMBERS && proof != PROOF_STALLED)
-		head->out_epoch = MAX(head->out_epoch, r->epoch);
+	if (head != NULL && proof != PROOF_MEMBERS_LEFT &&
+	    proof != PROOF_STALLED)
+		head->excluded_epoch = MAX(head->excluded_epoch, r->epoch);
 }
 
 /* Removes a dissolved replica and its record: its hosts are free. */
@@ -101,10 +104,10 @@
 {
 	for (unsigned i = 0; i < r->n; i++) {
 		struct endpoint *ep =
-		    fleet_find(&p->dir->fleet, r->members[i].id);
+		    fleet_find(&p->registry->fleet, r->members[i].id);
 
 		/* A dead host is no spare until its entry says otherwise. */
-		if (ep != NULL && r->members[i].life >= MEMBER_SILENT)
+		if (ep != NULL && r->members[i].liveness >= MEMBER_SILENT)
 			ep->unfit_until_ms = now_ms + SUSPECT_MS;
 	}
 	g_hash_table_replace(p->dissolved, g_strdup(r->name),
@@ -124,38 +127,40 @@
 void
 placer_announce_dissolve(struct placer *p, struct replica *r, uint64_t now_ms)
 {
-	struct endpoint *head = fleet_find(&p->dir->fleet, r->members[0].id);
+	struct endpoint *head =
+	    fleet_find(&p->registry->fleet, r->members[0].id);
 
 	event_log(LOG_NOTICE, "group_doomed",
 	    "group=%s epoch=%lld model=%s reason=%s", r->name,
-	    (long long)r->epoch, r->model, r->doomed);
+	    (long long)r->epoch, r->model, r->dissolve_reason);
 	if (head == NULL)
 		return;
 	head->warned_ms = now_ms;
-	head->rest_until_ms = MAX(head->rest_until_ms, now_ms + AVOID_HEAD_MS);
-	mesh_tell_now(p->mesh);
+	head->cooldown_until_ms =
+	    MAX(head->cooldown_until_ms, now_ms + AVOID_HEAD_MS);
+	mesh_send_now(p->mesh);
 }
 
 /* Updates one replica from what its members report and takes its next steps. */
 static void
 replica_update(struct placer *p, struct replica *r, uint64_t now_ms)
 {
-	bool was_open = r->opened, was_dissolving = r->doomed != NULL;
+	bool was_open = r->opened, was_dissolving = r->dissolve_reason != NULL;
 	struct replica_step step;
 
 	for (unsigned i = 0; i < r->n; i++)
-		replica_member_look(r, &r->members[i],
-		    fleet_find(&p->dir->fleet, r->members[i].id), now_ms);
+		replica_member_refresh(r, &r->members[i],
+		    fleet_find(&p->registry->fleet, r->members[i].id), now_ms);
 	replica_ask_members(p, r, now_ms);
 	for (unsigned orders = 0; orders < r->n; orders++) {
-		replica_next(r, now_ms, p->stall_ms, &step);
-		if (step.act == REPLICA_GONE) {
+		replica_next_step(r, now_ms, p->stall_ms, &step);
+		if (step.action == REPLICA_DISSOLVED) {
 			replica_log_dissolved(r, step.proof, now_ms);
 			replica_mark_head_out(p, r, step.proof);
 			replica_remove(p, r, now_ms);
 			return;
 		}
-		if (step.act != REPLICA_ORDER || !placer_call_allowed(p))
+		if (step.action != REPLICA_ORDER || !placer_call_allowed(p))
 			break;
 		placer_order_member(p, r, step.member, step.order);
 	}
@@ -163,10 +168,10 @@
 		event_log(LOG_NOTICE, "group_serves",
 		    "group=%s epoch=%lld model=%s ms=%llu", r->name,
 		    (long long)r->epoch, r->model,
-		    (unsigned long long)(now_ms - r->made_ms));
-	if (!was_dissolving && r->doomed != NULL)
+		    (unsigned long long)(now_ms - r->known_ms));
+	if (!was_dissolving && r->dissolve_reason != NULL)
 		placer_announce_dissolve(p, r, now_ms);
-	if (replica_settles(r, now_ms)) {
+	if (replica_can_settle(r, now_ms)) {
 		r->settled = true;
 		placer_record_replica(p, r, false);
 	}
@@ -179,7 +184,8 @@
 	const struct replica *r;
 
 	TAILQ_FOREACH(r, &p->replicas, entry) {
-		if (!r->opened || r->doomed != NULL || r->suspect_ms != 0)
+		if (!r->opened || r->dissolve_reason != NULL ||
+		    r->suspect_ms != 0)
 			return (true);
 	}
 	return (p->pending->len > 0 || p->unfinished);
@@ -220,12 +226,12 @@
 	if (p->state == PLACER_HOLDING && now - p->last_pass_ms > SUSPEND_MS)
 		p->verified_ms = 0;
 	p->last_pass_ms = now;
-	p->mesh->self.store_ok =
-	    p->dir->endpoints.synced && p->dir->endpoints.failures == 0;
-	if (mesh_lease_outdone(p->mesh))
+	p->mesh->self.store_ok = p->registry->endpoints.synced &&
+	    p->registry->endpoints.failures == 0;
+	if (mesh_lease_superseded(p->mesh))
 		placer_step_down(p, "taken_over");
 	placer_lease_poll(p, now);
-	if (p->state != PLACER_HOLDING || p->dir->catalog == NULL)
+	if (p->state != PLACER_HOLDING || p->registry->catalog == NULL)
 		return;
 	if (placer_changing(p) && !placer_lease_verified(p, now))
 		return;
@@ -241,7 +247,7 @@
 	placer_run_pass(p);
 	busy = p->state == PLACER_HOLDING && placer_changing(p);
 	if (busy)
-		dir_follow_hurry(&p->dir->endpoints);
+		topic_follower_poll(&p->registry->endpoints);
 	uv_timer_start(timer, on_timer, busy ? PASS_BUSY_MS : PASS_IDLE_MS, 0);
 }
 
@@ -284,7 +290,8 @@
 
 /**
  * placer_start() - initialize the placer and start its passes.
- * @p: the placer; @store, @dir, @mesh, @orders, @name and @stall_ms are set
+ * @p: the placer; @store, @registry, @mesh, @orders, @name and @stall_ms are
+ * set
  * @loop: the event loop
  */
 void
--- a/src/placer.h
+++ b/src/placer.h
@@ -46,7 +46,7 @@
  * struct placer - the placer of this daemon.
  * @loop: the event loop
  * @store: the store
- * @dir: registry of endpoints and configuration
+ * @registry: registry of endpoints and configuration
  * @mesh: the other daemons
  * @orders: the adapter's calls to hosts
  * @name: name of this daemon
@@ -89,7 +89,7 @@
 struct placer {
 	uv_loop_t *loop;
 	struct store *store;
-	struct dir *dir;
+	struct registry *registry;
 	struct mesh *mesh;
 	const struct order_ops *orders;
 	const char *name;
