--- a/src/placer-call.c
+++ b/src/placer-call.c
@@ -1,4 +1,4 @@
-/* Orders and queries to hosts, and the handling of their answers. */
+/* Orders and status requests to hosts, and the handling of their answers. */
 #include <string.h>
 
 #include "clock.h"
@@ -7,22 +7,22 @@
 
 /* An order without an answer within this time is sent again. */
 #define ORDER_TIMEOUT_MS 800
-/* A host that does not answer a query within this time is silent. */
+/* A host that does not answer a status request within this time is silent. */
 #define ASK_TIMEOUT_MS 250
 /*
- * Maximum number of orders and queries in flight: a fleet of hundreds of hosts
- * gets its orders within some tens of round trips, and no iteration of the
- * event loop takes long.
+ * Maximum number of orders and status requests in flight: a fleet of hundreds
+ * of hosts gets its orders within some tens of round trips, and no iteration of
+ * the event loop takes long.
  */
 #define CALLS_MAX 64
 /* Name prefix of groups of one host that only keeps a model in memory. */
 #define WARM_PREFIX "w"
-/* Minimum time between two queries to one host. */
+/* Minimum time between two status requests to one host. */
 #define ASK_INTERVAL_MS 300
 
 /*
- * An order or query in flight. The group is NULL for an order to a host outside
- * a replica.
+ * An order or status request in flight. The group is NULL for an order to a
+ * host outside a replica.
  */
 struct placer_call {
 	struct placer *placer;
@@ -75,7 +75,8 @@
 }
 
 /**
- * placer_call_allowed() - whether one more order or query may be sent now.
+ * placer_call_allowed() - whether one more order or status request may be sent
+ * now.
  * @p: the placer
  */
 bool
@@ -146,7 +147,7 @@
 		r->head_closed = true;
 }
 
-/* Marks a member that did not answer an order, so that it is queried. */
+/* Marks a member that did not answer an order, so that it is asked. */
 static void
 member_set_unanswered(struct replica_member *m, enum order_kind order,
     uint64_t now_ms)
@@ -281,7 +282,7 @@
 	    (long long)report->started_ms);
 }
 
-/* Updates a member from its answer to a query. */
+/* Updates a member from its answer to a status request. */
 static void
 member_set_report(struct replica *r, struct replica_member *m,
     const struct endpoint_report *report, uint64_t now_ms)
@@ -320,7 +321,7 @@
 }
 
 /**
- * placer_ask_member() - query a member for its report, at most once per
+ * placer_ask_member() - send a status request to a member, at most once per
  * ASK_INTERVAL_MS.
  * @p: the placer
  * @r: the replica
--- a/src/placer.c
+++ b/src/placer.c
@@ -36,7 +36,7 @@
 }
 
 /*
- * Asks members directly for their report while the replica is suspect, and
+ * Sends status requests to all members while the replica is suspect, and to
  * those that have no entry or did not answer an order.
  */
 static void
--- a/src/placer.h
+++ b/src/placer.h
@@ -78,7 +78,7 @@
  * @pools: connections to hosts whose entries have lapsed, by address
  * @preparing: it is this daemon's turn to take the lease; it reads all entries
  *	from the store before
- * @n_calls: number of orders and queries in flight
+ * @n_calls: number of orders and status requests in flight
  * @unfinished: the last pass left placement steps to the next
  * @pass_us: duration of the last pass, in us
  * @no_placer_ms: loop time since which no placer has been heard, in ms; 0 while
@@ -131,7 +131,7 @@
 void placer_announce_dissolve(struct placer *, struct replica *, uint64_t);
 bool placer_call_allowed(const struct placer *);
 
-/* placer-call.c: orders and queries to hosts. */
+/* placer-call.c: orders and status requests to hosts. */
 void placer_order_member(struct placer *, struct replica *, unsigned,
     enum order_kind);
 void placer_ask_member(struct placer *, struct replica *, unsigned);
