--- a/src/placer-adopt.c
+++ b/src/placer-adopt.c
@@ -1,38 +1,46 @@
-/* Groups that serve without a record: they are closed before any reuse. */
+/*
+ * Groups that serve but have no record: they are closed before their hosts are
+ * used again.
+ */
 #include <string.h>
 
 #include "event-log.h"
 #include "placer.h"
 
-/* Entries read this long after a group's end are newer than its end. */
-#define ENTRY_NEWER_MS 1500
+/*
+ * An entry that was read at least this long after a group was dissolved was
+ * written after that.
+ */
+#define ENTRY_LAG_MS 1500
 
 /* Whether a group has a record. */
 static bool
-group_known(const struct placer *k, const char *name)
+group_has_record(const struct placer *p, const char *name)
 {
 	const struct replica *r;
 
-	TAILQ_FOREACH(r, &k->replicas, entry) {
+	TAILQ_FOREACH(r, &p->replicas, entry) {
 		if (strcmp(r->name, name) == 0)
 			return (true);
 	}
 	return (false);
 }
 
-/* Whether an entry may date from before its group was dissolved here. */
+/* Whether an entry may be older than the end of its group. */
 static bool
-entry_old(const struct placer *k, const struct endpoint *ep)
+entry_predates_dissolve(const struct placer *p, const struct endpoint *ep)
 {
 	const uint64_t *ended =
-	    g_hash_table_lookup(k->dissolved, ep->report.group);
+	    g_hash_table_lookup(p->dissolved, ep->report.group);
 
-	return (ended != NULL && ep->seen_ms < *ended + ENTRY_NEWER_MS);
+	return (ended != NULL && ep->seen_ms < *ended + ENTRY_LAG_MS);
 }
 
-/* A replica, to be dissolved, of all that report a head's group. */
+/*
+ * Adds a replica of all hosts that report the group of a head, to be dissolved.
+ */
 static void
-adopt_head(struct placer *k, const struct endpoint *head, uint64_t now_ms)
+adopt_group(struct placer *p, const struct endpoint *head, uint64_t now_ms)
 {
 	struct replica *r =
 	    replica_create(head->report.group, head->report.service,
@@ -41,7 +49,7 @@
 	const struct endpoint *ep;
 
 	replica_add_member(r, head->report.id, &head->report.address);
-	TAILQ_FOREACH(ep, &k->registry->fleet.endpoints, entry) {
+	TAILQ_FOREACH(ep, &p->registry->fleet.endpoints, entry) {
 		if (ep != head && g_strcmp0(ep->report.group, r->name) == 0 &&
 		    ep->report.epoch == r->epoch)
 			replica_add_member(r, ep->report.id,
@@ -55,12 +63,13 @@
 	    "group=%s epoch=%lld head=%s state=%s hosts=%u", r->name,
 	    (long long)r->epoch, head->report.id,
 	    group_state_name(head->report.state), r->n);
-	TAILQ_INSERT_TAIL(&k->replicas, r, entry);
+	TAILQ_INSERT_TAIL(&p->replicas, r, entry);
 }
 
 /**
- * placer_is_active_head() - whether an endpoint is the head of a group that
- * serves, or would once an order to open comes late, as far as is known.
+ * placer_is_active_head() - whether an endpoint is, as far as is known, the
+ * head of a group that serves, or that would serve if an order to open arrived
+ * late.
  * @ep: the endpoint
  */
 bool
@@ -75,21 +84,22 @@
 }
 
 /**
- * placer_adopt_groups() - find heads of groups without a record.
- * @k: the placer
- * @now_ms: loop time
+ * placer_adopt_groups() - adopt groups that serve but have no record.
+ * @p: the placer
+ * @now_ms: loop time, in ms
  *
  * Such a group was dissolved while its head could not be reached. Its hosts
  * are free only once it has been closed.
  */
 void
-placer_adopt_groups(struct placer *k, uint64_t now_ms)
+placer_adopt_groups(struct placer *p, uint64_t now_ms)
 {
 	struct endpoint *ep;
 
-	TAILQ_FOREACH(ep, &k->registry->fleet.endpoints, entry) {
+	TAILQ_FOREACH(ep, &p->registry->fleet.endpoints, entry) {
 		if (ep->lapsed_ms == 0 && placer_is_active_head(ep) &&
-		    !group_known(k, ep->report.group) && !entry_old(k, ep))
-			adopt_head(k, ep, now_ms);
+		    !group_has_record(p, ep->report.group) &&
+		    !entry_predates_dissolve(p, ep))
+			adopt_group(p, ep, now_ms);
 	}
 }
--- a/src/placer-idle.c
+++ b/src/placer-idle.c
@@ -1,33 +1,36 @@
-/* Why hosts are in no replica: one line of the log for each change. */
+/* Logs why hosts are in no replica, one line for each change. */
 #include <string.h>
 
 #include "event-log.h"
 #include "placer-idle.h"
 
 /**
- * idle_log_init() - begin with nothing said.
- * @watch: the watch
+ * idle_log_init() - initialize a log state without any hosts.
+ * @log: the log state
  */
 void
-idle_log_init(struct idle_log *watch)
+idle_log_init(struct idle_log *log)
 {
-	watch->logged =
+	log->logged =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
 /**
- * idle_log_clear() - free what a watch holds.
- * @watch: the watch
+ * idle_log_clear() - free the contents of a log state.
+ * @log: the log state
  */
 void
-idle_log_clear(struct idle_log *watch)
+idle_log_clear(struct idle_log *log)
 {
-	g_hash_table_destroy(watch->logged);
+	g_hash_table_destroy(log->logged);
 }
 
-/* Free hosts of a fabric domain that can join a model without a load. */
+/*
+ * Counts the free hosts of a fabric domain that can join a replica of a model
+ * without a load from the weight store.
+ */
 static unsigned
-free_with(const struct planner_view *view, unsigned at,
+fabric_hosts_with_model(const struct planner_view *view, unsigned fabric,
     const struct model_profile *m)
 {
 	unsigned n = 0;
@@ -35,15 +38,18 @@
 	for (guint i = 0; i < view->hosts->len; i++) {
 		const struct planner_host *h = planner_host_at(view, i);
 
-		n += h->free && h->fabric_index == at &&
+		n += h->free && h->fabric_index == fabric &&
 		    planner_host_has_model(h, m);
 	}
 	return (n);
 }
 
-/* Whether a replica could form around a host without a load. */
+/*
+ * Whether a replica that includes the host can be formed without a load from
+ * the weight store.
+ */
 static bool
-host_has_company(const struct planner_view *view, const struct planner_host *h)
+host_can_form(const struct planner_view *view, const struct planner_host *h)
 {
 	const GPtrArray *models = view->engine->models;
 
@@ -51,18 +57,19 @@
 		const struct model_profile *m = models->pdata[i];
 
 		if (planner_host_has_model(h, m) &&
-		    free_with(view, h->fabric_index, m) >= m->size)
+		    fabric_hosts_with_model(view, h->fabric_index, m) >=
+			m->size)
 			return (true);
 	}
 	return (false);
 }
 
 /**
- * idle_reason() - why a host that is in no replica is in none.
- * @view: what the placer sees
- * @h: the host
+ * idle_reason() - why a host is in no replica.
+ * @view: the planner's view of the service
+ * @h: the host, which is in no replica
  *
- * Return: one word.
+ * Return: the reason, as logged; a string constant.
  */
 const char *
 idle_reason(const struct planner_view *view, const struct planner_host *h)
@@ -75,21 +82,21 @@
 		return ("copying");
 	if (h->loaded_model == NULL && h->staged->len == 0)
 		return ("no_copy");
-	return (host_has_company(view, h) ? "kept" : "alone");
+	return (host_can_form(view, h) ? "kept" : "alone");
 }
 
-/* Says why a host is idle, if that has changed. */
+/* Logs the use of a host if it has changed. */
 static void
-watch_host(struct idle_log *watch, const struct planner_view *view,
+idle_log_host(struct idle_log *log, const struct planner_view *view,
     const struct planner_host *h)
 {
 	const char *reason = "in_replica";
 
 	if (h->group == NULL)
 		reason = idle_reason(view, h);
-	if (g_hash_table_lookup(watch->logged, h->id) == reason)
+	if (g_hash_table_lookup(log->logged, h->id) == reason)
 		return;
-	g_hash_table_replace(watch->logged, g_strdup(h->id), (gpointer)reason);
+	g_hash_table_replace(log->logged, g_strdup(h->id), (gpointer)reason);
 	event_log(LOG_INFO, "host_use",
 	    "host=%s fabric=%s use=%s model=%s memory=%s copy=%s copying=%s",
 	    h->id, h->fabric != NULL ? h->fabric : "-", reason,
@@ -100,13 +107,13 @@
 }
 
 /**
- * idle_log_update() - say what hosts do that do something else than before.
- * @watch: the watch
- * @view: what the placer sees
+ * idle_log_update() - log each host whose use has changed.
+ * @log: the log state
+ * @view: the planner's view of the service
  */
 void
-idle_log_update(struct idle_log *watch, const struct planner_view *view)
+idle_log_update(struct idle_log *log, const struct planner_view *view)
 {
 	for (guint i = 0; i < view->hosts->len; i++)
-		watch_host(watch, view, planner_host_at(view, i));
+		idle_log_host(log, view, planner_host_at(view, i));
 }
--- a/src/placer-idle.h
+++ b/src/placer-idle.h
@@ -1,12 +1,12 @@
-/* Why hosts are in no replica: one line of the log for each change. */
+/* Logs why hosts are in no replica, one line for each change. */
 #ifndef BL_PLACER_IDLE_H
 #define BL_PLACER_IDLE_H
 
 #include "planner.h"
 
 /**
- * struct idle_log - what was last said of the idle hosts of a service.
- * @logged: host id to the reason last logged
+ * struct idle_log - the uses last logged for the hosts of a service.
+ * @logged: maps a host id to the use last logged for it
  */
 struct idle_log {
 	GHashTable *logged;
--- a/src/placer-stage.c
+++ b/src/placer-stage.c
@@ -1,36 +1,41 @@
-/* Copies of models that are being made, and loads that may begin. */
+/* Copies of models that are being made, and loads that may start. */
 #include <string.h>
 
 #include "placer.h"
 
-/* Loads are counted over this span; the platform's bound is over as much. */
+/* Loads are counted over this period; the platform's bound is over as long. */
 #define LOADS_WINDOW_MS 5000
-/* Part of the bound on loads that is used. */
-#define LOADS_SHARE 0.8
-/* Without a bound in the engine's profile. */
-#define LOADS_ANY 1000
-/* A copy with others beside it takes longer than one alone. */
-#define STAGE_FACTOR 1.5
-/* An order to copy that had no answer is given again after this; the time of
- * an answer is some milliseconds, and a repeat does nothing twice. */
-#define STAGE_AGAIN_MS 300
+/* Share of the platform's bound on loads that is used. */
+#define LOADS_USED_SHARE 0.8
+/* Number of loads that may start where none bounds them. */
+#define LOADS_UNLIMITED 1000
+/*
+ * Time allowed for a copy, as a multiple of the load time of the model: copies
+ * that are made at the same time slow each other down.
+ */
+#define COPY_TIME_FACTOR 1.5
+/*
+ * An order to copy that was not answered is sent again after this time. An
+ * answer takes some milliseconds, and a repeated order has no further effect.
+ */
+#define COPY_RETRY_MS 300
 
 /**
- * placer_copy_free() - free a copy that is being made.
+ * placer_copy_free() - free the state of a copy that is being made.
  * @data: the struct placer_copy
  */
 void
 placer_copy_free(void *data)
 {
-	struct placer_copy *stage = data;
+	struct placer_copy *copy = data;
 
-	g_free(stage->model);
-	g_free(stage);
+	g_free(copy->model);
+	g_free(copy);
 }
 
 /* Whether a host reports a copy of a model. */
 static bool
-report_staged(const struct endpoint_report *report, const char *model)
+report_has_copy(const struct endpoint_report *report, const char *model)
 {
 	for (guint i = 0; i < report->staged->len; i++) {
 		if (strcmp(report->staged->pdata[i], model) == 0)
@@ -39,140 +44,144 @@
 	return (false);
 }
 
-/* Whether a copy is still being made, as far as is known of its host. */
+/* Whether a copy may still be in progress, as far as is known of its host. */
 static bool
-stage_goes_on(const struct placer_copy *stage, const struct endpoint *ep,
+copy_in_progress(const struct placer_copy *copy, const struct endpoint *ep,
     uint64_t now_ms)
 {
 	if (ep == NULL || ep->gone || ep->draining || ep->lapsed_ms != 0 ||
-	    ep->report.started_ms != stage->started_ms)
+	    ep->report.started_ms != copy->started_ms)
 		return (false);
-	return (now_ms < stage->deadline_ms &&
-	    !report_staged(&ep->report, stage->model));
+	return (now_ms < copy->deadline_ms &&
+	    !report_has_copy(&ep->report, copy->model));
 }
 
-/* Gives an order again whose answer was lost. */
+/* Sends an order to copy again if it was not answered. */
 static void
-stage_again(struct placer *k, const char *host, struct placer_copy *stage,
+copy_retry_order(struct placer *p, const char *host, struct placer_copy *copy,
     uint64_t now_ms)
 {
-	if (stage->acknowledged || stage->order_pending ||
-	    now_ms - stage->ordered_ms < STAGE_AGAIN_MS)
+	if (copy->acknowledged || copy->order_pending ||
+	    now_ms - copy->ordered_ms < COPY_RETRY_MS)
 		return;
-	stage->ordered_ms = now_ms;
-	stage->order_pending = placer_order_stage(k, host, stage->model);
+	copy->ordered_ms = now_ms;
+	copy->order_pending = placer_order_stage(p, host, copy->model);
 }
 
 /**
- * placer_copies_update() - drop copies that were made or lost, ask again for
- * those whose order may not have arrived.
- * @k: the placer; its lease was checked just before
- * @now_ms: loop time
+ * placer_copies_update() - drop copies that are complete or lost, and repeat
+ * orders that may not have arrived.
+ * @p: the placer; its lease was verified just before
+ * @now_ms: loop time, in ms
  */
 void
-placer_copies_update(struct placer *k, uint64_t now_ms)
+placer_copies_update(struct placer *p, uint64_t now_ms)
 {
 	GHashTableIter iter;
 	gpointer host, value;
 
-	g_hash_table_iter_init(&iter, k->copies);
+	g_hash_table_iter_init(&iter, p->copies);
 	while (g_hash_table_iter_next(&iter, &host, &value)) {
-		struct endpoint *ep = fleet_find(&k->registry->fleet, host);
+		struct endpoint *ep = fleet_find(&p->registry->fleet, host);
 
-		if (stage_goes_on(value, ep, now_ms))
-			stage_again(k, host, value, now_ms);
+		if (copy_in_progress(value, ep, now_ms))
+			copy_retry_order(p, host, value, now_ms);
 		else
 			g_hash_table_iter_remove(&iter);
 	}
 }
 
 /**
- * placer_copy_start() - have a host copy a model beside its work.
- * @k: the placer
- * @host: the host
+ * placer_copy_start() - have a host copy a model beside its other work.
+ * @p: the placer
+ * @host: id of the host
  * @m: the model
- * @now_ms: loop time
+ * @now_ms: loop time, in ms
  */
 void
-placer_copy_start(struct placer *k, const char *host,
+placer_copy_start(struct placer *p, const char *host,
     const struct model_profile *m, uint64_t now_ms)
 {
-	const struct endpoint *ep = fleet_find(&k->registry->fleet, host);
-	struct placer_copy *stage = g_new0(struct placer_copy, 1);
-
-	stage->started_ms = ep != NULL ? ep->report.started_ms : 0;
-	stage->model = g_strdup(m->name);
-	stage->deadline_ms = now_ms + (uint64_t)(STAGE_FACTOR * m->load_ms);
-	stage->ordered_ms = now_ms;
-	g_hash_table_replace(k->copies, g_strdup(host), stage);
-	g_array_append_val(k->load_starts, now_ms);
-	stage->order_pending = placer_order_stage(k, host, m->name);
+	const struct endpoint *ep = fleet_find(&p->registry->fleet, host);
+	struct placer_copy *copy = g_new0(struct placer_copy, 1);
+
+	copy->started_ms = ep != NULL ? ep->report.started_ms : 0;
+	copy->model = g_strdup(m->name);
+	copy->deadline_ms = now_ms + (uint64_t)(COPY_TIME_FACTOR * m->load_ms);
+	copy->ordered_ms = now_ms;
+	g_hash_table_replace(p->copies, g_strdup(host), copy);
+	g_array_append_val(p->load_starts, now_ms);
+	copy->order_pending = placer_order_stage(p, host, m->name);
 }
 
 /**
- * placer_copy_answered() - a host answered the order to copy, or did not.
- * @k: the placer
- * @host: the host
- * @result: what it said
+ * placer_copy_answered() - handle the result of an order to copy.
+ * @p: the placer
+ * @host: id of the host
+ * @result: result of the order
  *
- * An order that does not fit meets a copy that is being made already.
+ * ORDER_UNFIT means that the host is making the copy already.
  */
 void
-placer_copy_answered(struct placer *k, const char *host,
+placer_copy_answered(struct placer *p, const char *host,
     enum order_result result)
 {
-	struct placer_copy *stage = g_hash_table_lookup(k->copies, host);
+	struct placer_copy *copy = g_hash_table_lookup(p->copies, host);
 
-	if (stage == NULL)
+	if (copy == NULL)
 		return;
-	stage->order_pending = false;
+	copy->order_pending = false;
 	if (result == ORDER_TAKEN || result == ORDER_UNFIT)
-		stage->acknowledged = true;
+		copy->acknowledged = true;
 	else if (result != ORDER_UNKNOWN)
-		g_hash_table_remove(k->copies, host);
+		g_hash_table_remove(p->copies, host);
 }
 
 /**
  * placer_copying() - the model that is being copied to a host.
- * @k: the placer
- * @host: the host
+ * @p: the placer
+ * @host: id of the host
  *
- * Return: its name, or NULL.
+ * Return: name of the model, or NULL.
  */
 const char *
-placer_copying(const struct placer *k, const char *host)
+placer_copying(const struct placer *p, const char *host)
 {
-	const struct placer_copy *stage = g_hash_table_lookup(k->copies, host);
+	const struct placer_copy *copy = g_hash_table_lookup(p->copies, host);
 
-	return (stage != NULL ? stage->model : NULL);
+	return (copy != NULL ? copy->model : NULL);
 }
 
 /**
- * placer_loads_available() - loads that may begin now.
- * @k: the placer
- * @e: the engine's profile
- * @now_ms: loop time
+ * placer_loads_available() - number of loads from the weight store that may
+ * start now.
+ * @p: the placer
+ * @e: the engine profile
+ * @now_ms: loop time, in ms
  */
 unsigned
-placer_loads_available(struct placer *k, const struct engine_profile *e,
+placer_loads_available(struct placer *p, const struct engine_profile *e,
     uint64_t now_ms)
 {
-	double most = e->loads_per_s * LOADS_WINDOW_MS / 1000 * LOADS_SHARE;
-	unsigned staging = g_hash_table_size(k->copies);
+	double max_loads =
+	    e->loads_per_s * LOADS_WINDOW_MS / 1000 * LOADS_USED_SHARE;
+	unsigned n_copies = g_hash_table_size(p->copies);
 
-	while (k->load_starts->len > 0 &&
-	    now_ms - g_array_index(k->load_starts, uint64_t, 0) >=
+	while (p->load_starts->len > 0 &&
+	    now_ms - g_array_index(p->load_starts, uint64_t, 0) >=
 		LOADS_WINDOW_MS)
-		g_array_remove_index(k->load_starts, 0);
+		g_array_remove_index(p->load_starts, 0);
 	if (e->loads_per_s <= 0)
-		return (LOADS_ANY);
-	/* Before the first request loads are quick, don't slow each other down
-	 * (40 at once took as long as one) and are not counted. */
-	if (!k->served)
-		return (LOADS_ANY);
-	/* More at once only slow each other down. */
-	if (staging >= e->loads_at_once || k->load_starts->len >= most)
+		return (LOADS_UNLIMITED);
+	/*
+	 * Before the first request loads are quick, do not slow each other down
+	 * (40 at once took as long as one) and are not counted.
+	 */
+	if (!p->served)
+		return (LOADS_UNLIMITED);
+	/* More loads at once would only slow each other down. */
+	if (n_copies >= e->loads_at_once || p->load_starts->len >= max_loads)
 		return (0);
-	return (MIN(e->loads_at_once - staging,
-	    (unsigned)(most - k->load_starts->len)));
+	return (MIN(e->loads_at_once - n_copies,
+	    (unsigned)(max_loads - p->load_starts->len)));
 }
--- a/src/placer.c
+++ b/src/placer.c
@@ -1,41 +1,48 @@
-/* The placer: one daemon at a time keeps the replicas of all services. */
+/*
+ * The placer: forms and dissolves the replicas of all services. One daemon at
+ * a time is the placer, by a lease in the store. In regular passes it compares
+ * the replicas with what hosts report and takes the steps that are due.
+ */
 #include <string.h>
 
 #include "clock.h"
 #include "event-log.h"
 #include "placer.h"
 
-/* How often the placer looks while groups change, and otherwise. */
-#define LOOK_BUSY_MS 150
-#define LOOK_CALM_MS 300
-/* After a change, so that a burst of them is looked at once; and at least so
- * many times what a look takes, so that looking leaves room for the rest. */
-#define LOOK_SOON_MS 10
-#define LOOK_SOON_TIMES 4
-/* A look that takes longer is said: nothing else runs meanwhile. */
-#define LOOK_SLOW_US 50000
-/* How long a suspicion keeps its replica under question. */
+/* Time between two passes while replicas change, and otherwise. */
+#define PASS_BUSY_MS 150
+#define PASS_IDLE_MS 300
+/*
+ * Delay of an early pass after a change, so that a burst of changes takes one
+ * pass. It is at least this many times as long as the last pass, so that passes
+ * leave time for the other work of the event loop.
+ */
+#define WAKEUP_DELAY_MS 10
+#define WAKEUP_PASS_FACTOR 4
+/* A longer pass is logged: nothing else runs on the event loop meanwhile. */
+#define PASS_SLOW_US 50000
+/* How long a replica or member stays suspect. */
 #define SUSPECT_MS 3000
-/* How long the head of a replica that is dissolved gets nothing new. */
-#define AVOID_DOOMED_MS 2500
-/* A look this late means that this process stood still. */
-#define PAUSE_MS 1000
+/* How long the head of a replica that is being dissolved gets no requests. */
+#define AVOID_HEAD_MS 2500
+/* A longer time between two passes means that this process was suspended. */
+#define SUSPEND_MS 1000
 
-/* Whether a suspicion still counts. */
+/* Whether a suspicion is still in force. */
 static bool
-suspect_at(uint64_t suspect_ms, uint64_t now_ms)
+suspicion_active(uint64_t suspect_ms, uint64_t now_ms)
 {
 	return (suspect_ms != 0 && now_ms - suspect_ms < SUSPECT_MS);
 }
 
 /*
- * Asks members directly while a replica is suspect, or a member has no entry
- * or left an order unanswered.
+ * Sends status requests to all members while the replica is suspect, and to
+ * those that have no entry or did not answer an order.
  */
 static void
-replica_ask(struct placer *k, struct replica *r, uint64_t now_ms)
+replica_ask_members(struct placer *p, struct replica *r, uint64_t now_ms)
 {
-	bool suspect = suspect_at(r->suspect_ms, now_ms);
+	bool suspect = suspicion_active(r->suspect_ms, now_ms);
 
 	for (unsigned i = 0; i < r->n; i++) {
 		const struct replica_member *m = &r->members[i];
@@ -43,21 +50,22 @@
 		    m->liveness == MEMBER_SILENT;
 
 		if (m->liveness != MEMBER_DEAD &&
-		    (suspect || unlisted || suspect_at(m->suspect_ms, now_ms)))
-			placer_ask_member(k, r, i);
+		    (suspect || unlisted ||
+			suspicion_active(m->suspect_ms, now_ms)))
+			placer_ask_member(p, r, i);
 	}
 }
 
-/* Says why the hosts of a group are free, and what that rests on. */
+/* Logs that a group is dissolved, and why its hosts are free. */
 static void
-replica_log_end(const struct replica *r, enum replica_proof proof,
+replica_log_dissolved(const struct replica *r, enum replica_proof proof,
     uint64_t now_ms)
 {
 	const struct replica_member *head = &r->members[0];
 
 	event_log(LOG_NOTICE, "group_dissolved",
 	    "group=%s epoch=%lld model=%s reason=%s ms=%llu proof=%s head=%s "
-	    "head_state=%s told_ms_ago=%llu",
+	    "head_state=%s reported_ms_ago=%llu",
 	    r->name, (long long)r->epoch, r->model, r->dissolve_reason,
 	    (unsigned long long)(now_ms - r->dissolving_ms),
 	    replica_proof_name(proof), head->id, group_state_name(head->state),
@@ -74,51 +82,53 @@
 	}
 }
 
-/* The head of a group that ends is out of it, unless it can't be reached. */
+/*
+ * Notes that the head of a dissolved group is out of it, unless the group was
+ * dissolved by a proof that covers a head that cannot be reached.
+ */
 static void
-replica_note_out(struct placer *k, const struct replica *r,
+replica_mark_head_out(struct placer *p, const struct replica *r,
     enum replica_proof proof)
 {
 	struct endpoint *head =
-	    fleet_find(&k->registry->fleet, r->members[0].id);
+	    fleet_find(&p->registry->fleet, r->members[0].id);
 
 	if (head != NULL && proof != PROOF_MEMBERS_LEFT &&
 	    proof != PROOF_STALLED)
 		head->excluded_epoch = MAX(head->excluded_epoch, r->epoch);
 }
 
-/* Ends a replica: its hosts are free from now on. */
+/* Removes a dissolved replica and its record: its hosts are free. */
 static void
-replica_end(struct placer *k, struct replica *r, uint64_t now_ms)
+replica_remove(struct placer *p, struct replica *r, uint64_t now_ms)
 {
 	for (unsigned i = 0; i < r->n; i++) {
 		struct endpoint *ep =
-		    fleet_find(&k->registry->fleet, r->members[i].id);
+		    fleet_find(&p->registry->fleet, r->members[i].id);
 
 		/* A dead host is no spare until its entry says otherwise. */
 		if (ep != NULL && r->members[i].liveness >= MEMBER_SILENT)
 			ep->unfit_until_ms = now_ms + SUSPECT_MS;
 	}
-	g_hash_table_replace(k->dissolved, g_strdup(r->name),
+	g_hash_table_replace(p->dissolved, g_strdup(r->name),
 	    g_memdup2(&now_ms, sizeof now_ms));
-	placer_record_replica(k, r, true);
-	TAILQ_REMOVE(&k->replicas, r, entry);
+	placer_record_replica(p, r, true);
+	TAILQ_REMOVE(&p->replicas, r, entry);
 	replica_free(r);
 }
 
 /**
- * placer_announce_dissolve() - a replica is about to be dissolved.
- * @k: the placer
+ * placer_announce_dissolve() - log that a replica is being dissolved, and have
+ * all daemons avoid its head.
+ * @p: the placer
  * @r: the replica
- * @now_ms: loop time
- *
- * Has all daemons avoid its head.
+ * @now_ms: loop time, in ms
  */
 void
-placer_announce_dissolve(struct placer *k, struct replica *r, uint64_t now_ms)
+placer_announce_dissolve(struct placer *p, struct replica *r, uint64_t now_ms)
 {
 	struct endpoint *head =
-	    fleet_find(&k->registry->fleet, r->members[0].id);
+	    fleet_find(&p->registry->fleet, r->members[0].id);
 
 	event_log(LOG_NOTICE, "group_doomed",
 	    "group=%s epoch=%lld model=%s reason=%s", r->name,
@@ -127,193 +137,198 @@
 		return;
 	head->warned_ms = now_ms;
 	head->cooldown_until_ms =
-	    MAX(head->cooldown_until_ms, now_ms + AVOID_DOOMED_MS);
-	mesh_send_now(k->mesh);
+	    MAX(head->cooldown_until_ms, now_ms + AVOID_HEAD_MS);
+	mesh_send_now(p->mesh);
 }
 
-/* Looks at one replica and takes its next steps. */
+/* Updates one replica from what its members report and takes its next steps. */
 static void
-replica_look(struct placer *k, struct replica *r, uint64_t now_ms)
+replica_update(struct placer *p, struct replica *r, uint64_t now_ms)
 {
-	bool was_open = r->opened, was_doomed = r->dissolve_reason != NULL;
+	bool was_open = r->opened, was_dissolving = r->dissolve_reason != NULL;
 	struct replica_step step;
 
 	for (unsigned i = 0; i < r->n; i++)
 		replica_member_refresh(r, &r->members[i],
-		    fleet_find(&k->registry->fleet, r->members[i].id), now_ms);
-	replica_ask(k, r, now_ms);
-	for (unsigned turn = 0; turn < r->n; turn++) {
-		replica_next_step(r, now_ms, k->stall_ms, &step);
+		    fleet_find(&p->registry->fleet, r->members[i].id), now_ms);
+	replica_ask_members(p, r, now_ms);
+	for (unsigned orders = 0; orders < r->n; orders++) {
+		replica_next_step(r, now_ms, p->stall_ms, &step);
 		if (step.action == REPLICA_DISSOLVED) {
-			replica_log_end(r, step.proof, now_ms);
-			replica_note_out(k, r, step.proof);
-			replica_end(k, r, now_ms);
+			replica_log_dissolved(r, step.proof, now_ms);
+			replica_mark_head_out(p, r, step.proof);
+			replica_remove(p, r, now_ms);
 			return;
 		}
-		if (step.action != REPLICA_ORDER || !placer_call_allowed(k))
+		if (step.action != REPLICA_ORDER || !placer_call_allowed(p))
 			break;
-		placer_order_member(k, r, step.member, step.order);
+		placer_order_member(p, r, step.member, step.order);
 	}
 	if (!was_open && r->opened)
 		event_log(LOG_NOTICE, "group_serves",
 		    "group=%s epoch=%lld model=%s ms=%llu", r->name,
 		    (long long)r->epoch, r->model,
 		    (unsigned long long)(now_ms - r->known_ms));
-	if (!was_doomed && r->dissolve_reason != NULL)
-		placer_announce_dissolve(k, r, now_ms);
+	if (!was_dissolving && r->dissolve_reason != NULL)
+		placer_announce_dissolve(p, r, now_ms);
 	if (replica_can_settle(r, now_ms)) {
 		r->settled = true;
-		placer_record_replica(k, r, false);
+		placer_record_replica(p, r, false);
 	}
 }
 
-/* Whether any replica is changing, or should be. */
+/* Whether any replica is changing or suspect, or work is left to do. */
 static bool
-placer_changing(const struct placer *k)
+placer_changing(const struct placer *p)
 {
 	const struct replica *r;
 
-	TAILQ_FOREACH(r, &k->replicas, entry) {
+	TAILQ_FOREACH(r, &p->replicas, entry) {
 		if (!r->opened || r->dissolve_reason != NULL ||
 		    r->suspect_ms != 0)
 			return (true);
 	}
-	return (k->pending->len > 0 || k->unfinished);
+	return (p->pending->len > 0 || p->unfinished);
 }
 
-/* Looks at all replicas and at what could be formed. */
+/* Runs one pass over all replicas and services while the lease is held. */
 static void
-placer_holder_pass(struct placer *k, uint64_t now_ms)
+placer_holder_pass(struct placer *p, uint64_t now_ms)
 {
-	uint64_t began = clock_now_us();
+	uint64_t began_us = clock_now_us();
 	struct replica *r, *next;
 
-	for (r = TAILQ_FIRST(&k->replicas); r != NULL; r = next) {
+	for (r = TAILQ_FIRST(&p->replicas); r != NULL; r = next) {
 		next = TAILQ_NEXT(r, entry);
-		replica_look(k, r, now_ms);
+		replica_update(p, r, now_ms);
 	}
-	placer_adopt_groups(k, now_ms);
-	placer_form_replicas(k, now_ms);
-	placer_flush_records(k);
-	k->pass_us = clock_now_us() - began;
-	if (k->pass_us >= LOOK_SLOW_US)
+	placer_adopt_groups(p, now_ms);
+	placer_form_replicas(p, now_ms);
+	placer_flush_records(p);
+	p->pass_us = clock_now_us() - began_us;
+	if (p->pass_us >= PASS_SLOW_US)
 		event_log(LOG_NOTICE, "look_slow", "us=%llu calls=%u hosts=%u",
-		    (unsigned long long)k->pass_us, k->n_calls, k->n_hosts);
+		    (unsigned long long)p->pass_us, p->n_calls, p->n_hosts);
 }
 
 /**
- * placer_run_pass() - look at everything once.
- * @k: the placer
+ * placer_run_pass() - run one pass.
+ * @p: the placer
+ *
+ * Takes the lease if it is this daemon's turn, and updates all replicas while
+ * this daemon holds it.
  */
 void
-placer_run_pass(struct placer *k)
+placer_run_pass(struct placer *p)
 {
-	uint64_t now = clock_loop_ms(k->loop);
+	uint64_t now = clock_loop_ms(p->loop);
 
-	if (k->state == PLACER_HOLDING && now - k->last_pass_ms > PAUSE_MS)
-		k->verified_ms = 0;
-	k->last_pass_ms = now;
-	k->mesh->self.store_ok = k->registry->endpoints.synced &&
-	    k->registry->endpoints.failures == 0;
-	if (mesh_lease_superseded(k->mesh))
-		placer_step_down(k, "taken_over");
-	placer_lease_poll(k, now);
-	if (k->state != PLACER_HOLDING || k->registry->catalog == NULL)
+	if (p->state == PLACER_HOLDING && now - p->last_pass_ms > SUSPEND_MS)
+		p->verified_ms = 0;
+	p->last_pass_ms = now;
+	p->mesh->self.store_ok = p->registry->endpoints.synced &&
+	    p->registry->endpoints.failures == 0;
+	if (mesh_lease_superseded(p->mesh))
+		placer_step_down(p, "taken_over");
+	placer_lease_poll(p, now);
+	if (p->state != PLACER_HOLDING || p->registry->catalog == NULL)
 		return;
-	if (placer_changing(k) && !placer_lease_verified(k, now))
+	if (placer_changing(p) && !placer_lease_verified(p, now))
 		return;
-	placer_holder_pass(k, now);
+	placer_holder_pass(p, now);
 }
 
 static void
 on_timer(uv_timer_t *timer)
 {
-	struct placer *k = timer->data;
+	struct placer *p = timer->data;
 	bool busy;
 
-	placer_run_pass(k);
-	busy = k->state == PLACER_HOLDING && placer_changing(k);
+	placer_run_pass(p);
+	busy = p->state == PLACER_HOLDING && placer_changing(p);
 	if (busy)
-		topic_follower_poll(&k->registry->endpoints);
-	uv_timer_start(timer, on_timer, busy ? LOOK_BUSY_MS : LOOK_CALM_MS, 0);
+		topic_follower_poll(&p->registry->endpoints);
+	uv_timer_start(timer, on_timer, busy ? PASS_BUSY_MS : PASS_IDLE_MS, 0);
 }
 
 static void
-on_soon(uv_timer_t *timer)
+on_wakeup(uv_timer_t *timer)
 {
 	placer_run_pass(timer->data);
 }
 
 /**
- * placer_schedule_pass() - look before the time, something changed.
- * @k: the placer
+ * placer_schedule_pass() - schedule an early pass after a change.
+ * @p: the placer
  */
 void
-placer_schedule_pass(struct placer *k)
+placer_schedule_pass(struct placer *p)
 {
-	if (k->state != PLACER_HOLDING || !placer_changing(k) ||
-	    uv_is_active((uv_handle_t *)&k->wakeup))
+	if (p->state != PLACER_HOLDING || !placer_changing(p) ||
+	    uv_is_active((uv_handle_t *)&p->wakeup))
 		return;
-	uv_timer_start(&k->wakeup, on_soon,
-	    MAX(LOOK_SOON_MS, k->pass_us * LOOK_SOON_TIMES / 1000), 0);
+	uv_timer_start(&p->wakeup, on_wakeup,
+	    MAX(WAKEUP_DELAY_MS, p->pass_us * WAKEUP_PASS_FACTOR / 1000), 0);
 }
 
 /**
- * placer_suspect() - an endpoint's streams fell silent.
- * @k: the placer
+ * placer_suspect() - mark the replica suspect whose head is an endpoint, since
+ * the endpoint's streams have fallen silent.
+ * @p: the placer
  * @ep: the endpoint
  */
 void
-placer_suspect(struct placer *k, const struct endpoint *ep)
+placer_suspect(struct placer *p, const struct endpoint *ep)
 {
 	struct replica *r;
 
-	TAILQ_FOREACH(r, &k->replicas, entry) {
+	TAILQ_FOREACH(r, &p->replicas, entry) {
 		if (strcmp(r->members[0].id, ep->report.id) == 0)
-			r->suspect_ms = clock_loop_ms(k->loop);
+			r->suspect_ms = clock_loop_ms(p->loop);
 	}
 }
 
 /**
- * placer_start() - begin to look.
- * @k: the placer; store, dir, mesh, orders and name are filled in
+ * placer_start() - initialize the placer and start its passes.
+ * @p: the placer; @store, @registry, @mesh, @orders, @name and @stall_ms are
+ * set
  * @loop: the event loop
  */
 void
-placer_start(struct placer *k, uv_loop_t *loop)
+placer_start(struct placer *p, uv_loop_t *loop)
 {
-	k->loop = loop;
-	k->pending = g_array_new(FALSE, TRUE, sizeof(struct store_record));
-	g_array_set_clear_func(k->pending, store_record_clear);
-	k->load_starts = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	k->copies = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+	p->loop = loop;
+	p->pending = g_array_new(FALSE, TRUE, sizeof(struct store_record));
+	g_array_set_clear_func(p->pending, store_record_clear);
+	p->load_starts = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	p->copies = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 	    placer_copy_free);
-	k->warming =
+	p->warming =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	k->usage = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+	p->usage = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 	    service_usage_free);
-	k->dissolved =
+	p->dissolved =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	k->pools =
+	p->pools =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-	TAILQ_INIT(&k->replicas);
-	uv_timer_init(loop, &k->timer);
-	k->timer.data = k;
-	uv_timer_init(loop, &k->wakeup);
-	k->wakeup.data = k;
-	uv_timer_start(&k->timer, on_timer, LOOK_BUSY_MS, 0);
+	TAILQ_INIT(&p->replicas);
+	uv_timer_init(loop, &p->timer);
+	p->timer.data = p;
+	uv_timer_init(loop, &p->wakeup);
+	p->wakeup.data = p;
+	uv_timer_start(&p->timer, on_timer, PASS_BUSY_MS, 0);
 }
 
 /**
- * placer_stop() - stop placing, for another daemon to take over.
- * @k: the placer
+ * placer_stop() - stop the passes, so that another daemon can take over.
+ * @p: the placer
  */
 void
-placer_stop(struct placer *k)
+placer_stop(struct placer *p)
 {
-	if (k->state == PLACER_HOLDING)
-		placer_step_down(k, "leaving");
-	k->state = PLACER_IDLE;
-	uv_timer_stop(&k->timer);
-	uv_timer_stop(&k->wakeup);
+	if (p->state == PLACER_HOLDING)
+		placer_step_down(p, "leaving");
+	p->state = PLACER_IDLE;
+	uv_timer_stop(&p->timer);
+	uv_timer_stop(&p->wakeup);
 }
--- a/src/placer.h
+++ b/src/placer.h
@@ -1,17 +1,21 @@
-/* The placer: one daemon at a time keeps the replicas of all services. */
+/*
+ * The placer: forms and dissolves the replicas of all services. One daemon at
+ * a time is the placer, by a lease in the store.
+ */
 #ifndef BL_PLACER_H
 #define BL_PLACER_H
 
-#include "placer-usage.h"
 #include "mesh.h"
+#include "placer-usage.h"
 #include "replica.h"
 
 /**
- * enum placer_state - this daemon's part in placement.
- * @PLACER_IDLE: another daemon places, or none does yet
- * @PLACER_READING: reads the records to take the lease
- * @PLACER_TAKING: writes its lease, if nothing was written since
- * @PLACER_HOLDING: it places
+ * enum placer_state - state of this daemon's placer.
+ * @PLACER_IDLE: another daemon is the placer, or none is yet
+ * @PLACER_READING: the records are being read before the lease is taken
+ * @PLACER_TAKING: the lease is being written, on the condition that nothing was
+ *	written since the records were read
+ * @PLACER_HOLDING: this daemon holds the lease and is the placer
  */
 enum placer_state {
 	PLACER_IDLE,
@@ -21,13 +25,13 @@
 };
 
 /**
- * struct placer_copy - a copy of a model being made on a host.
- * @model: the model
- * @started_ms: of the host's incarnation that makes it
- * @deadline_ms: when it should be there; counted as lost after that
- * @ordered_ms: when the host was last told
- * @order_pending: an order is on its way
- * @acknowledged: the host said that it makes the copy
+ * struct placer_copy - a copy of a model that is being made on a host.
+ * @model: name of the model
+ * @started_ms: start time of the host's incarnation that makes the copy
+ * @deadline_ms: loop time at which the copy counts as lost, in ms
+ * @ordered_ms: loop time at which the order was last sent, in ms
+ * @order_pending: an order is in flight
+ * @acknowledged: the host has acknowledged the order
  */
 struct placer_copy {
 	char *model;
@@ -39,40 +43,48 @@
 };
 
 /**
- * struct placer - the placer's state.
+ * struct placer - the placer of this daemon.
  * @loop: the event loop
  * @store: the store
- * @registry: what is known of the deployment
+ * @registry: registry of endpoints and configuration
  * @mesh: the other daemons
  * @orders: the adapter's calls to hosts
- * @name: of this daemon
- * @stall_ms: after which the platform breaks a group that stands still
- * @timer: the next look
- * @wakeup: a look before that, after something that was waited for
- * @state: this daemon's part
- * @term: of the lease held or last seen; the fencing token of orders
- * @end_offset: where the records end, as far as this daemon knows
- * @store_busy: an append or a check is on its way
- * @verified_ms: loop time as of which nobody else had the lease
- * @pending: writes that wait, of struct store_record
- * @replicas: by their records
- * @served: requests have come since the deployment began, by its record
- * @epochs_issued: made under this lease so far
- * @load_starts: loop times of the loads begun lately
- * @n_hosts: endpoints known at the last look
- * @grew_ms: loop time at which they last became more
- * @copies: host id to struct placer_copy
- * @warming: host id to when it should have a model in memory
- * @usage: service name to struct service_usage, since the lease was taken
- * @dissolved: names of groups dissolved by this daemon to when
- * @pools: connections to hosts whose entries lapsed, by address
+ * @name: name of this daemon
+ * @stall_ms: time after which the platform breaks a group that makes no
+ *	progress, in ms
+ * @timer: starts the next periodic pass
+ * @wakeup: starts an early pass after a change
+ * @state: state of the placer
+ * @term: term of the lease held or last seen; the fencing token of orders
+ * @end_offset: end offset of the placement topic, as far as this daemon knows
+ * @store_busy: an append or a read of the store is in flight
+ * @verified_ms: loop time as of which no other daemon had taken the lease, in
+ *	ms; 0 when this has to be checked anew
+ * @pending: records to be written, of struct store_record
+ * @replicas: all replicas that have a record or wait for one, and adopted ones
+ * @served: requests have arrived since the deployment began, by its record
+ * @epochs_issued: number of epochs issued under this lease
+ * @load_starts: loop times at which recent loads from the weight store started,
+ *	in ms
+ * @n_hosts: number of endpoints known in the last pass
+ * @grew_ms: loop time at which that number last grew, in ms
+ * @copies: maps a host id to its struct placer_copy
+ * @warming: maps a host id to the loop time by which it should have a model in
+ *	memory, in ms
+ * @usage: maps a service name to its struct service_usage, since the lease was
+ *	taken
+ * @dissolved: maps the name of a group that this daemon dissolved to the loop
+ *	time of that, in ms
+ * @pools: connections to hosts whose entries have lapsed, by address
  * @preparing: it is this daemon's turn to take the lease; it reads all entries
- * @n_calls: orders and questions on their way
- * @unfinished: the last look left steps of placement for the next
- * @pass_us: time that the last look took
- * @no_placer_ms: since when no placer has been heard; 0 while one is
- * @last_pass_ms: loop time of the last look
- * @read_after: last key of the page before, while reading
+ *	from the store before
+ * @n_calls: number of orders and status requests in flight
+ * @unfinished: the last pass left placement steps to the next
+ * @pass_us: duration of the last pass, in us
+ * @no_placer_ms: loop time since which no placer has been heard, in ms; 0 while
+ *	one is
+ * @last_pass_ms: loop time of the last pass, in ms
+ * @read_after: last key of the previous page, while the records are being read
  */
 struct placer {
 	uv_loop_t *loop;
@@ -119,7 +131,7 @@
 void placer_announce_dissolve(struct placer *, struct replica *, uint64_t);
 bool placer_call_allowed(const struct placer *);
 
-/* placer-call.c: orders and questions to hosts. */
+/* placer-call.c: orders and status requests to hosts. */
 void placer_order_member(struct placer *, struct replica *, unsigned,
     enum order_kind);
 void placer_ask_member(struct placer *, struct replica *, unsigned);
@@ -127,7 +139,7 @@
 void placer_order_warm(struct placer *, const char *, const char *, int64_t);
 bool placer_is_warm_group(const char *);
 
-/* placer-lease.c: taking, checking and losing the lease. */
+/* placer-lease.c: taking, verifying and losing the lease. */
 void placer_lease_poll(struct placer *, uint64_t);
 void placer_step_down(struct placer *, const char *);
 bool placer_lease_verified(struct placer *, uint64_t);
@@ -136,17 +148,17 @@
 void placer_record_served(struct placer *);
 void placer_record_bound(struct placer *, const char *, unsigned);
 
-/* placer-record.c: records of replicas and of the lease as bytes. */
+/* placer-record.c: encoding of the records of replicas and of the lease. */
 guint8 *placer_encode_replica(const struct replica *, size_t *);
 struct replica *placer_decode_replica(const char *, const void *, size_t);
 guint8 *placer_encode_lease(const char *, int64_t, size_t *);
 int64_t placer_decode_lease(const void *, size_t);
 
-/* placer-adopt.c: groups that serve without a record. */
+/* placer-adopt.c: groups that serve but have no record. */
 void placer_adopt_groups(struct placer *, uint64_t);
 bool placer_is_active_head(const struct endpoint *);
 
-/* placer-stage.c: copies that are being made, and loads that may begin. */
+/* placer-stage.c: copies that are being made, and loads that may start. */
 void placer_copy_free(void *);
 void placer_copies_update(struct placer *, uint64_t);
 void placer_copy_start(struct placer *, const char *,
@@ -156,7 +168,7 @@
 unsigned placer_loads_available(struct placer *, const struct engine_profile *,
     uint64_t);
 
-/* placer-form.c: forming new replicas. */
+/* placer-form.c: forming of replicas. */
 void placer_form_replicas(struct placer *, uint64_t);
 struct service_usage *placer_usage(struct placer *, const char *);
 
