--- a/src/edge-status.c
+++ b/src/edge-status.c
@@ -97,7 +97,7 @@
 	print_fleet(e, body);
 	print_placement(e, body);
 	print_value(body, "exchanges", e->fwd.n_exchanges);
-	print_value(body, "peers", mesh_living(&e->mesh));
+	print_value(body, "peers", mesh_count_alive(&e->mesh));
 	print_value(body, "placer", e->keeper.state == KEEPER_HOLDING);
 	print_value(body, "reader", e->dir.endpoints.reader);
 	print_value(body, "placer_term", (double)e->keeper.term);
--- a/src/edge.c
+++ b/src/edge.c
@@ -184,7 +184,7 @@
 	event_log(LOG_NOTICE, "leaving", "exchanges=%u", e->fwd.n_exchanges);
 	keeper_stop(&e->keeper);
 	e->mesh.self.leaving = true;
-	mesh_tell_now(&e->mesh);
+	mesh_send_now(&e->mesh);
 	fwd_leave(&e->fwd);
 	uv_timer_start(&e->leave, on_leave, LEAVE_LOOK_MS, LEAVE_LOOK_MS);
 }
@@ -210,7 +210,7 @@
 {
 	bool places = e->keeper.state == KEEPER_HOLDING;
 	bool reader = places ||
-	    (!mesh_placer_heard(&e->mesh) && mesh_first_reader(&e->mesh));
+	    (!mesh_placer_heard(&e->mesh) && mesh_is_reader(&e->mesh));
 
 	dir_follow_set_reader(&e->dir.config, reader);
 	/* One that takes the lease reads all entries for itself first. */
@@ -233,11 +233,11 @@
 	const struct edge_settings *set = &e->set;
 
 	dir_rely(&e->dir,
-	    mesh_patience_ms(mesh, part_ms(set->apply_ms, CONFIG_LEAST),
+	    mesh_stale_after_ms(mesh, part_ms(set->apply_ms, CONFIG_LEAST),
 		part_ms(set->apply_ms, CONFIG_MOST)),
-	    mesh_patience_ms(mesh, part_ms(set->drain_ms, ENDPOINT_LEAST),
+	    mesh_stale_after_ms(mesh, part_ms(set->drain_ms, ENDPOINT_LEAST),
 		part_ms(set->drain_ms, ENDPOINT_MOST)),
-	    mesh_led(mesh));
+	    mesh_relay_alive(mesh));
 }
 
 /* One line now and then with what was counted, for those with logs only. */
@@ -259,7 +259,7 @@
 	    (unsigned long long)counts[COUNT_SENT],
 	    (unsigned long long)counts[COUNT_REPEATED],
 	    (unsigned long long)counts[COUNT_RESUMED], e->fwd.n_exchanges,
-	    mesh_living(&e->mesh), (unsigned long long)calls[TOPIC_CONFIG],
+	    mesh_count_alive(&e->mesh), (unsigned long long)calls[TOPIC_CONFIG],
 	    (unsigned long long)calls[TOPIC_ENDPOINTS],
 	    (unsigned long long)calls[TOPIC_PLACEMENT],
 	    (unsigned long long)calls[TOPIC_DAEMONS],
@@ -292,7 +292,7 @@
 	if (e->dir.endpoints.synced && e->dir.catalog != NULL) {
 		uv_timer_stop(timer);
 		/* Those that report here wait for it. */
-		mesh_tell_now(&e->mesh);
+		mesh_send_now(&e->mesh);
 		return;
 	}
 	/* After all were killed at once, waiting for a relay took a second, and
@@ -301,7 +301,7 @@
 		dir_follow_release(&e->dir.config);
 		own = own || mesh->n_peers < HOLD_DAEMONS_MOST;
 	}
-	if (own || since >= (mesh_led(mesh) ? HOLD_LED_MS : HOLD_MS))
+	if (own || since >= (mesh_relay_alive(mesh) ? HOLD_LED_MS : HOLD_MS))
 		dir_release(&e->dir);
 }
 
@@ -350,7 +350,7 @@
 	/* A new configuration is worth a word before the next round. */
 	if (version != e->told_version && e->mesh.loop != NULL &&
 	    (e->mesh.relay == NULL || e->mesh.relay->config_version < version))
-		mesh_tell_now(&e->mesh);
+		mesh_send_now(&e->mesh);
 	e->told_version = version;
 	if (!TAILQ_EMPTY(&e->fwd.waiting))
 		fwd_kick(&e->fwd);
@@ -363,7 +363,7 @@
 	struct edge *e = arg;
 
 	keeper_suspect(&e->keeper, ep);
-	mesh_tell_now(&e->mesh);
+	mesh_send_now(&e->mesh);
 }
 
 static void
@@ -371,7 +371,7 @@
 {
 	struct edge *e = arg;
 
-	mesh_limit_now(&e->mesh, ep);
+	mesh_limit_announce(&e->mesh, ep);
 }
 
 static void
@@ -396,7 +396,7 @@
 {
 	struct edge *e = arg;
 
-	mesh_tell_entries(&e->mesh, from, end, records);
+	mesh_send_entries(&e->mesh, from, end, records);
 }
 
 /* Opens one listener, with a typed error. */
--- a/src/fleet-model.c
+++ b/src/fleet-model.c
@@ -39,14 +39,14 @@
 static uv_loop_t model_loop;
 
 /**
- * fleet_model_draw() - a random number of the model's own.
+ * fleet_model_random() - a random number of the model's own.
  * @model: the model
  * @below: it is less than this
  *
  * A small generator, so that a seed tells the whole run.
  */
 uint32_t
-fleet_model_draw(struct fleet_model *model, uint32_t below)
+fleet_model_random(struct fleet_model *model, uint32_t below)
 {
 	model->seed = model->seed * 6364136223846793005u + 1442695040888963407u;
 	return ((uint32_t)(model->seed >> 33) % below);
@@ -139,11 +139,12 @@
 	mesh->self.store_ok = true;
 	daemon->dir.endpoints.synced = true;
 	daemon->dir.endpoints.next = model->now_ms * RECORDS_S / 1000;
-	mesh_init(mesh, model->now_ms, fleet_model_draw(model, UINT32_MAX) + 1);
+	mesh_init(mesh, model->now_ms,
+	    fleet_model_random(model, UINT32_MAX) + 1);
 	daemon->up = true;
 	daemon->relay = NULL;
-	daemon->reads_ms = model->now_ms + READ_LEAST_MS +
-	    fleet_model_draw(model, READ_SPREAD_MS);
+	daemon->read_at_ms = model->now_ms + READ_LEAST_MS +
+	    fleet_model_random(model, READ_SPREAD_MS);
 }
 
 static void
@@ -168,7 +169,7 @@
 {
 	struct fleet_model *model = daemon->model;
 
-	daemon->reads_ms = 0;
+	daemon->read_at_ms = 0;
 	for (unsigned i = 0; i < model->n; i++) {
 		const struct model_daemon *other = &model->daemons[i];
 		struct sockaddr_in addr = model_address(i);
@@ -177,7 +178,7 @@
 			mesh_add(&daemon->mesh, other->mesh.name,
 			    other->mesh.domain, other->mesh.capacity, &addr);
 	}
-	mesh_known(&daemon->mesh);
+	mesh_set_records_read(&daemon->mesh);
 }
 
 /**
@@ -206,7 +207,7 @@
 		model->daemons[i].at = i;
 		model->daemons[i].domain = i % model->n_domains;
 		model->daemons[i].starts_ms =
-		    BEGIN_MS + 1 + fleet_model_draw(model, START_SPREAD_MS);
+		    BEGIN_MS + 1 + fleet_model_random(model, START_SPREAD_MS);
 	}
 	return (model);
 }
@@ -263,12 +264,13 @@
 }
 
 /**
- * fleet_model_work() - give each daemon requests at endpoints drawn at random.
+ * fleet_model_set_load() - give each daemon requests at endpoints drawn at
+ * random.
  * @model: the model
  * @each: requests of each daemon
  */
 void
-fleet_model_work(struct fleet_model *model, unsigned each)
+fleet_model_set_load(struct fleet_model *model, unsigned each)
 {
 	for (unsigned i = 0; i < model->n; i++) {
 		struct model_daemon *daemon = &model->daemons[i];
@@ -280,7 +282,7 @@
 			ep->inflight = 0;
 		for (unsigned k = 0; k < each; k++) {
 			g_autofree char *id = g_strdup_printf("e%u",
-			    fleet_model_draw(model, model->n_endpoints));
+			    fleet_model_random(model, model->n_endpoints));
 
 			fleet_find(&daemon->dir.fleet, id)->inflight++;
 		}
@@ -300,16 +302,16 @@
 		struct model_daemon *to;
 
 		if (d->to >= model->n ||
-		    fleet_model_draw(model, 1000) < model->loss)
+		    fleet_model_random(model, 1000) < model->loss)
 			continue;
 		to = &model->daemons[d->to];
 		if (!to->up ||
 		    model->cut[model->daemons[d->from].domain][to->domain])
 			continue;
 		to->heard++;
-		to->heard_bytes += d->length;
+		to->received_bytes += d->length;
 		to->mesh.now_ms = model->now_ms;
-		mesh_take(&to->mesh, d->bytes, d->length, &from);
+		mesh_receive(&to->mesh, d->bytes, d->length, &from);
 	}
 	g_ptr_array_free(now, TRUE);
 }
@@ -325,7 +327,7 @@
 
 	f->next = daemon->model->now_ms * RECORDS_S / 1000;
 	f->fed_ms = daemon->model->now_ms;
-	mesh_tell_entries(&daemon->mesh, from, f->next, none);
+	mesh_send_entries(&daemon->mesh, from, f->next, none);
 }
 
 /* Whether a daemon asks the store, of what others told it of at some time. */
@@ -333,11 +335,11 @@
 daemon_asks(struct model_daemon *daemon, uint64_t fed_ms, unsigned least,
     unsigned most)
 {
-	unsigned patience = mesh_patience_ms(&daemon->mesh, least, most);
+	unsigned patience = mesh_stale_after_ms(&daemon->mesh, least, most);
 	bool untold = fed_ms != 0 && daemon->model->now_ms - fed_ms >= patience;
 
 	daemon->alone += untold;
-	return (untold || mesh_first_reader(&daemon->mesh));
+	return (untold || mesh_is_reader(&daemon->mesh));
 }
 
 /* Reads the store, if it answers, at the daemon's own moments. */
@@ -371,7 +373,7 @@
 	if (!daemon->up)
 		return;
 	daemon->mesh.now_ms = now;
-	if (daemon->reads_ms != 0 && now >= daemon->reads_ms)
+	if (daemon->read_at_ms != 0 && now >= daemon->read_at_ms)
 		daemon_read(daemon);
 	daemon_read_store(daemon);
 	if (now % MESH_ROUND_MS != daemon->starts_ms % MESH_ROUND_MS)
@@ -398,18 +400,18 @@
 }
 
 /**
- * fleet_model_count() - begin the counts anew.
+ * fleet_model_reset_counts() - begin the counts anew.
  * @model: the model
  */
 void
-fleet_model_count(struct fleet_model *model)
+fleet_model_reset_counts(struct fleet_model *model)
 {
 	model->counted_ms = model->now_ms;
 	for (unsigned i = 0; i < model->n; i++) {
 		struct model_daemon *daemon = &model->daemons[i];
 
 		daemon->sent = daemon->sent_bytes = 0;
-		daemon->heard = daemon->heard_bytes = 0;
+		daemon->heard = daemon->received_bytes = 0;
 		daemon->moves = 0;
 		daemon->reads = 0;
 		daemon->alone = 0;
@@ -438,7 +440,7 @@
 /* Compares one daemon's counts with the truth. */
 static void
 sight_off(const struct model_daemon *daemon, const GArray *truth,
-    struct model_sight *sight)
+    struct model_stats *sight)
 {
 	const struct endpoint *ep;
 	unsigned at = 0;
@@ -448,60 +450,60 @@
 		unsigned seen = ep->inflight + ep->peer_inflight;
 		unsigned off = is > seen ? is - seen : seen - is;
 
-		sight->off_mean += off;
-		sight->off_most = MAX(sight->off_most, off);
+		sight->load_error_mean += off;
+		sight->load_error_max = MAX(sight->load_error_max, off);
 	}
 }
 
 static void
 sight_counts(const struct model_daemon *daemon, double seconds,
-    struct model_sight *sight)
+    struct model_stats *sight)
 {
 	sight->moves += daemon->moves;
 	sight->reads += daemon->reads;
 	sight->alone += daemon->alone;
 	sight->sent_s += (double)daemon->sent / seconds;
-	sight->heard_s += (double)daemon->heard / seconds;
-	sight->heard_bytes_s += (double)daemon->heard_bytes / seconds;
-	sight->sent_most_s =
-	    MAX(sight->sent_most_s, (double)daemon->sent / seconds);
-	sight->sent_bytes_most_s =
-	    MAX(sight->sent_bytes_most_s, (double)daemon->sent_bytes / seconds);
+	sight->received_s += (double)daemon->heard / seconds;
+	sight->received_bytes_s += (double)daemon->received_bytes / seconds;
+	sight->sent_max_s =
+	    MAX(sight->sent_max_s, (double)daemon->sent / seconds);
+	sight->sent_bytes_max_s =
+	    MAX(sight->sent_bytes_max_s, (double)daemon->sent_bytes / seconds);
 }
 
 static void
-sight_daemon(const struct model_daemon *daemon, struct model_sight *sight)
+sight_daemon(const struct model_daemon *daemon, struct model_stats *sight)
 {
 	const struct mesh *mesh = &daemon->mesh;
-	unsigned living = 1 + mesh_living(mesh);
+	unsigned living = 1 + mesh_count_alive(mesh);
 	uint64_t age = dir_config_age(&daemon->dir, daemon->model->now_ms);
 
 	sight->up++;
 	sight->relays += mesh->relay == NULL;
-	sight->living_least = MIN(sight->living_least, living);
-	sight->living_most = MAX(sight->living_most, living);
-	sight->readers += mesh_first_reader(mesh);
-	sight->firsts += mesh_rank(mesh) == 0;
+	sight->alive_least = MIN(sight->alive_least, living);
+	sight->alive_most = MAX(sight->alive_most, living);
+	sight->readers += mesh_is_reader(mesh);
+	sight->first_ranked += mesh_rank(mesh) == 0;
 	sight->holder += mesh_placer_heard(mesh) || mesh->self.placer;
-	sight->age_most_ms = MAX(sight->age_most_ms, age);
-	sight->fed_most_ms = MAX(sight->fed_most_ms,
+	sight->config_age_max_ms = MAX(sight->config_age_max_ms, age);
+	sight->feed_age_max_ms = MAX(sight->feed_age_max_ms,
 	    daemon->model->now_ms - daemon->dir.endpoints.fed_ms);
 }
 
 /**
- * fleet_model_see() - compare the daemons' pictures with the truth.
+ * fleet_model_measure() - compare the daemons' pictures with the truth.
  * @model: the model
  * @sight: filled in
  */
 void
-fleet_model_see(const struct fleet_model *model, struct model_sight *sight)
+fleet_model_measure(const struct fleet_model *model, struct model_stats *sight)
 {
 	double seconds =
 	    (double)MAX(model->now_ms - model->counted_ms, 1) / 1000;
 	GArray *truth = model_truth(model);
 
 	memset(sight, 0, sizeof *sight);
-	sight->living_least = UINT32_MAX;
+	sight->alive_least = UINT32_MAX;
 	for (unsigned i = 0; i < model->n; i++) {
 		if (!model->daemons[i].up)
 			continue;
@@ -512,8 +514,9 @@
 	g_array_free(truth, TRUE);
 	if (sight->up == 0)
 		return;
-	sight->off_mean /= (double)sight->up * MAX(model->n_endpoints, 1);
+	sight->load_error_mean /=
+	    (double)sight->up * MAX(model->n_endpoints, 1);
 	sight->sent_s /= sight->up;
-	sight->heard_s /= sight->up;
-	sight->heard_bytes_s /= sight->up;
+	sight->received_s /= sight->up;
+	sight->received_bytes_s /= sight->up;
 }
--- a/src/keeper-lease.c
+++ b/src/keeper-lease.c
@@ -226,7 +226,7 @@
 	k->mesh->held_term = k->term;
 	event_log(LOG_NOTICE, "placer_taken", "term=%lld end=%llu served=%d",
 	    (long long)k->term, (unsigned long long)k->end, k->served);
-	mesh_tell_now(k->mesh);
+	mesh_send_now(k->mesh);
 }
 
 /* Writes the lease, if nothing was written since the records were read. */
--- a/src/keeper.c
+++ b/src/keeper.c
@@ -124,7 +124,7 @@
 	head->warned_ms = now_ms;
 	head->rest_until_ms =
 	    MAX(head->rest_until_ms, now_ms + AVOID_DOOMED_MS);
-	mesh_tell_now(k->mesh);
+	mesh_send_now(k->mesh);
 }
 
 /* Looks at one replica and takes its next steps. */
@@ -210,7 +210,7 @@
 	k->last_ms = now;
 	k->mesh->self.store_ok =
 	    k->dir->endpoints.synced && k->dir->endpoints.failures == 0;
-	if (mesh_lease_outdone(k->mesh))
+	if (mesh_lease_superseded(k->mesh))
 		keeper_lose(k, "taken_over");
 	keeper_lease_look(k, now);
 	if (k->state != KEEPER_HOLDING || k->dir->catalog == NULL)
--- a/src/limit-model.c
+++ b/src/limit-model.c
@@ -30,7 +30,7 @@
  * @busy: of so many daemons each one has
  */
 struct limit_model *
-limit_model_new(struct fleet_model *fleet, const struct limit_way *way,
+limit_model_new(struct fleet_model *fleet, const struct limit_scheme *way,
     double demand, unsigned busy)
 {
 	struct limit_model *m = g_new0(struct limit_model, 1);
@@ -58,12 +58,12 @@
 }
 
 /**
- * limit_model_name() - the endpoint names another limit from now on.
+ * limit_model_set_limit() - the endpoint names another limit from now on.
  * @m: the model
  * @per_s: requests a second; below 0 for none
  */
 void
-limit_model_name(struct limit_model *m, double per_s)
+limit_model_set_limit(struct limit_model *m, double per_s)
 {
 	m->per_s = per_s;
 	m->named_ms = m->fleet->now_ms;
@@ -116,7 +116,7 @@
 {
 	if (!m->fleet->daemons[at].up || at % m->busy != 0)
 		return (false);
-	return (fleet_model_draw(m->fleet, 1000000) <
+	return (fleet_model_random(m->fleet, 1000000) <
 	    m->demand / MS_PER_S * 1000000);
 }
 
@@ -153,11 +153,11 @@
 }
 
 /**
- * limit_model_knowing() - daemons that know of the limit.
+ * limit_model_informed() - daemons that know of the limit.
  * @m: the model
  */
 unsigned
-limit_model_knowing(const struct limit_model *m)
+limit_model_informed(const struct limit_model *m)
 {
 	unsigned n = 0;
 
@@ -208,11 +208,11 @@
 	ep->limit.heard_ms = now_ms;
 	if (!news)
 		return;
-	mesh_limit_heard(mesh, ep);
-	mesh_tell(mesh);
+	mesh_limit_changed(mesh, ep);
+	mesh_send(mesh);
 }
 
-const struct limit_way limit_way_users = {
+const struct limit_scheme limit_scheme_users = {
 	.name = "users",
 	.take = users_take,
 	.heard = users_heard,
--- a/src/limit-model.h
+++ b/src/limit-model.h
@@ -7,13 +7,13 @@
 struct limit_model;
 
 /**
- * struct limit_way - a way to share a limit among daemons.
+ * struct limit_scheme - a way to share a limit among daemons.
  * @name: its name
  * @look: looks at the daemons, each millisecond; may be NULL
  * @take: whether a daemon may send a request now; it is counted then
  * @heard: a daemon was told of the limit, or of none, by the endpoint itself
  */
-struct limit_way {
+struct limit_scheme {
 	const char *name;
 	void (*look)(struct limit_model *);
 	bool (*take)(struct limit_model *, unsigned);
@@ -47,11 +47,11 @@
  * @untold: of these, by daemons that knew of no limit
  * @owner: the daemon that hands out requests, where one does
  * @owner_since_ms: it may from then on
- * @owner_turns: requests that it may hand out
+ * @owner_permits: requests that it may hand out
  */
 struct limit_model {
 	struct fleet_model *fleet;
-	const struct limit_way *way;
+	const struct limit_scheme *way;
 	struct limit_daemon *daemons;
 	double per_s;
 	uint64_t named_ms;
@@ -63,21 +63,21 @@
 	unsigned untold;
 	unsigned owner;
 	uint64_t owner_since_ms;
-	double owner_turns;
+	double owner_permits;
 };
 
-extern const struct limit_way limit_way_equal;
-extern const struct limit_way limit_way_demand;
-extern const struct limit_way limit_way_owner;
-extern const struct limit_way limit_way_users;
+extern const struct limit_scheme limit_scheme_equal;
+extern const struct limit_scheme limit_scheme_demand;
+extern const struct limit_scheme limit_scheme_owner;
+extern const struct limit_scheme limit_scheme_users;
 
 struct limit_model *limit_model_new(struct fleet_model *,
-    const struct limit_way *, double, unsigned);
+    const struct limit_scheme *, double, unsigned);
 void limit_model_free(struct limit_model *);
-void limit_model_name(struct limit_model *, double);
+void limit_model_set_limit(struct limit_model *, double);
 void limit_model_run(struct limit_model *, uint64_t);
 double limit_model_used(const struct limit_model *);
-unsigned limit_model_knowing(const struct limit_model *);
+unsigned limit_model_informed(const struct limit_model *);
 double limit_model_share(const struct limit_model *);
 
 #endif
--- a/src/limit-ways.c
+++ b/src/limit-schemes.c
@@ -57,7 +57,7 @@
 		ways_fill(&m->daemons[i], m->per_s / living);
 }
 
-const struct limit_way limit_way_equal = {
+const struct limit_scheme limit_scheme_equal = {
 	.name = "equal",
 	.look = equal_look,
 	.take = ways_take,
@@ -83,7 +83,7 @@
 		    m->per_s * m->daemons[i].demand / sum);
 }
 
-const struct limit_way limit_way_demand = {
+const struct limit_scheme limit_scheme_demand = {
 	.name = "demand",
 	.look = demand_look,
 	.take = ways_take,
@@ -94,12 +94,13 @@
 static void
 owner_look(struct limit_model *m)
 {
-	m->owner_turns = MIN(m->owner_turns + m->per_s / MS_PER_S, TURNS_MOST);
+	m->owner_permits =
+	    MIN(m->owner_permits + m->per_s / MS_PER_S, TURNS_MOST);
 	if (m->fleet->daemons[m->owner].up)
 		return;
 	m->owner = (m->owner + 1) % m->fleet->n;
 	m->owner_since_ms = m->fleet->now_ms + DEAD_MS;
-	m->owner_turns = 0;
+	m->owner_permits = 0;
 }
 
 static bool
@@ -107,13 +108,13 @@
 {
 	if (m->daemons[at].told_ms == 0)
 		return (true);
-	if (m->owner_turns < 1 || m->fleet->now_ms < m->owner_since_ms)
+	if (m->owner_permits < 1 || m->fleet->now_ms < m->owner_since_ms)
 		return (false);
-	m->owner_turns--;
+	m->owner_permits--;
 	return (true);
 }
 
-const struct limit_way limit_way_owner = {
+const struct limit_scheme limit_scheme_owner = {
 	.name = "owner",
 	.look = owner_look,
 	.take = owner_take,
--- a/src/mesh-config.c
+++ b/src/mesh-config.c
@@ -68,7 +68,7 @@
 static bool
 fetch_due(const struct mesh *mesh, const struct mesh_peer *peer)
 {
-	uint64_t behind = mesh->now_ms - mesh->behind_ms;
+	uint64_t behind = mesh->now_ms - mesh->behind_since_ms;
 
 	if (mesh->relay == NULL && !mesh_flat(mesh))
 		return (true);
@@ -96,14 +96,14 @@
 
 	mesh->newest = MAX(mesh->newest, peer->config_version);
 	if (mesh->newest <= own)
-		mesh->behind_ms = 0;
-	else if (mesh->behind_ms == 0)
-		mesh->behind_ms = now;
+		mesh->behind_since_ms = 0;
+	else if (mesh->behind_since_ms == 0)
+		mesh->behind_since_ms = now;
 	if (peer->config_version <= own)
 		return;
 	if (mesh->fetching || (own >= 0 && !fetch_due(mesh, peer)))
 		return;
-	if (now - mesh->behind_ms >= STORE_AFTER_MS)
+	if (now - mesh->behind_since_ms >= STORE_AFTER_MS)
 		dir_follow_hurry(&mesh->dir->config);
 	mesh->fetched_version = peer->config_version;
 	mesh->fetched_offset = peer->config_offset;
--- a/src/mesh-news.c
+++ b/src/mesh-message.c
@@ -3,7 +3,7 @@
 #include <rpc/rpc.h>
 #include <string.h>
 
-#include "mesh-news.h"
+#include "mesh-message.h"
 
 /* First word of each datagram: "BLM" and the version of the format. */
 #define MESH_MAGIC 0x424c4d07u
@@ -67,21 +67,21 @@
 static uint32_t
 load_pack(const struct mesh_load *load)
 {
-	uint32_t heard = MIN(load->heard_ms, MESH_HEARD_MAX_MS);
-	uint32_t reading = MIN(load->reading, MESH_READING_MAX);
+	uint32_t heard = MIN(load->heard_ms, MESH_IDLE_MAX_MS);
+	uint32_t reading = MIN(load->reading, MESH_PENDING_MAX);
 	uint32_t inflight = MIN(load->inflight, MESH_INFLIGHT_MAX);
 
-	return (heard / MESH_HEARD_STEP_MS |
-	    reading / MESH_READING_STEP << READING_SHIFT |
+	return (heard / MESH_IDLE_STEP_MS |
+	    reading / MESH_PENDING_STEP << READING_SHIFT |
 	    inflight << INFLIGHT_SHIFT);
 }
 
 static void
 load_unpack(struct mesh_load *load, uint32_t word)
 {
-	load->heard_ms = (word & HEARD_MASK) * MESH_HEARD_STEP_MS;
+	load->heard_ms = (word & HEARD_MASK) * MESH_IDLE_STEP_MS;
 	load->reading =
-	    (word >> READING_SHIFT & READING_MASK) * MESH_READING_STEP;
+	    (word >> READING_SHIFT & READING_MASK) * MESH_PENDING_STEP;
 	load->inflight = word >> INFLIGHT_SHIFT;
 }
 
@@ -97,7 +97,7 @@
 }
 
 static bool_t
-xdr_loads(XDR *xdr, struct mesh_news *news)
+xdr_loads(XDR *xdr, struct mesh_message *news)
 {
 	if (!xdr_uint32_t(xdr, &news->n_loads) ||
 	    news->n_loads > MESH_LOADS_MAX)
@@ -114,7 +114,7 @@
 }
 
 static bool_t
-xdr_avoid(XDR *xdr, struct mesh_news *news)
+xdr_avoid(XDR *xdr, struct mesh_message *news)
 {
 	if (!xdr_uint32_t(xdr, &news->n_avoid) ||
 	    news->n_avoid > MESH_AVOID_MAX)
@@ -134,11 +134,11 @@
 	    xdr_uint32_t(xdr, &limit->milli) &&
 	    xdr_uint32_t(xdr, &limit->age_ms) &&
 	    xdr_uint32_t(xdr, &limit->users) &&
-	    xdr_uint32_t(xdr, &limit->each_micro));
+	    xdr_uint32_t(xdr, &limit->each_micro_per_s));
 }
 
 static bool_t
-xdr_limits(XDR *xdr, struct mesh_news *news)
+xdr_limits(XDR *xdr, struct mesh_message *news)
 {
 	if (!xdr_uint32_t(xdr, &news->n_limits) ||
 	    news->n_limits > MESH_LIMITS_MAX)
@@ -152,14 +152,14 @@
 
 /* An age and a sign in one word: ages are told for a day at most. */
 static bool_t
-xdr_age_sign(XDR *xdr, uint32_t *age_ms, enum mesh_sign *sign)
+xdr_age_sign(XDR *xdr, uint32_t *age_ms, enum mesh_poison_kind *sign)
 {
 	uint32_t word = MIN(*age_ms, AGE_MASK) | (uint32_t)*sign << SIGN_SHIFT;
 
 	if (!xdr_uint32_t(xdr, &word) || word >> SIGN_SHIFT == 0)
 		return (FALSE);
 	*age_ms = word & AGE_MASK;
-	*sign = (enum mesh_sign)(word >> SIGN_SHIFT);
+	*sign = (enum mesh_poison_kind)(word >> SIGN_SHIFT);
 	return (TRUE);
 }
 
@@ -173,7 +173,7 @@
 }
 
 static bool_t
-xdr_poisons(XDR *xdr, struct mesh_news *news)
+xdr_poisons(XDR *xdr, struct mesh_message *news)
 {
 	if (!xdr_uint32_t(xdr, &news->n_poison) ||
 	    news->n_poison > MESH_POISON_MAX)
@@ -198,7 +198,7 @@
 }
 
 static bool_t
-xdr_members(XDR *xdr, struct mesh_news *news)
+xdr_members(XDR *xdr, struct mesh_message *news)
 {
 	if (!xdr_uint32_t(xdr, &news->n_members) ||
 	    news->n_members > MESH_MEMBERS_MAX)
@@ -216,7 +216,7 @@
 	uint32_t value = *kind;
 
 	if (!xdr_uint32_t(xdr, &value) || value < MESH_REPORT ||
-	    value > MESH_FLEET)
+	    value > MESH_FLEET_SUMMARY)
 		return (FALSE);
 	*kind = (enum mesh_kind)value;
 	return (TRUE);
@@ -224,7 +224,7 @@
 
 /* Encodes or decodes, as the XDR stream says. */
 static bool_t
-xdr_news(XDR *xdr, struct mesh_news *news)
+xdr_news(XDR *xdr, struct mesh_message *news)
 {
 	uint32_t magic = MESH_MAGIC;
 
@@ -246,17 +246,17 @@
 }
 
 /**
- * mesh_news_clear() - say nothing yet.
+ * mesh_message_clear() - say nothing yet.
  * @news: the datagram; what its counts make unread is left as it is
  */
 void
-mesh_news_clear(struct mesh_news *news)
+mesh_message_clear(struct mesh_message *news)
 {
-	memset(news, 0, offsetof(struct mesh_news, loads));
+	memset(news, 0, offsetof(struct mesh_message, loads));
 }
 
 /**
- * mesh_news_encode() - write a datagram.
+ * mesh_message_encode() - write a datagram.
  * @news: what to say
  * @out: where to
  * @size: room there
@@ -264,20 +264,20 @@
  * Return: its length, or 0 where it does not fit.
  */
 size_t
-mesh_news_encode(const struct mesh_news *news, char *out, size_t size)
+mesh_message_encode(const struct mesh_message *news, char *out, size_t size)
 {
 	XDR xdr;
 	size_t length = 0;
 
 	xdrmem_create(&xdr, out, (u_int)size, XDR_ENCODE);
-	if (xdr_news(&xdr, (struct mesh_news *)news))
+	if (xdr_news(&xdr, (struct mesh_message *)news))
 		length = xdr_getpos(&xdr);
 	xdr_destroy(&xdr);
 	return (length);
 }
 
 /**
- * mesh_news_decode() - read a datagram.
+ * mesh_message_decode() - read a datagram.
  * @news: filled in
  * @in: the datagram
  * @length: its length
@@ -285,12 +285,12 @@
  * Return: false where it is of another format, cut short or too long.
  */
 bool
-mesh_news_decode(struct mesh_news *news, char *in, size_t length)
+mesh_message_decode(struct mesh_message *news, char *in, size_t length)
 {
 	bool ok;
 	XDR xdr;
 
-	mesh_news_clear(news);
+	mesh_message_clear(news);
 	xdrmem_create(&xdr, in, (u_int)length, XDR_DECODE);
 	ok = xdr_news(&xdr, news) && xdr_getpos(&xdr) == length;
 	xdr_destroy(&xdr);
--- a/src/mesh-news.h
+++ b/src/mesh-message.h
@@ -1,6 +1,6 @@
 /* What daemons tell each other in one datagram. */
-#ifndef BL_MESH_NEWS_H
-#define BL_MESH_NEWS_H
+#ifndef BL_MESH_MESSAGE_H
+#define BL_MESH_MESSAGE_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -21,33 +21,35 @@
 #define MESH_MEMBERS_MAX 512
 #define MESH_NAME_MAX 64
 /* Largest datagram. */
-#define MESH_BYTES 16384
+#define MESH_DATAGRAM_MAX 16384
 /* Offset of entries that the sender does not have. */
 #define MESH_NO_ENTRIES UINT64_MAX
 /* Age of what never was. */
 #define MESH_NEVER UINT32_MAX
 /* Largest figures of a load that a datagram holds; larger ones are cut. */
 #define MESH_INFLIGHT_MAX 1023
-#define MESH_READING_STEP 16
-#define MESH_READING_MAX (16383 * MESH_READING_STEP)
-#define MESH_HEARD_STEP_MS 16
-#define MESH_HEARD_MAX_MS (255 * MESH_HEARD_STEP_MS)
+#define MESH_PENDING_STEP 16
+#define MESH_PENDING_MAX (16383 * MESH_PENDING_STEP)
+#define MESH_IDLE_STEP_MS 16
+#define MESH_IDLE_MAX_MS (255 * MESH_IDLE_STEP_MS)
 
 /**
  * enum mesh_kind - whom a datagram speaks for.
  * @MESH_REPORT: the sender alone; to its relay
- * @MESH_POINTER: nobody; it names the sender's relay to one that did not know
- * @MESH_CELL: the sender and the daemons that report to it; to other relays
- * @MESH_FLEET: all daemons that the sender knows of; to those that report to it
+ * @MESH_REDIRECT: nobody; it names the sender's relay to one that did not know
+ * @MESH_CELL_SUMMARY: the sender and the daemons that report to it; to other
+ * relays
+ * @MESH_FLEET_SUMMARY: all daemons that the sender knows of; to those that
+ * report to it
  */
 enum mesh_kind {
 	MESH_REPORT = 1,
-	MESH_POINTER,
-	MESH_CELL,
-	MESH_FLEET,
+	MESH_REDIRECT,
+	MESH_CELL_SUMMARY,
+	MESH_FLEET_SUMMARY,
 };
 
-#define MESH_KINDS (MESH_FLEET + 1)
+#define MESH_KINDS (MESH_FLEET_SUMMARY + 1)
 
 /**
  * struct mesh_load - work at one endpoint.
@@ -80,26 +82,27 @@
  *	MESH_NO_LIMIT where it names none any more
  * @age_ms: since an answer said so
  * @users: daemons of the sender's cell that may use the endpoint
- * @each_micro: millionths of a request a second that each of these may send
+ * @each_micro_per_s: millionths of a request a second that each of these may
+ *send
  */
 struct mesh_limit {
 	uint32_t key;
 	uint32_t milli;
 	uint32_t age_ms;
 	uint32_t users;
-	uint32_t each_micro;
+	uint32_t each_micro_per_s;
 };
 
 /**
- * enum mesh_sign - what is told of some work.
- * @MESH_BROKEN: an endpoint broke its connections while it had it
- * @MESH_SILENT: an endpoint fell silent while it had it
- * @MESH_CLEARED: it was answered whole
+ * enum mesh_poison_kind - what is told of some work.
+ * @MESH_POISON_BROKEN: an endpoint broke its connections while it had it
+ * @MESH_POISON_SILENT: an endpoint fell silent while it had it
+ * @MESH_POISON_CLEARED: it was answered whole
  */
-enum mesh_sign {
-	MESH_BROKEN = 1,
-	MESH_SILENT,
-	MESH_CLEARED,
+enum mesh_poison_kind {
+	MESH_POISON_BROKEN = 1,
+	MESH_POISON_SILENT,
+	MESH_POISON_CLEARED,
 };
 
 /**
@@ -115,7 +118,7 @@
 	uint32_t key;
 	uint32_t started;
 	uint32_t age_ms;
-	enum mesh_sign sign;
+	enum mesh_poison_kind sign;
 };
 
 /**
@@ -175,7 +178,7 @@
 };
 
 /**
- * struct mesh_news - one datagram.
+ * struct mesh_message - one datagram.
  * @kind: whom it speaks for
  * @name: of the sender
  * @domain: its failure domain
@@ -205,7 +208,7 @@
  * @members: that report to the sender; in MESH_FLEET only
  * @n_members: how many
  */
-struct mesh_news {
+struct mesh_message {
 	enum mesh_kind kind;
 	char name[MESH_NAME_MAX];
 	char domain[MESH_NAME_MAX];
@@ -234,8 +237,8 @@
 	struct mesh_member members[MESH_MEMBERS_MAX];
 };
 
-size_t mesh_news_encode(const struct mesh_news *, char *, size_t);
-bool mesh_news_decode(struct mesh_news *, char *, size_t);
-void mesh_news_clear(struct mesh_news *);
+size_t mesh_message_encode(const struct mesh_message *, char *, size_t);
+bool mesh_message_decode(struct mesh_message *, char *, size_t);
+void mesh_message_clear(struct mesh_message *);
 
 #endif
--- a/src/mesh-poison.c
+++ b/src/mesh-poison.c
@@ -29,7 +29,7 @@
 	switch (kind) {
 	case MESH_REPORT:
 		return (reach == POISON_OWN);
-	case MESH_CELL:
+	case MESH_CELL_SUMMARY:
 		return (reach != POISON_FAR);
 	default:
 		return (true);
@@ -38,14 +38,14 @@
 
 /* Whether there is room for all that is told of some work. */
 static bool
-has_room(const struct mesh_news *news, unsigned most,
+has_room(const struct mesh_message *news, unsigned most,
     const struct poison_work *w)
 {
 	return (news->n_poison + MAX(w->n_ends, 1) <= most);
 }
 
 static struct mesh_poison *
-news_add(struct mesh_news *news, uint64_t work, uint64_t age_ms)
+news_add(struct mesh_message *news, uint64_t work, uint64_t age_ms)
 {
 	struct mesh_poison *told = &news->poison[news->n_poison++];
 
@@ -53,14 +53,14 @@
 	told->key = 0;
 	told->started = 0;
 	told->age_ms = (uint32_t)MIN(age_ms, UINT32_MAX);
-	told->sign = MESH_CLEARED;
+	told->sign = MESH_POISON_CLEARED;
 	return (told);
 }
 
 /* Tells the ends of some work that are of a reach, or that it was cleared. */
 static void
 work_fill(const struct mesh *mesh, const struct poison_work *w, bool all,
-    struct mesh_news *news)
+    struct mesh_message *news)
 {
 	for (unsigned i = 0; i < w->n_ends; i++) {
 		const struct poison_end *end = &w->ends[i];
@@ -72,7 +72,8 @@
 		    mesh->now_ms - MIN(end->at_ms, mesh->now_ms));
 		told->key = end->key;
 		told->started = end->started;
-		told->sign = end->silent ? MESH_SILENT : MESH_BROKEN;
+		told->sign =
+		    end->silent ? MESH_POISON_SILENT : MESH_POISON_BROKEN;
 	}
 	if (w->n_ends == 0 && w->cleared_ms != 0 &&
 	    reach_told(news->kind, w->cleared_reach))
@@ -81,7 +82,7 @@
 
 /* Tells of what changed lately, or of all, if it has ends enough. */
 static void
-fill_news(const struct mesh *mesh, struct mesh_news *news, bool all,
+fill_news(const struct mesh *mesh, struct mesh_message *news, bool all,
     unsigned least, unsigned most)
 {
 	const struct poison_work *w;
@@ -109,7 +110,7 @@
 
 /* Tells of some of the others, in turn. */
 static void
-fill_again(struct mesh *mesh, struct mesh_news *news)
+fill_again(struct mesh *mesh, struct mesh_message *news)
 {
 	unsigned *next = &mesh->poison_next[news->kind];
 	unsigned most = MIN(news->n_poison + AGAIN_MOST, MESH_POISON_MAX);
@@ -138,9 +139,9 @@
  * innocent.
  */
 void
-mesh_fill_poison(struct mesh *mesh, struct mesh_news *news)
+mesh_fill_poison(struct mesh *mesh, struct mesh_message *news)
 {
-	uint64_t *told_ms = &mesh->poison_told_ms[news->kind];
+	uint64_t *told_ms = &mesh->poison_sent_ms[news->kind];
 	bool all = mesh->newcomer_ms != 0 &&
 	    mesh->now_ms - mesh->newcomer_ms < RELAY_NEWS_MS;
 
@@ -172,10 +173,10 @@
 		.key = told->key,
 		.started = told->started,
 		.at_ms = at,
-		.silent = told->sign == MESH_SILENT,
+		.silent = told->sign == MESH_POISON_SILENT,
 		.reach = reach,
 	};
-	bool cleared = told->sign == MESH_CLEARED;
+	bool cleared = told->sign == MESH_POISON_CLEARED;
 	bool news = cleared ? poison_clear(poison, told->work, at, reach, now) :
 			      poison_told(poison, told->work, &end, now);
 
@@ -193,14 +194,14 @@
 }
 
 /**
- * mesh_take_poison() - take in what a datagram tells of suspected work.
+ * mesh_apply_poison() - take in what a datagram tells of suspected work.
  * @mesh: the mesh
  * @peer: its sender
  * @news: the datagram
  */
 void
-mesh_take_poison(struct mesh *mesh, const struct mesh_peer *peer,
-    const struct mesh_news *news)
+mesh_apply_poison(struct mesh *mesh, const struct mesh_peer *peer,
+    const struct mesh_message *news)
 {
 	enum poison_reach reach =
 	    news->kind == MESH_REPORT ? POISON_CELL : POISON_FAR;
@@ -210,5 +211,5 @@
 		fresh |= take_poison(mesh, peer, reach, &news->poison[i]);
 	/* A relay tells news on at once. */
 	if (fresh && mesh->relay == NULL && !mesh_flat(mesh))
-		mesh_tell(mesh);
+		mesh_send(mesh);
 }
--- a/src/mesh-shares.c
+++ b/src/mesh-shares.c
@@ -111,7 +111,7 @@
 	}
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
 		if (strcmp(peer->domain, mesh->domain) == 0 &&
-		    (mesh_peer_relays(mesh, peer) ||
+		    (mesh_peer_is_relay(mesh, peer) ||
 			mesh_peer_reports(mesh, peer)) &&
 		    view->n_others < MESH_MEMBERS_MAX)
 			view->others[view->n_others++] = peer->key;
@@ -125,11 +125,11 @@
 {
 	unsigned steady = 0;
 
-	mesh->lived_least = MIN(mesh->lived_least, living);
-	if (mesh->now_ms - mesh->lived_since_ms >= STEADY_MS) {
-		steady = mesh->lived_least;
-		mesh->lived_least = living;
-		mesh->lived_since_ms = mesh->now_ms;
+	mesh->alive_min = MIN(mesh->alive_min, living);
+	if (mesh->now_ms - mesh->alive_since_ms >= STEADY_MS) {
+		steady = mesh->alive_min;
+		mesh->alive_min = living;
+		mesh->alive_since_ms = mesh->now_ms;
 	}
 	return (fwd_sharers_note(&mesh->lived, steady, LIVED_SPAN_MS,
 	    mesh->now_ms));
@@ -158,8 +158,8 @@
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
 		if (mesh_peer_reports(mesh, peer))
 			view_add(view, mesh->domain, 1);
-		else if (!mesh_peer_near(mesh, peer) &&
-		    mesh_peer_relays(mesh, peer))
+		else if (!mesh_peer_in_cell(mesh, peer) &&
+		    mesh_peer_is_relay(mesh, peer))
 			view_add(view, peer->domain, MAX(peer->living, 1));
 	}
 	view->part = view_part(mesh,
@@ -286,12 +286,13 @@
 }
 
 /**
- * mesh_limit_heard() - an endpoint told this daemon something new of its limit.
+ * mesh_limit_changed() - an endpoint told this daemon something new of its
+ * limit.
  * @mesh: the mesh
  * @ep: the endpoint
  */
 void
-mesh_limit_heard(struct mesh *mesh, struct endpoint *ep)
+mesh_limit_changed(struct mesh *mesh, struct endpoint *ep)
 {
 	ep->limit.changed_ms = mesh->now_ms;
 	mesh_share_limits(mesh);
--- a/src/poison-model.c
+++ b/src/poison-model.c
@@ -25,7 +25,7 @@
  * @works: how many works
  */
 struct poison_model *
-poison_model_new(struct fleet_model *fleet, const struct poison_way *way,
+poison_model_new(struct fleet_model *fleet, const struct poison_scheme *way,
     double per_s, unsigned works)
 {
 	struct poison_model *m = g_new0(struct poison_model, 1);
@@ -34,9 +34,9 @@
 	m->way = way;
 	m->per_s = per_s;
 	m->works = works;
-	m->runs = g_array_new(FALSE, FALSE, sizeof(struct poison_run));
+	m->runs = g_array_new(FALSE, FALSE, sizeof(struct poison_attempt));
 	m->bystanders = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	m->third_ms = g_new0(uint64_t, works);
+	m->third_end_ms = g_new0(uint64_t, works);
 	m->by_work = g_new0(unsigned, works);
 	m->over = g_new0(unsigned, works);
 	m->fingerprint = BYSTANDERS;
@@ -52,7 +52,7 @@
 {
 	g_array_free(m->runs, TRUE);
 	g_array_free(m->bystanders, TRUE);
-	g_free(m->third_ms);
+	g_free(m->third_end_ms);
 	g_free(m->by_work);
 	g_free(m->over);
 	g_free(m);
@@ -86,11 +86,11 @@
 
 	m->bystanders = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	for (unsigned i = 0; i < OTHERS; i++) {
-		unsigned at = fleet_model_draw(m->fleet, m->fleet->n);
+		unsigned at = fleet_model_random(m->fleet, m->fleet->n);
 		uint64_t work = m->fingerprint;
 
 		if (i < met->len &&
-		    fleet_model_draw(m->fleet, MS_PER_S) < MEET_THOUSANDTHS)
+		    fleet_model_random(m->fleet, MS_PER_S) < MEET_THOUSANDTHS)
 			work = g_array_index(met, uint64_t, i);
 		else
 			m->fingerprint++;
@@ -106,7 +106,7 @@
 {
 	uint64_t now = m->fleet->now_ms;
 	unsigned of = (unsigned)work - 1;
-	const struct poison_run run = {
+	const struct poison_attempt run = {
 		.work = work,
 		.daemon = at,
 		.sends = sends + 1,
@@ -116,20 +116,20 @@
 	if (!m->fleet->daemons[at].up || m->way->refuses(m, at, work))
 		return;
 	m->over[of] +=
-	    m->third_ms[of] != 0 && now - m->third_ms[of] >= STABLE_MS;
+	    m->third_end_ms[of] != 0 && now - m->third_end_ms[of] >= STABLE_MS;
 	g_array_append_val(m->runs, run);
 }
 
 /* An endpoint ends under the work that it runs. */
 static void
-model_end(struct poison_model *m, const struct poison_run *run)
+model_end(struct poison_model *m, const struct poison_attempt *run)
 {
 	unsigned of = (unsigned)run->work - 1;
 
 	m->ends++;
 	m->last_ms = m->fleet->now_ms;
 	if (++m->by_work[of] == TOLD_ENDS)
-		m->third_ms[of] = m->fleet->now_ms;
+		m->third_end_ms[of] = m->fleet->now_ms;
 	model_lose(m, run->daemon, run->work);
 	model_lose_others(m);
 	if (run->sends < SENDS_MOST &&
@@ -141,8 +141,8 @@
 model_end_due(struct poison_model *m)
 {
 	for (guint i = 0; i < m->runs->len;) {
-		struct poison_run run =
-		    g_array_index(m->runs, struct poison_run, i);
+		struct poison_attempt run =
+		    g_array_index(m->runs, struct poison_attempt, i);
 
 		if (run.ends_ms > m->fleet->now_ms) {
 			i++;
@@ -166,7 +166,7 @@
 			w->changed_ms = 0;
 		m->fleet->daemons[i].mesh.newcomer_ms = 0;
 		for (unsigned k = 0; k < MESH_KINDS; k++)
-			m->fleet->daemons[i].mesh.poison_told_ms[k] =
+			m->fleet->daemons[i].mesh.poison_sent_ms[k] =
 			    m->fleet->now_ms;
 	}
 }
@@ -185,9 +185,9 @@
 		fleet_model_run(m->fleet, 1);
 		model_end_due(m);
 		for (unsigned i = 0; i < m->works; i++) {
-			if (fleet_model_draw(m->fleet, MS_PER_S) < m->per_s)
+			if (fleet_model_random(m->fleet, MS_PER_S) < m->per_s)
 				model_send(m,
-				    fleet_model_draw(m->fleet, m->fleet->n),
+				    fleet_model_random(m->fleet, m->fleet->n),
 				    i + 1, 0);
 		}
 	}
@@ -204,21 +204,21 @@
 }
 
 /**
- * poison_model_most() - the most endpoints that one work ended.
+ * poison_model_ends_max() - the most endpoints that one work ended.
  * @m: the model
  */
 unsigned
-poison_model_most(const struct poison_model *m)
+poison_model_ends_max(const struct poison_model *m)
 {
 	return (most_of(m->by_work, m->works));
 }
 
 /**
- * poison_model_over() - the most late sends of one work.
+ * poison_model_late_max() - the most late sends of one work.
  * @m: the model
  */
 unsigned
-poison_model_over(const struct poison_model *m)
+poison_model_late_max(const struct poison_model *m)
 {
 	return (most_of(m->over, m->works));
 }
@@ -283,24 +283,24 @@
 	return (w != NULL && w->n_ends >= 2);
 }
 
-const struct poison_way poison_way_alone = {
+const struct poison_scheme poison_scheme_alone = {
 	.name = "alone",
 	.refuses = told_refuses,
 	.repeats = always_repeats,
 };
-const struct poison_way poison_way_two = {
+const struct poison_scheme poison_scheme_two = {
 	.name = "two",
 	.refuses = two_refuses,
 	.repeats = always_repeats,
 	.told = true,
 };
-const struct poison_way poison_way_once = {
+const struct poison_scheme poison_scheme_once = {
 	.name = "once",
 	.refuses = told_refuses,
 	.repeats = once_repeats,
 	.told = true,
 };
-const struct poison_way poison_way_told = {
+const struct poison_scheme poison_scheme_told = {
 	.name = "told",
 	.refuses = told_refuses,
 	.repeats = always_repeats,
--- a/tests/test-adapter.c
+++ b/tests/test-adapter.c
@@ -3,7 +3,7 @@
 #include <math.h>
 #include <string.h>
 
-#include "mesh-news.h"
+#include "mesh-message.h"
 #include "platform.h"
 #include "script.h"
 
@@ -211,9 +211,9 @@
 static void
 exec_news(const char *rest, GString *out)
 {
-	static struct mesh_news in, back;
-	static char bytes[MESH_BYTES];
-	const struct mesh_news said = { .kind = MESH_FLEET,
+	static struct mesh_message in, back;
+	static char bytes[MESH_DATAGRAM_MAX];
+	const struct mesh_message said = { .kind = MESH_FLEET_SUMMARY,
 		.name = "d1",
 		.domain = "a",
 		.capacity = 500,
@@ -240,10 +240,10 @@
 	in.avoid[0] = (struct mesh_avoid){ 99, 20 };
 	in.limits[0] = (struct mesh_limit){ 98, 1300, 250, 3, 433333 };
 	in.members[1] = (struct mesh_member){ 8, 65535, true };
-	length = mesh_news_encode(&in, bytes, sizeof bytes);
+	length = mesh_message_encode(&in, bytes, sizeof bytes);
 	length -= script_number(rest, "cut", 0);
 	length += script_number(rest, "more", 0);
-	if (!mesh_news_decode(&back, bytes, length)) {
+	if (!mesh_message_decode(&back, bytes, length)) {
 		g_string_append(out, "refused\n");
 		return;
 	}
@@ -264,7 +264,7 @@
 	    back.n_members, back.members[1].key, back.members[1].sequence,
 	    back.members[1].newest, back.limits[0].key, back.limits[0].milli,
 	    back.limits[0].age_ms, back.limits[0].users,
-	    back.limits[0].each_micro);
+	    back.limits[0].each_micro_per_s);
 }
 
 static const struct script_command commands[] = {
