--- a/src/bench-limits.c
+++ b/src/bench-limits.c
@@ -40,7 +40,7 @@
 	fleet_model_run(fleet, SETTLE_MS);
 	limit_model_set_limit(m, per_s);
 	limit_model_run(m, COUNT_MS);
-	printf("  %8s %5u %5.2f", way->name, m->over, limit_model_used(m));
+	printf("  %8s %5u %5.2f", way->name, m->n_over, limit_model_used(m));
 	limit_model_free(m);
 	fleet_model_free(fleet);
 }
--- a/src/bench-poison.c
+++ b/src/bench-poison.c
@@ -37,8 +37,8 @@
 	poison_model_run(m, COME_MS);
 	fleet_model_measure(fleet, &sight);
 	printf("  %5s %6.1f %4u %6.1f %4u %6.1f", way->name,
-	    (double)m->ends / works, poison_model_late_max(m),
-	    (double)(m->last_ms - began) / 1000, poison_model_refused(m),
+	    (double)m->n_crashes / works, poison_model_late_max(m),
+	    (double)(m->last_crash_ms - began) / 1000, poison_model_refused(m),
 	    sight.received_bytes_s / 1000);
 	poison_model_free(m);
 	fleet_model_free(fleet);
--- a/src/edge.c
+++ b/src/edge.c
@@ -270,8 +270,8 @@
 static bool
 callers_come(const struct edge *e)
 {
-	return (
-	    e->fwd.stats.counts[COUNT_REQUESTS] > 0 && e->mesh.known_ms != 0);
+	return (e->fwd.stats.counts[COUNT_REQUESTS] > 0 &&
+	    e->mesh.records_read_ms != 0);
 }
 
 /*
@@ -286,7 +286,7 @@
 	const struct mesh *mesh = &e->mesh;
 	uint64_t since = clock_loop_ms(e->loop) - mesh->opened_ms;
 	/* Where nobody else is known, others may be about to announce. */
-	bool own = mesh->known_ms != 0 && mesh->relay == NULL &&
+	bool own = mesh->records_read_ms != 0 && mesh->relay == NULL &&
 	    (mesh->n_peers > 0 || e->announced);
 
 	if (e->dir.endpoints.synced && e->dir.catalog != NULL) {
@@ -321,7 +321,7 @@
 				       clock_loop_ms(e->loop)),
 			INT64_MAX));
 	e->was_ready = ready;
-	e->fwd.daemons = fwd_sharers_note(&e->sharers, 1 + e->mesh.size,
+	e->fwd.daemons = fwd_sharers_note(&e->sharers, 1 + e->mesh.n_others,
 	    e->fwd.set.retry.window_ms, clock_loop_ms(e->loop));
 	edge_choose_reader(e);
 	edge_choose_patience(e);
--- a/src/fleet-model.c
+++ b/src/fleet-model.c
@@ -1,34 +1,36 @@
-/* Many daemons' knowledge of each other in one process, in virtual time. */
+/* Simulation, in virtual time and in one process, of many daemons that exchange
+ * state. */
 #include <string.h>
 
 #include "fleet-model.h"
 
-/* Daemons start within this, in any order. */
+/* Daemons start within this time, in any order. */
 #define START_SPREAD_MS 300
-/* From a daemon's start to its reading of the others' records. */
-#define READ_LEAST_MS 20
+/* Bounds of the time from a daemon's start until it has read the others'
+ * records. */
+#define READ_MIN_MS 20
 #define READ_SPREAD_MS 40
-/* Virtual time begins here: 0 stands for never. */
-#define BEGIN_MS 1000
-/* The daemon that reads the configuration proves it this often. */
+/* Virtual time starts here, since 0 stands for never. */
+#define START_MS 1000
+/* Interval at which the reader proves the configuration. */
 #define PROOF_MS 500
-/* The daemon that reads the entries tells of them this often. */
+/* Interval at which the reader distributes entries. */
 #define FEED_MS 1000
-/* Ages of others' news after which the first daemon and the last one read the
- * store for themselves: bounds of 4 s on configurations and on entries. */
-#define PROOF_LEAST_MS 2400
-#define PROOF_MOST_MS 3200
-#define FEED_LEAST_MS 2000
-#define FEED_MOST_MS 2800
-/* Records of hosts: an entry is written only when more than its beat changed,
- * so in a calm fleet there are none. */
-#define RECORDS_S 0
-/* The first daemons of each failure domain have more room. */
-#define LARGE_A_DOMAIN 3
+/* Ages of received state after which the first daemon and the last one read the
+ * store themselves, for bounds of 4 s on configurations and on entries. */
+#define PROOF_STALE_MIN_MS 2400
+#define PROOF_STALE_MAX_MS 3200
+#define FEED_STALE_MIN_MS 2000
+#define FEED_STALE_MAX_MS 2800
+/* Records of hosts per second. An entry is written only when more than its
+ * heartbeat changed, so a calm fleet writes none. */
+#define RECORDS_PER_S 0
+/* Daemons of each failure domain with a larger capacity. */
+#define LARGE_PER_DOMAIN 3
 #define LARGE_CAPACITY 500
 #define SMALL_CAPACITY 120
 
-/* A datagram on its way. */
+/* A datagram in flight. */
 struct model_datagram {
 	unsigned from;
 	unsigned to;
@@ -39,11 +41,12 @@
 static uv_loop_t model_loop;
 
 /**
- * fleet_model_random() - a random number of the model's own.
+ * fleet_model_random() - draw a random number from the model's own generator.
  * @model: the model
- * @below: it is less than this
+ * @below: exclusive upper bound
  *
- * A small generator, so that a seed tells the whole run.
+ * The generator is small and belongs to the model, so that a seed determines
+ * the whole run.
  */
 uint32_t
 fleet_model_random(struct fleet_model *model, uint32_t below)
@@ -53,11 +56,11 @@
 }
 
 static struct sockaddr_in
-model_address(unsigned at)
+model_address(unsigned index)
 {
 	struct sockaddr_in addr = { .sin_family = AF_INET };
 
-	addr.sin_addr.s_addr = htonl(at + 1);
+	addr.sin_addr.s_addr = htonl(index + 1);
 	addr.sin_port = htons(1);
 	return (addr);
 }
@@ -81,39 +84,40 @@
 
 	daemon->sent++;
 	daemon->sent_bytes += length;
-	d->from = daemon->at;
+	d->from = daemon->index;
 	d->to = ntohl(to->sin_addr.s_addr) - 1;
 	d->bytes = g_memdup2(bytes, length);
 	d->length = length;
-	g_ptr_array_add(model->coming, d);
+	g_ptr_array_add(model->in_flight, d);
 }
 
-/* A daemon reads the entries for itself. */
+/* A daemon reads the entries from the store itself. */
 static void
 daemon_missed(void *arg)
 {
 	struct model_daemon *daemon = arg;
 
-	daemon->reads++;
-	daemon->dir.endpoints.next = daemon->model->now_ms * RECORDS_S / 1000;
+	daemon->entry_reads++;
+	daemon->dir.endpoints.next =
+	    daemon->model->now_ms * RECORDS_PER_S / 1000;
 	daemon->dir.endpoints.fed_ms = daemon->model->now_ms;
 }
 
-/* An endpoint that serves, as all daemons know it. */
+/* Adds an endpoint that serves, as all daemons know it. */
 static void
-daemon_add_endpoint(struct model_daemon *daemon, unsigned at)
+daemon_add_endpoint(struct model_daemon *daemon, unsigned index)
 {
 	struct endpoint_report report = { 0 };
 
-	report.id = g_strdup_printf("e%u", at);
+	report.id = g_strdup_printf("e%u", index);
 	report.service = g_strdup("s");
 	report.staged = g_ptr_array_new_with_free_func(g_free);
 	fleet_update(&daemon->dir.fleet, &report, 1, 0);
 }
 
-/* Begins a run of a daemon that knows nobody. */
+/* Starts a daemon that knows no other. */
 static void
-daemon_begin(struct model_daemon *daemon)
+daemon_start(struct model_daemon *daemon)
 {
 	struct fleet_model *model = daemon->model;
 	struct mesh *mesh = &daemon->mesh;
@@ -127,28 +131,28 @@
 	daemon->dir.catalog->version = 1;
 	mesh->loop = &model_loop;
 	mesh->dir = &daemon->dir;
-	mesh->name = g_strdup_printf("d%03u", daemon->at);
+	mesh->name = g_strdup_printf("d%03u", daemon->index);
 	mesh->domain = g_strdup_printf("z%u", daemon->domain);
-	mesh->capacity = daemon->at < model->n_domains * LARGE_A_DOMAIN ?
+	mesh->capacity = daemon->index < model->n_domains * LARGE_PER_DOMAIN ?
 	    LARGE_CAPACITY :
 	    SMALL_CAPACITY;
-	mesh->send = model_send;
+	mesh->send_datagram = model_send;
 	mesh->send_arg = daemon;
 	mesh->missed = daemon_missed;
 	mesh->missed_arg = daemon;
 	mesh->self.store_ok = true;
 	daemon->dir.endpoints.synced = true;
-	daemon->dir.endpoints.next = model->now_ms * RECORDS_S / 1000;
+	daemon->dir.endpoints.next = model->now_ms * RECORDS_PER_S / 1000;
 	mesh_init(mesh, model->now_ms,
 	    fleet_model_random(model, UINT32_MAX) + 1);
 	daemon->up = true;
 	daemon->relay = NULL;
-	daemon->read_at_ms = model->now_ms + READ_LEAST_MS +
+	daemon->read_at_ms = model->now_ms + READ_MIN_MS +
 	    fleet_model_random(model, READ_SPREAD_MS);
 }
 
 static void
-daemon_end(struct model_daemon *daemon)
+daemon_stop(struct model_daemon *daemon)
 {
 	if (!daemon->up)
 		return;
@@ -163,9 +167,9 @@
 	daemon->up = false;
 }
 
-/* Reads the records of all daemons that had started by then. */
+/* Reads the records of all daemons that have started so far. */
 static void
-daemon_read(struct model_daemon *daemon)
+daemon_read_records(struct model_daemon *daemon)
 {
 	struct fleet_model *model = daemon->model;
 
@@ -182,11 +186,11 @@
 }
 
 /**
- * fleet_model_new() - daemons that start within a third of a second.
- * @n: daemons
- * @n_domains: failure domains
- * @n_endpoints: endpoints
- * @seed: of the random numbers
+ * fleet_model_new() - create a model whose daemons start within 300 ms.
+ * @n: number of daemons
+ * @n_domains: number of failure domains
+ * @n_endpoints: number of endpoints
+ * @seed: seed of the random numbers
  */
 struct fleet_model *
 fleet_model_new(unsigned n, unsigned n_domains, unsigned n_endpoints,
@@ -194,20 +198,20 @@
 {
 	struct fleet_model *model = g_new0(struct fleet_model, 1);
 
-	model->now_ms = BEGIN_MS;
-	model->counted_ms = BEGIN_MS;
+	model->now_ms = START_MS;
+	model->counted_ms = START_MS;
 	model->n = n;
 	model->n_domains = MIN(n_domains, MODEL_DOMAINS_MAX);
 	model->n_endpoints = n_endpoints;
 	model->seed = seed;
-	model->coming = g_ptr_array_new_with_free_func(datagram_free);
+	model->in_flight = g_ptr_array_new_with_free_func(datagram_free);
 	model->daemons = g_new0(struct model_daemon, n);
 	for (unsigned i = 0; i < n; i++) {
 		model->daemons[i].model = model;
-		model->daemons[i].at = i;
+		model->daemons[i].index = i;
 		model->daemons[i].domain = i % model->n_domains;
-		model->daemons[i].starts_ms =
-		    BEGIN_MS + 1 + fleet_model_random(model, START_SPREAD_MS);
+		model->daemons[i].start_ms =
+		    START_MS + 1 + fleet_model_random(model, START_SPREAD_MS);
 	}
 	return (model);
 }
@@ -220,52 +224,52 @@
 fleet_model_free(struct fleet_model *model)
 {
 	for (unsigned i = 0; i < model->n; i++)
-		daemon_end(&model->daemons[i]);
-	g_ptr_array_free(model->coming, TRUE);
+		daemon_stop(&model->daemons[i]);
+	g_ptr_array_free(model->in_flight, TRUE);
 	g_free(model->daemons);
 	g_free(model);
 }
 
 /**
- * fleet_model_find() - a daemon by its name.
+ * fleet_model_find() - find a daemon by its name.
  * @model: the model
- * @name: the name
+ * @name: its name
  */
 struct model_daemon *
 fleet_model_find(const struct fleet_model *model, const char *name)
 {
-	guint64 at = g_ascii_strtoull(name + 1, NULL, 10);
+	guint64 index = g_ascii_strtoull(name + 1, NULL, 10);
 
-	return (at < model->n ? &model->daemons[at] : NULL);
+	return (index < model->n ? &model->daemons[index] : NULL);
 }
 
 /**
- * fleet_model_start() - have a daemon start.
+ * fleet_model_start() - start a daemon.
  * @model: the model
- * @at: index of the daemon
- * @in_ms: from now
+ * @index: index of the daemon
+ * @in_ms: delay until it starts, in ms
  */
 void
-fleet_model_start(struct fleet_model *model, unsigned at, uint64_t in_ms)
+fleet_model_start(struct fleet_model *model, unsigned index, uint64_t in_ms)
 {
-	model->daemons[at].starts_ms = model->now_ms + in_ms;
+	model->daemons[index].start_ms = model->now_ms + in_ms;
 }
 
 /**
- * fleet_model_stop() - end a daemon without a word.
+ * fleet_model_stop() - stop a daemon without a farewell message.
  * @model: the model
- * @at: index of the daemon
+ * @index: index of the daemon
  */
 void
-fleet_model_stop(struct fleet_model *model, unsigned at)
+fleet_model_stop(struct fleet_model *model, unsigned index)
 {
-	daemon_end(&model->daemons[at]);
-	model->daemons[at].starts_ms = UINT64_MAX;
+	daemon_stop(&model->daemons[index]);
+	model->daemons[index].start_ms = UINT64_MAX;
 }
 
 /**
- * fleet_model_set_load() - give each daemon requests at endpoints drawn at
- * random.
+ * fleet_model_set_load() - give each daemon requests at randomly drawn
+ * endpoints.
  * @model: the model
  * @each: requests of each daemon
  */
@@ -289,13 +293,13 @@
 	}
 }
 
-/* Delivers what was sent in the millisecond before. */
+/* Delivers the datagrams sent in the previous millisecond. */
 static void
 model_deliver(struct fleet_model *model)
 {
-	GPtrArray *now = model->coming;
+	GPtrArray *now = model->in_flight;
 
-	model->coming = g_ptr_array_new_with_free_func(datagram_free);
+	model->in_flight = g_ptr_array_new_with_free_func(datagram_free);
 	for (guint i = 0; i < now->len; i++) {
 		struct model_datagram *d = now->pdata[i];
 		struct sockaddr_in from = model_address(d->from);
@@ -308,7 +312,7 @@
 		if (!to->up ||
 		    model->cut[model->daemons[d->from].domain][to->domain])
 			continue;
-		to->heard++;
+		to->received++;
 		to->received_bytes += d->length;
 		to->mesh.now_ms = model->now_ms;
 		mesh_receive(&to->mesh, d->bytes, d->length, &from);
@@ -316,7 +320,7 @@
 	g_ptr_array_free(now, TRUE);
 }
 
-/* Tells of entries that were read: nothing that others have to know. */
+/* Distributes the entries that were read, none of which changed. */
 static void
 daemon_feed(struct model_daemon *daemon)
 {
@@ -325,68 +329,69 @@
 	    g_array_new(FALSE, TRUE, sizeof(struct store_record));
 	uint64_t from = f->next;
 
-	f->next = daemon->model->now_ms * RECORDS_S / 1000;
+	f->next = daemon->model->now_ms * RECORDS_PER_S / 1000;
 	f->fed_ms = daemon->model->now_ms;
 	mesh_send_entries(&daemon->mesh, from, f->next, none);
 }
 
-/* Whether a daemon asks the store, of what others told it of at some time. */
+/* Whether a daemon queries the store, given when it last received its state
+ * from others. */
 static bool
-daemon_asks(struct model_daemon *daemon, uint64_t fed_ms, unsigned least,
-    unsigned most)
+daemon_queries_store(struct model_daemon *daemon, uint64_t fed_ms,
+    unsigned min_ms, unsigned max_ms)
 {
-	unsigned patience = mesh_stale_after_ms(&daemon->mesh, least, most);
-	bool untold = fed_ms != 0 && daemon->model->now_ms - fed_ms >= patience;
+	unsigned stale_ms = mesh_stale_after_ms(&daemon->mesh, min_ms, max_ms);
+	bool stale = fed_ms != 0 && daemon->model->now_ms - fed_ms >= stale_ms;
 
-	daemon->alone += untold;
-	return (untold || mesh_is_reader(&daemon->mesh));
+	daemon->store_queries += stale;
+	return (stale || mesh_is_reader(&daemon->mesh));
 }
 
-/* Reads the store, if it answers, at the daemon's own moments. */
+/* Reads the store, if it answers, at the daemon's own times. */
 static void
 daemon_read_store(struct model_daemon *daemon)
 {
 	uint64_t now = daemon->model->now_ms;
 	struct dir *dir = &daemon->dir;
 
-	if (now % PROOF_MS == daemon->at % PROOF_MS &&
-	    daemon_asks(daemon, dir->config.fed_ms, PROOF_LEAST_MS,
-		PROOF_MOST_MS) &&
+	if (now % PROOF_MS == daemon->index % PROOF_MS &&
+	    daemon_queries_store(daemon, dir->config.fed_ms, PROOF_STALE_MIN_MS,
+		PROOF_STALE_MAX_MS) &&
 	    daemon->mesh.self.store_ok)
 		dir->config.proof_ms = now;
-	if (now % FEED_MS == daemon->at % FEED_MS &&
-	    daemon_asks(daemon, dir->endpoints.fed_ms, FEED_LEAST_MS,
-		FEED_MOST_MS) &&
+	if (now % FEED_MS == daemon->index % FEED_MS &&
+	    daemon_queries_store(daemon, dir->endpoints.fed_ms,
+		FEED_STALE_MIN_MS, FEED_STALE_MAX_MS) &&
 	    daemon->mesh.self.store_ok)
 		daemon_feed(daemon);
 }
 
-/* What a daemon does by its own clock. */
+/* Runs what is due at a daemon in this millisecond. */
 static void
-daemon_turn(struct model_daemon *daemon)
+daemon_step(struct model_daemon *daemon)
 {
 	struct fleet_model *model = daemon->model;
 	uint64_t now = model->now_ms;
 
-	if (!daemon->up && now == daemon->starts_ms)
-		daemon_begin(daemon);
+	if (!daemon->up && now == daemon->start_ms)
+		daemon_start(daemon);
 	if (!daemon->up)
 		return;
 	daemon->mesh.now_ms = now;
 	if (daemon->read_at_ms != 0 && now >= daemon->read_at_ms)
-		daemon_read(daemon);
+		daemon_read_records(daemon);
 	daemon_read_store(daemon);
-	if (now % MESH_ROUND_MS != daemon->starts_ms % MESH_ROUND_MS)
+	if (now % MESH_ROUND_MS != daemon->start_ms % MESH_ROUND_MS)
 		return;
 	mesh_round(&daemon->mesh);
-	daemon->moves += daemon->mesh.relay != daemon->relay;
+	daemon->relay_changes += daemon->mesh.relay != daemon->relay;
 	daemon->relay = daemon->mesh.relay;
 }
 
 /**
- * fleet_model_run() - let time pass.
+ * fleet_model_run() - advance virtual time.
  * @model: the model
- * @ms: how much
+ * @ms: by how much, in ms
  */
 void
 fleet_model_run(struct fleet_model *model, uint64_t ms)
@@ -395,12 +400,12 @@
 		model->now_ms++;
 		model_deliver(model);
 		for (unsigned i = 0; i < model->n; i++)
-			daemon_turn(&model->daemons[i]);
+			daemon_step(&model->daemons[i]);
 	}
 }
 
 /**
- * fleet_model_reset_counts() - begin the counts anew.
+ * fleet_model_reset_counts() - reset the counters.
  * @model: the model
  */
 void
@@ -411,112 +416,113 @@
 		struct model_daemon *daemon = &model->daemons[i];
 
 		daemon->sent = daemon->sent_bytes = 0;
-		daemon->heard = daemon->received_bytes = 0;
-		daemon->moves = 0;
-		daemon->reads = 0;
-		daemon->alone = 0;
+		daemon->received = daemon->received_bytes = 0;
+		daemon->relay_changes = 0;
+		daemon->entry_reads = 0;
+		daemon->store_queries = 0;
 	}
 }
 
-/* Requests at each endpoint, at all daemons that run. */
+/* Sums the requests of all running daemons per endpoint. */
 static GArray *
-model_truth(const struct fleet_model *model)
+model_actual(const struct fleet_model *model)
 {
-	GArray *truth = g_array_new(FALSE, TRUE, sizeof(unsigned));
+	GArray *actual = g_array_new(FALSE, TRUE, sizeof(unsigned));
 
-	g_array_set_size(truth, model->n_endpoints);
+	g_array_set_size(actual, model->n_endpoints);
 	for (unsigned i = 0; i < model->n; i++) {
 		const struct endpoint *ep;
-		unsigned at = 0;
+		unsigned index = 0;
 
 		if (!model->daemons[i].up)
 			continue;
 		TAILQ_FOREACH(ep, &model->daemons[i].dir.fleet.endpoints, entry)
-			g_array_index(truth, unsigned, at++) += ep->inflight;
+			g_array_index(actual, unsigned, index++) +=
+			    ep->inflight;
 	}
-	return (truth);
+	return (actual);
 }
 
-/* Compares one daemon's counts with the truth. */
+/* Compares one daemon's sums of requests with the actual ones. */
 static void
-sight_off(const struct model_daemon *daemon, const GArray *truth,
-    struct model_stats *sight)
+stats_add_load_error(const struct model_daemon *daemon, const GArray *actual,
+    struct model_stats *stats)
 {
 	const struct endpoint *ep;
-	unsigned at = 0;
+	unsigned index = 0;
 
 	TAILQ_FOREACH(ep, &daemon->dir.fleet.endpoints, entry) {
-		unsigned is = g_array_index(truth, unsigned, at++);
+		unsigned real = g_array_index(actual, unsigned, index++);
 		unsigned seen = ep->inflight + ep->peer_inflight;
-		unsigned off = is > seen ? is - seen : seen - is;
+		unsigned difference = real > seen ? real - seen : seen - real;
 
-		sight->load_error_mean += off;
-		sight->load_error_max = MAX(sight->load_error_max, off);
+		stats->load_error_mean += difference;
+		stats->load_error_max = MAX(stats->load_error_max, difference);
 	}
 }
 
 static void
-sight_counts(const struct model_daemon *daemon, double seconds,
-    struct model_stats *sight)
+stats_add_counts(const struct model_daemon *daemon, double seconds,
+    struct model_stats *stats)
 {
-	sight->moves += daemon->moves;
-	sight->reads += daemon->reads;
-	sight->alone += daemon->alone;
-	sight->sent_s += (double)daemon->sent / seconds;
-	sight->received_s += (double)daemon->heard / seconds;
-	sight->received_bytes_s += (double)daemon->received_bytes / seconds;
-	sight->sent_max_s =
-	    MAX(sight->sent_max_s, (double)daemon->sent / seconds);
-	sight->sent_bytes_max_s =
-	    MAX(sight->sent_bytes_max_s, (double)daemon->sent_bytes / seconds);
+	stats->relay_changes += daemon->relay_changes;
+	stats->entry_reads += daemon->entry_reads;
+	stats->store_queries += daemon->store_queries;
+	stats->sent_s += (double)daemon->sent / seconds;
+	stats->received_s += (double)daemon->received / seconds;
+	stats->received_bytes_s += (double)daemon->received_bytes / seconds;
+	stats->sent_max_s =
+	    MAX(stats->sent_max_s, (double)daemon->sent / seconds);
+	stats->sent_bytes_max_s =
+	    MAX(stats->sent_bytes_max_s, (double)daemon->sent_bytes / seconds);
 }
 
 static void
-sight_daemon(const struct model_daemon *daemon, struct model_stats *sight)
+stats_add_daemon(const struct model_daemon *daemon, struct model_stats *stats)
 {
 	const struct mesh *mesh = &daemon->mesh;
-	unsigned living = 1 + mesh_count_alive(mesh);
+	unsigned n_alive = 1 + mesh_count_alive(mesh);
 	uint64_t age = dir_config_age(&daemon->dir, daemon->model->now_ms);
 
-	sight->up++;
-	sight->relays += mesh->relay == NULL;
-	sight->alive_least = MIN(sight->alive_least, living);
-	sight->alive_most = MAX(sight->alive_most, living);
-	sight->readers += mesh_is_reader(mesh);
-	sight->first_ranked += mesh_rank(mesh) == 0;
-	sight->holder += mesh_placer_heard(mesh) || mesh->self.placer;
-	sight->config_age_max_ms = MAX(sight->config_age_max_ms, age);
-	sight->feed_age_max_ms = MAX(sight->feed_age_max_ms,
+	stats->up++;
+	stats->relays += mesh->relay == NULL;
+	stats->alive_least = MIN(stats->alive_least, n_alive);
+	stats->alive_most = MAX(stats->alive_most, n_alive);
+	stats->readers += mesh_is_reader(mesh);
+	stats->first_ranked += mesh_rank(mesh) == 0;
+	stats->placer_known += mesh_placer_heard(mesh) || mesh->self.placer;
+	stats->config_age_max_ms = MAX(stats->config_age_max_ms, age);
+	stats->feed_age_max_ms = MAX(stats->feed_age_max_ms,
 	    daemon->model->now_ms - daemon->dir.endpoints.fed_ms);
 }
 
 /**
- * fleet_model_measure() - compare the daemons' pictures with the truth.
+ * fleet_model_measure() - compare the daemons' views with the actual state.
  * @model: the model
- * @sight: filled in
+ * @stats: filled in
  */
 void
-fleet_model_measure(const struct fleet_model *model, struct model_stats *sight)
+fleet_model_measure(const struct fleet_model *model, struct model_stats *stats)
 {
 	double seconds =
 	    (double)MAX(model->now_ms - model->counted_ms, 1) / 1000;
-	GArray *truth = model_truth(model);
+	GArray *actual = model_actual(model);
 
-	memset(sight, 0, sizeof *sight);
-	sight->alive_least = UINT32_MAX;
+	memset(stats, 0, sizeof *stats);
+	stats->alive_least = UINT32_MAX;
 	for (unsigned i = 0; i < model->n; i++) {
 		if (!model->daemons[i].up)
 			continue;
-		sight_daemon(&model->daemons[i], sight);
-		sight_off(&model->daemons[i], truth, sight);
-		sight_counts(&model->daemons[i], seconds, sight);
+		stats_add_daemon(&model->daemons[i], stats);
+		stats_add_load_error(&model->daemons[i], actual, stats);
+		stats_add_counts(&model->daemons[i], seconds, stats);
 	}
-	g_array_free(truth, TRUE);
-	if (sight->up == 0)
+	g_array_free(actual, TRUE);
+	if (stats->up == 0)
 		return;
-	sight->load_error_mean /=
-	    (double)sight->up * MAX(model->n_endpoints, 1);
-	sight->sent_s /= sight->up;
-	sight->received_s /= sight->up;
-	sight->received_bytes_s /= sight->up;
+	stats->load_error_mean /=
+	    (double)stats->up * MAX(model->n_endpoints, 1);
+	stats->sent_s /= stats->up;
+	stats->received_s /= stats->up;
+	stats->received_bytes_s /= stats->up;
 }
--- a/src/fleet-model.h
+++ b/src/fleet-model.h
@@ -1,62 +1,65 @@
-/* Many daemons' knowledge of each other in one process, in virtual time. */
+/* Simulation, in virtual time and in one process, of many daemons that exchange
+ * state. */
 #ifndef BL_FLEET_MODEL_H
 #define BL_FLEET_MODEL_H
 
 #include "mesh.h"
 
-/* Failure domains of a model. */
+/* Largest number of failure domains of a model. */
 #define MODEL_DOMAINS_MAX 16
 
 /**
  * struct model_daemon - one daemon.
- * @mesh: what it knows of the others
- * @dir: what it knows of the endpoints
- * @model: it is part of
- * @at: its index, and its address
- * @domain: its failure domain
- * @up: it runs
- * @starts_ms: when it starts
+ * @mesh: its view of the other daemons
+ * @dir: its view of the endpoints
+ * @model: the model that it belongs to
+ * @index: its index, from which its address follows
+ * @domain: index of its failure domain
+ * @up: it is running
+ * @start_ms: when it starts
  * @read_at_ms: when it reads the records of the daemons; 0 once it has
- * @sent: datagrams since the counts began
- * @sent_bytes: bytes of them
- * @heard: datagrams that reached it
- * @received_bytes: bytes of them
- * @moves: changes of its relay
- * @reads: that it had to make of the entries for itself
- * @alone: questions to the store because nobody told it of what is there
- * @relay: as of its last round
+ * @sent: datagrams sent since the counters were reset
+ * @sent_bytes: bytes in these
+ * @received: datagrams received since then
+ * @received_bytes: bytes in these
+ * @relay_changes: changes of its relay since then
+ * @entry_reads: reads of the entries from the store because datagrams were
+ *	missing, since then
+ * @store_queries: store queries since then because no peer's state was recent
+ *	enough
+ * @relay: its relay as of its last round
  */
 struct model_daemon {
 	struct mesh mesh;
 	struct dir dir;
 	struct fleet_model *model;
-	unsigned at;
+	unsigned index;
 	unsigned domain;
 	bool up;
-	uint64_t starts_ms;
+	uint64_t start_ms;
 	uint64_t read_at_ms;
 	uint64_t sent;
 	uint64_t sent_bytes;
-	uint64_t heard;
+	uint64_t received;
 	uint64_t received_bytes;
-	unsigned moves;
-	unsigned reads;
-	unsigned alone;
+	unsigned relay_changes;
+	unsigned entry_reads;
+	unsigned store_queries;
 	const struct mesh_peer *relay;
 };
 
 /**
- * struct fleet_model - all of them, and the links between them.
- * @now_ms: virtual time
- * @daemons: of them
- * @n: how many
- * @n_domains: failure domains, in which they take turns
- * @n_endpoints: endpoints that all know
+ * struct fleet_model - the daemons, and the links between them.
+ * @now_ms: virtual time, in ms
+ * @daemons: the daemons
+ * @n: number of @daemons
+ * @n_domains: number of failure domains, to which daemons are assigned in turn
+ * @n_endpoints: number of endpoints; every daemon knows all of them
  * @loss: lost datagrams, in thousandths
- * @cut: whether the link from a domain to another is cut
- * @seed: of the random numbers
- * @coming: datagrams that arrive in the next millisecond
- * @counted_ms: when the counts began
+ * @cut: whether the link from one failure domain to another is cut
+ * @seed: state of the random number generator
+ * @in_flight: datagrams that arrive in the next millisecond
+ * @counted_ms: when the counters were reset
  */
 struct fleet_model {
 	uint64_t now_ms;
@@ -67,31 +70,34 @@
 	unsigned loss;
 	bool cut[MODEL_DOMAINS_MAX][MODEL_DOMAINS_MAX];
 	uint64_t seed;
-	GPtrArray *coming;
+	GPtrArray *in_flight;
 	uint64_t counted_ms;
 };
 
 /**
- * struct model_stats - how far the daemons' pictures differ from the truth.
- * @up: daemons that run
- * @relays: of them, that relay
- * @alive_least: fewest daemons that one takes for living, itself included
- * @alive_most: most
- * @readers: that would read the store for the others
- * @first_ranked: that would place first
- * @holder: that know of a placer that serves
- * @load_error_mean: mean difference of an endpoint's requests from the truth
- * @load_error_max: the largest
- * @moves: changes of a relay since the counts began
- * @reads: of entries that daemons made for themselves since then
- * @alone: questions to the store for want of others' news, since then
- * @config_age_max_ms: oldest proof of the configuration
- * @feed_age_max_ms: longest since a daemon was told of entries
- * @sent_s: datagrams a second that a daemon sends, mean
- * @sent_max_s: the same of the daemon that sends most
- * @received_s: datagrams a second that reach a daemon, mean
- * @received_bytes_s: bytes a second that reach a daemon, mean
- * @sent_bytes_max_s: bytes a second of the daemon that sends most
+ * struct model_stats - the daemons' views compared with the actual state.
+ * @up: running daemons
+ * @relays: running daemons that are relays
+ * @alive_least: fewest live daemons that any daemon counts, itself included
+ * @alive_most: most live daemons that any daemon counts
+ * @readers: daemons that would read the store for the others
+ * @first_ranked: daemons that would be the first to become placer
+ * @placer_known: daemons that know of a working placer
+ * @load_error_mean: mean difference between a daemon's count of an endpoint's
+ *	requests and the actual one
+ * @load_error_max: largest such difference
+ * @relay_changes: changes of a relay since the counters were reset
+ * @entry_reads: reads of the entries that daemons made for themselves since
+ *	then
+ * @store_queries: store queries since then because no peer's state was recent
+ *	enough
+ * @config_age_max_ms: age of the oldest proof of a configuration, in ms
+ * @feed_age_max_ms: longest time since a daemon received entries, in ms
+ * @sent_s: mean datagrams per second that a daemon sends
+ * @sent_max_s: largest number of datagrams per second that a daemon sends
+ * @received_s: mean datagrams per second that a daemon receives
+ * @received_bytes_s: mean bytes per second that a daemon receives
+ * @sent_bytes_max_s: largest number of bytes per second that a daemon sends
  */
 struct model_stats {
 	unsigned up;
@@ -100,12 +106,12 @@
 	unsigned alive_most;
 	unsigned readers;
 	unsigned first_ranked;
-	unsigned holder;
+	unsigned placer_known;
 	double load_error_mean;
 	unsigned load_error_max;
-	unsigned moves;
-	unsigned reads;
-	unsigned alone;
+	unsigned relay_changes;
+	unsigned entry_reads;
+	unsigned store_queries;
 	uint64_t config_age_max_ms;
 	uint64_t feed_age_max_ms;
 	double sent_s;
--- a/src/keeper-lease.c
+++ b/src/keeper-lease.c
@@ -329,8 +329,8 @@
 	uint64_t wait;
 
 	if (k->writing || mesh->self.leaving || !mesh->self.store_ok ||
-	    k->dir->catalog == NULL || mesh->known_ms == 0 ||
-	    now_ms - MIN(mesh->known_ms, now_ms) < KNOWN_WAIT_MS)
+	    k->dir->catalog == NULL || mesh->records_read_ms == 0 ||
+	    now_ms - MIN(mesh->records_read_ms, now_ms) < KNOWN_WAIT_MS)
 		return (false);
 	if (mesh_placer_heard(mesh)) {
 		k->alone_ms = 0;
--- a/src/limit-model.h
+++ b/src/limit-model.h
@@ -1,4 +1,5 @@
-/* An endpoint that names a limit before many daemons, in virtual time. */
+/* Simulation, in virtual time, of many daemons that send to an endpoint with a
+ * rate limit. */
 #ifndef BL_LIMIT_MODEL_H
 #define BL_LIMIT_MODEL_H
 
@@ -9,58 +10,61 @@
 /**
  * struct limit_scheme - a way to share a limit among daemons.
  * @name: its name
- * @look: looks at the daemons, each millisecond; may be NULL
- * @take: whether a daemon may send a request now; it is counted then
- * @heard: a daemon was told of the limit, or of none, by the endpoint itself
+ * @step: updates the shares, once a millisecond; may be NULL
+ * @admit: whether a daemon may send a request now; if so, the request is
+ *	counted
+ * @notified: called when the endpoint's answer told a daemon of the limit, or
+ *	that there is none
  */
 struct limit_scheme {
 	const char *name;
-	void (*look)(struct limit_model *);
-	bool (*take)(struct limit_model *, unsigned);
-	void (*heard)(struct limit_model *, unsigned, uint64_t);
+	void (*step)(struct limit_model *);
+	bool (*admit)(struct limit_model *, unsigned);
+	void (*notified)(struct limit_model *, unsigned, uint64_t);
 };
 
 /**
  * struct limit_daemon - one daemon, as the endpoint sees it.
- * @told_ms: when it was first told of the limit; 0 for never
- * @turns: requests that it may send, where its way counts them here
- * @demand: moving mean of its requests a second
+ * @notified_ms: when the endpoint first told it of the limit; 0 for never
+ * @permits: requests that it may send, where the scheme counts them here
+ * @demand: moving average of its requests per second
  */
 struct limit_daemon {
-	uint64_t told_ms;
-	double turns;
+	uint64_t notified_ms;
+	double permits;
 	double demand;
 };
 
 /**
- * struct limit_model - the endpoint, and requests that daemons have for it.
+ * struct limit_model - the endpoint, and the daemons' requests for it.
  * @fleet: the daemons
- * @way: how they share
- * @daemons: of them
- * @per_s: the limit that it names; below 0 for none
- * @named_ms: when it began to
- * @demand: requests a second of each daemon that has any
- * @busy: of so many daemons each one has requests
- * @came: times of requests of the last 4 s by daemons that were told, in ms
- * @got: requests since the limit counts
- * @over: of these, beyond what a window allows
- * @untold: of these, by daemons that knew of no limit
- * @owner: the daemon that hands out requests, where one does
- * @owner_since_ms: it may from then on
- * @owner_permits: requests that it may hand out
+ * @scheme: how they share the limit
+ * @daemons: the endpoint's view of each daemon
+ * @per_s: limit that it names, in requests per second; below 0 for none
+ * @limit_set_ms: when it began to name this limit
+ * @demand: requests per second of each daemon that has any
+ * @busy: one in this many daemons has requests
+ * @arrivals: arrival times in the last 4 s of requests by notified daemons, in
+ *	ms
+ * @n_requests: requests since compliance with the limit has been measured
+ * @n_over: of these, requests beyond what a window allows
+ * @n_uninformed: requests by daemons that did not know of the limit
+ * @owner: daemon that grants requests, in schemes that have one
+ * @owner_since_ms: time from which it may grant requests
+ * @owner_permits: requests that it may grant
  */
 struct limit_model {
 	struct fleet_model *fleet;
-	const struct limit_scheme *way;
+	const struct limit_scheme *scheme;
 	struct limit_daemon *daemons;
 	double per_s;
-	uint64_t named_ms;
+	uint64_t limit_set_ms;
 	double demand;
 	unsigned busy;
-	GArray *came;
-	unsigned got;
-	unsigned over;
-	unsigned untold;
+	GArray *arrivals;
+	unsigned n_requests;
+	unsigned n_over;
+	unsigned n_uninformed;
 	unsigned owner;
 	uint64_t owner_since_ms;
 	double owner_permits;
--- a/src/limit-schemes.c
+++ b/src/limit-schemes.c
@@ -1,19 +1,20 @@
 /*
- * Other ways to share a limit among daemons, to compare with the one in use.
- * They know of the daemons that live at once, which is better than any can.
+ * Alternative schemes to share a limit among daemons, for comparison with the
+ * one in use. They know at once which daemons are alive, which is better than
+ * any real one can.
  */
 #include "limit-model.h"
 
-/* Turns that a daemon saves up. */
-#define TURNS_MOST 1.0
-/* A daemon that died counts for so long; another takes over from an owner. */
+/* Most permits that a daemon accumulates. */
+#define PERMITS_MAX 1.0
+/* Time until a daemon replaces an owner that died. */
 #define DEAD_MS 1500
 /* Weight of the newest millisecond in a daemon's demand. */
 #define DEMAND_ALPHA (1.0 / 3000)
 #define MS_PER_S 1000.0
 
 static unsigned
-ways_living(const struct limit_model *m)
+scheme_count_alive(const struct limit_model *m)
 {
 	unsigned n = 0;
 
@@ -23,50 +24,51 @@
 }
 
 static void
-ways_fill(struct limit_daemon *d, double per_s)
+scheme_refill(struct limit_daemon *d, double per_s)
 {
-	d->turns = MIN(d->turns + per_s / MS_PER_S, TURNS_MOST);
+	d->permits = MIN(d->permits + per_s / MS_PER_S, PERMITS_MAX);
 }
 
 static bool
-ways_take(struct limit_model *m, unsigned at)
+scheme_admit(struct limit_model *m, unsigned index)
 {
-	struct limit_daemon *d = &m->daemons[at];
+	struct limit_daemon *d = &m->daemons[index];
 
-	/* One that the endpoint has not told yet sends as it likes. */
-	if (d->told_ms == 0)
+	/* A daemon that the endpoint has not notified yet sends without
+	 * restriction. */
+	if (d->notified_ms == 0)
 		return (true);
-	if (d->turns < 1)
+	if (d->permits < 1)
 		return (false);
-	d->turns--;
+	d->permits--;
 	return (true);
 }
 
 static void
-ways_heard(struct limit_model *m, unsigned at, uint64_t now_ms)
+scheme_notified(struct limit_model *m, unsigned index, uint64_t now_ms)
 {
 }
 
-/* Each daemon that lives has the same share. */
+/* Each live daemon has the same share. */
 static void
-equal_look(struct limit_model *m)
+equal_step(struct limit_model *m)
 {
-	unsigned living = ways_living(m);
+	unsigned n_alive = scheme_count_alive(m);
 
 	for (unsigned i = 0; i < m->fleet->n; i++)
-		ways_fill(&m->daemons[i], m->per_s / living);
+		scheme_refill(&m->daemons[i], m->per_s / n_alive);
 }
 
 const struct limit_scheme limit_scheme_equal = {
 	.name = "equal",
-	.look = equal_look,
-	.take = ways_take,
-	.heard = ways_heard,
+	.step = equal_step,
+	.admit = scheme_admit,
+	.notified = scheme_notified,
 };
 
-/* Each daemon has a share by the requests that it had lately. */
+/* Each daemon's share is proportional to its recent requests. */
 static void
-demand_look(struct limit_model *m)
+demand_step(struct limit_model *m)
 {
 	double sum = 0;
 
@@ -79,23 +81,23 @@
 		sum += d->demand;
 	}
 	for (unsigned i = 0; i < m->fleet->n && sum > 0; i++)
-		ways_fill(&m->daemons[i],
+		scheme_refill(&m->daemons[i],
 		    m->per_s * m->daemons[i].demand / sum);
 }
 
 const struct limit_scheme limit_scheme_demand = {
 	.name = "demand",
-	.look = demand_look,
-	.take = ways_take,
-	.heard = ways_heard,
+	.step = demand_step,
+	.admit = scheme_admit,
+	.notified = scheme_notified,
 };
 
-/* One daemon hands out each request; another takes over when it is lost. */
+/* One daemon grants each request; another replaces it when it is lost. */
 static void
-owner_look(struct limit_model *m)
+owner_step(struct limit_model *m)
 {
 	m->owner_permits =
-	    MIN(m->owner_permits + m->per_s / MS_PER_S, TURNS_MOST);
+	    MIN(m->owner_permits + m->per_s / MS_PER_S, PERMITS_MAX);
 	if (m->fleet->daemons[m->owner].up)
 		return;
 	m->owner = (m->owner + 1) % m->fleet->n;
@@ -104,9 +106,9 @@
 }
 
 static bool
-owner_take(struct limit_model *m, unsigned at)
+owner_admit(struct limit_model *m, unsigned index)
 {
-	if (m->daemons[at].told_ms == 0)
+	if (m->daemons[index].notified_ms == 0)
 		return (true);
 	if (m->owner_permits < 1 || m->fleet->now_ms < m->owner_since_ms)
 		return (false);
@@ -116,7 +118,7 @@
 
 const struct limit_scheme limit_scheme_owner = {
 	.name = "owner",
-	.look = owner_look,
-	.take = owner_take,
-	.heard = ways_heard,
+	.step = owner_step,
+	.admit = owner_admit,
+	.notified = scheme_notified,
 };
--- a/src/mesh-config.c
+++ b/src/mesh-config.c
@@ -7,14 +7,15 @@
 #include "random.h"
 
 #define FETCH_TIMEOUT_MS 600
-/* A peer of the own failure domain is waited for this long: bytes between
- * failure domains are priced, and the wait is short against the bound within
- * which a configuration must be in force. */
-#define NEAR_WAIT_MS 200
-/* At first, one hearing in so many leads to a fetch. */
+/* A newer configuration is not fetched across failure domains until this time
+ * has passed: traffic between failure domains is billed, and the wait is short
+ * against the bound within which a configuration must be in force. */
+#define OTHER_DOMAIN_WAIT_MS 200
+/* During the first SPREAD_MS, one in this many received datagrams leads to a
+ * fetch. */
 #define SPREAD_MS 400
 #define FETCH_ONE_IN 4
-/* After this the store is asked as well. */
+/* After this time the store is polled as well. */
 #define STORE_AFTER_MS 800
 
 static void
@@ -22,7 +23,7 @@
 {
 	struct mesh *mesh = arg;
 
-	mesh->fetching = false;
+	mesh->fetching_config = false;
 	if (answer->status != HTTP_STATUS_OK) {
 		event_log(LOG_INFO, "config_not_fetched", "status=%u",
 		    answer->status);
@@ -35,15 +36,17 @@
 		dir_follow_adopt(&mesh->dir->config, mesh->fetched_offset + 1,
 		    mesh->fetched_proof_ms);
 	dir_follow_skip(&mesh->dir->config, mesh->fetched_offset + 1);
-	/* The peer may have come to a newer version since it proved its own. */
+	/* The peer may have received a newer version since it proved its own.
+	 */
 	if (mesh->dir->catalog->version >= mesh->fetched_version)
 		mesh->dir->peer_proof_ms =
 		    MAX(mesh->dir->peer_proof_ms, mesh->fetched_proof_ms);
 }
 
 /*
- * Whom to ask: the peer that was heard, or one of those of which it said that
- * they have as new a one, so that a relay does not serve its whole cell.
+ * Chooses the peer to fetch from: the one that was heard, or one of those that
+ * it lists as having the same version, so that a relay does not serve its whole
+ * cell.
  */
 static struct mesh_peer *
 config_source(const struct mesh *mesh, struct mesh_peer *peer)
@@ -54,7 +57,7 @@
 	if (peer != mesh->relay)
 		return (peer);
 	TAILQ_FOREACH(other, &mesh->peers, entry) {
-		if (other->newest && other->listed_ms == mesh->now_ms &&
+		if (other->config_current && other->listed_ms == mesh->now_ms &&
 		    random_below(++n) == 0)
 			source = other;
 	}
@@ -62,8 +65,9 @@
 }
 
 /*
- * Whether a newer configuration is to be fetched now; a daemon that has none
- * can't serve, and a relay is what a whole cell waits for.
+ * Whether to fetch a newer configuration now. A relay fetches at once, since
+ * its whole cell waits for it. A daemon that has no configuration can't serve
+ * and fetches without asking this.
  */
 static bool
 fetch_due(const struct mesh *mesh, const struct mesh_peer *peer)
@@ -72,10 +76,11 @@
 
 	if (mesh->relay == NULL && !mesh_flat(mesh))
 		return (true);
-	if (strcmp(peer->domain, mesh->domain) != 0 && behind < NEAR_WAIT_MS)
+	if (strcmp(peer->domain, mesh->domain) != 0 &&
+	    behind < OTHER_DOMAIN_WAIT_MS)
 		return (false);
-	/* Not all at once from the one that has it first: those that fetched it
-	 * are asked by the others. */
+	/* Spread over time: daemons that have fetched it share the load of
+	 * serving it with the one that had it first. */
 	return (behind >= SPREAD_MS || random_below(FETCH_ONE_IN) == 0);
 }
 
@@ -94,14 +99,14 @@
 	struct mesh_peer *source;
 	uint64_t now = mesh->now_ms;
 
-	mesh->newest = MAX(mesh->newest, peer->config_version);
-	if (mesh->newest <= own)
+	mesh->newest_version = MAX(mesh->newest_version, peer->config_version);
+	if (mesh->newest_version <= own)
 		mesh->behind_since_ms = 0;
 	else if (mesh->behind_since_ms == 0)
 		mesh->behind_since_ms = now;
 	if (peer->config_version <= own)
 		return;
-	if (mesh->fetching || (own >= 0 && !fetch_due(mesh, peer)))
+	if (mesh->fetching_config || (own >= 0 && !fetch_due(mesh, peer)))
 		return;
 	if (now - mesh->behind_since_ms >= STORE_AFTER_MS)
 		dir_follow_hurry(&mesh->dir->config);
@@ -111,6 +116,6 @@
 	source = config_source(mesh, peer);
 	event_log(LOG_INFO, "config_fetch", "peer=%s version=%lld own=%lld",
 	    source->name, (long long)peer->config_version, (long long)own);
-	mesh->fetching = net_call_start(&source->pool, &req, FETCH_TIMEOUT_MS,
-			     on_fetched, mesh) != NULL;
+	mesh->fetching_config = net_call_start(&source->pool, &req,
+				    FETCH_TIMEOUT_MS, on_fetched, mesh) != NULL;
 }
--- a/src/mesh-entries.c
+++ b/src/mesh-entries.c
@@ -1,71 +1,72 @@
-/* Entries of endpoints that one daemon tells the others, encoded by XDR. */
+/* XDR encoding of the datagrams that distribute entries of endpoints. */
 #include <rpc/rpc.h>
 #include <string.h>
 
 #include "mesh-entries.h"
 #include "store-ops.h"
 
-/* First word of each datagram: "BLE" and the version of the format. */
+/* First word of each datagram of entries: "BLE" and the version of the format.
+ */
 #define ENTRIES_MAGIC 0x424c4501u
 
-/* The same of a question for entries: "BLA". */
-#define ASK_MAGIC 0x424c4101u
+/* First word of each resend request: "BLA" and the version of the format. */
+#define RESEND_MAGIC 0x424c4101u
 
 static bool_t
-xdr_ask(XDR *xdr, struct mesh_resend *ask)
+xdr_resend(XDR *xdr, struct mesh_resend *resend)
 {
-	uint32_t magic = ASK_MAGIC;
-	char *name = ask->name;
+	uint32_t magic = RESEND_MAGIC;
+	char *name = resend->name;
 
-	return (xdr_uint32_t(xdr, &magic) && magic == ASK_MAGIC &&
+	return (xdr_uint32_t(xdr, &magic) && magic == RESEND_MAGIC &&
 	    xdr_string(xdr, &name, MESH_NAME_MAX - 1) &&
-	    xdr_uint64_t(xdr, &ask->from));
+	    xdr_uint64_t(xdr, &resend->from));
 }
 
 /**
- * mesh_resend_encode() - write a question for entries.
- * @ask: the question
- * @out: where to
- * @size: room there
+ * mesh_resend_encode() - encode a resend request.
+ * @resend: the request
+ * @out: output buffer
+ * @size: size of @out
  *
- * Return: its length, or 0 where it does not fit.
+ * Return: length of the encoded request, or 0 if it does not fit.
  */
 size_t
-mesh_resend_encode(const struct mesh_resend *ask, char *out, size_t size)
+mesh_resend_encode(const struct mesh_resend *resend, char *out, size_t size)
 {
 	size_t length = 0;
 	XDR xdr;
 
 	xdrmem_create(&xdr, out, (u_int)size, XDR_ENCODE);
-	if (xdr_ask(&xdr, (struct mesh_resend *)ask))
+	if (xdr_resend(&xdr, (struct mesh_resend *)resend))
 		length = xdr_getpos(&xdr);
 	xdr_destroy(&xdr);
 	return (length);
 }
 
 /**
- * mesh_resend_decode() - read a question for entries.
- * @ask: filled in
+ * mesh_resend_decode() - decode a resend request.
+ * @resend: filled in
  * @in: the datagram
  * @length: its length
  *
- * Return: false where it is another datagram.
+ * Return: false if the datagram is not a resend request.
  */
 bool
-mesh_resend_decode(struct mesh_resend *ask, char *in, size_t length)
+mesh_resend_decode(struct mesh_resend *resend, char *in, size_t length)
 {
 	bool ok;
 	XDR xdr;
 
-	memset(ask, 0, sizeof *ask);
+	memset(resend, 0, sizeof *resend);
 	xdrmem_create(&xdr, in, (u_int)length, XDR_DECODE);
-	ok = xdr_ask(&xdr, ask);
+	ok = xdr_resend(&xdr, resend);
 	xdr_destroy(&xdr);
 	return (ok);
 }
 
 static bool_t
-xdr_head(XDR *xdr, struct mesh_entries *entries)
+xdr_header(XDR *xdr, struct mesh_entries *entries)
 {
 	uint32_t magic = ENTRIES_MAGIC;
 	char *name = entries->name;
@@ -91,14 +92,14 @@
 }
 
 /**
- * mesh_entries_encode() - write a datagram.
- * @entries: what to say
- * @first: index of the first record
- * @n: how many
- * @out: where to
- * @size: room there
+ * mesh_entries_encode() - encode a range of changed entries.
+ * @entries: the changed entries
+ * @first: index of the first record to encode
+ * @n: number of records to encode
+ * @out: output buffer
+ * @size: size of @out
  *
- * Return: its length, or 0 where it does not fit.
+ * Return: length of the encoding, or 0 if it does not fit.
  */
 size_t
 mesh_entries_encode(const struct mesh_entries *entries, guint first, guint n,
@@ -110,7 +111,7 @@
 	XDR xdr;
 
 	xdrmem_create(&xdr, out, (u_int)size, XDR_ENCODE);
-	ok = xdr_head(&xdr, (struct mesh_entries *)entries) &&
+	ok = xdr_header(&xdr, (struct mesh_entries *)entries) &&
 	    xdr_uint32_t(&xdr, &count);
 	for (guint i = first; ok && i < first + n; i++)
 		ok = xdr_record(&xdr,
@@ -121,7 +122,8 @@
 	return (length);
 }
 
-/* Reads one record; its memory is GLib's, not the decoder's. */
+/* Decodes one record. XDR allocates with malloc(); the copy in @records is
+ * allocated by GLib. */
 static bool
 decode_record(XDR *xdr, GArray *records)
 {
@@ -142,10 +144,12 @@
 }
 
 /**
- * mesh_entries_decode() - read a datagram.
- * @entries: filled in; free its records also where this fails
- * @in: the datagram
+ * mesh_entries_decode() - decode changed entries.
+ * @entries: filled in; its records must be freed even if this fails
+ * @in: the encoding
  * @length: its length
+ *
+ * Return: false if the encoding is malformed.
  */
 bool
 mesh_entries_decode(struct mesh_entries *entries, char *in, size_t length)
@@ -159,7 +163,7 @@
 	    g_array_new(FALSE, TRUE, sizeof(struct store_record));
 	g_array_set_clear_func(entries->records, store_record_clear);
 	xdrmem_create(&xdr, in, (u_int)length, XDR_DECODE);
-	ok = xdr_head(&xdr, entries) && xdr_uint32_t(&xdr, &count) &&
+	ok = xdr_header(&xdr, entries) && xdr_uint32_t(&xdr, &count) &&
 	    count <= MESH_RECORDS_MAX && entries->from <= entries->end;
 	for (uint32_t i = 0; ok && i < count; i++)
 		ok = decode_record(&xdr, entries->records);
--- a/src/mesh-entries.h
+++ b/src/mesh-entries.h
@@ -1,4 +1,5 @@
-/* Entries of endpoints that one daemon read and tells the others. */
+/* Datagrams that distribute the entries of endpoints that one daemon read from
+ * the store. */
 #ifndef BL_MESH_ENTRIES_H
 #define BL_MESH_ENTRIES_H
 
@@ -9,18 +10,20 @@
 
 #include "mesh-message.h"
 
-/* Records told at once: all endpoints that serve, to a daemon that starts. */
+/* Records in one message: all endpoints that serve, for a daemon that starts.
+ */
 #define MESH_RECORDS_MAX 4096
-/* Largest value of a record. */
+/* Largest value of a record, in bytes. */
 #define MESH_VALUE_MAX 4096
 
 /**
- * struct mesh_entries - one datagram.
- * @name: of the sender
- * @from: the sender read from this offset
- * @end: to this one
- * @returned_ms: how long ago the store came back to it; UINT32_MAX for never
- * @records: what changed, of struct store_record
+ * struct mesh_entries - changed entries of endpoints.
+ * @name: name of the sender
+ * @from: the records are all that changed from this store offset on
+ * @end: up to this one
+ * @returned_ms: time since the store answered the sender again after an outage,
+ *	in ms; UINT32_MAX for never
+ * @records: the changed records, of struct store_record
  */
 struct mesh_entries {
 	char name[MESH_NAME_MAX];
@@ -31,9 +34,9 @@
 };
 
 /**
- * struct mesh_resend - a question for entries that were missed.
- * @name: of the sender
- * @from: it lacks what changed from this offset on
+ * struct mesh_resend - a request to send missed entries again.
+ * @name: name of the sender
+ * @from: it lacks what changed from this store offset on
  */
 struct mesh_resend {
 	char name[MESH_NAME_MAX];
--- a/src/mesh-feed.c
+++ b/src/mesh-feed.c
@@ -1,10 +1,10 @@
 /*
- * Which entries were read and changed: told by the one that reads the store,
- * told on by relays to their cells.
+ * Distribution of changed entries of endpoints: sent by the daemon that reads
+ * the store, and forwarded by relays to their cells.
  *
- * Answers hundreds of daemons that each would read the store for themselves.
- * A datagram that got lost is made good by its repeat with the next, then by
- * asking a relay, and only then by a read of one's own.
+ * This saves hundreds of daemons from each reading the store. A lost datagram
+ * is made good by the repetition of its records with the next one, then by
+ * asking a peer to resend, and only then by a read of the store.
  */
 #include <string.h>
 
@@ -12,21 +12,22 @@
 #include "mesh.h"
 
 /* Records in one datagram; at about 400 bytes each it stays below 5 KB. */
-#define ENTRIES_TOLD 12
-/* Entries that are missing may still be on their way for this long: they leave
- * the reader just before others can say that they are there. */
+#define ENTRIES_PER_DATAGRAM 12
+/* Missing entries may still arrive within this time: they leave the reader just
+ * before other daemons' messages can say that they exist. */
 #define GAP_WAIT_MS 100
-/* Between two questions for them. */
-#define ASK_AGAIN_MS 150
-/* The same datagram by another way comes within this; a later one that says
- * the same is a new word of the reader. */
-#define FORWARD_AGAIN_MS 100
-/* After this the store is read: some questions were lost or had no answer. */
+/* Interval between two resend requests. */
+#define RESEND_RETRY_MS 150
+/* A duplicate of a datagram that takes another path arrives within this time.
+ * Later, the same range of offsets is a new message of the reader. */
+#define DUPLICATE_MS 100
+/* After this time the store is read: some resend requests were lost or not
+ * answered. */
 #define GAP_STORE_MS 700
 
-/* Whether a daemon outside the own cell is told of entries directly. */
+/* Whether entries are sent directly to a daemon of another cell. */
 static bool
-far_due(const struct mesh *mesh, const struct mesh_peer *peer)
+outside_due(const struct mesh *mesh, const struct mesh_peer *peer)
 {
 	if (mesh_flat(mesh))
 		return (mesh_peer_maybe_alive(mesh, peer) ||
@@ -34,55 +35,57 @@
 	return (mesh_peer_is_relay(mesh, peer));
 }
 
-/* Sends a datagram to the own cell, to other relays, or to both. */
+/* Sends a datagram to this cell and, if @outside, to the relays of other
+ * cells. */
 static void
 feed_send(struct mesh *mesh, const struct mesh_peer *origin, const char *bytes,
-    size_t length, bool far)
+    size_t length, bool outside)
 {
 	struct mesh_peer *peer;
 
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
-		bool near = mesh_peer_in_cell(mesh, peer);
+		bool in_cell = mesh_peer_in_cell(mesh, peer);
 
 		if (peer == origin)
 			continue;
-		if ((near &&
+		if ((in_cell &&
 			(mesh_peer_reports(mesh, peer) ||
 			    mesh_peer_is_relay(mesh, peer))) ||
-		    (far && !near && far_due(mesh, peer)))
-			mesh->send(mesh->send_arg, &peer->addr, bytes, length);
+		    (outside && !in_cell && outside_due(mesh, peer)))
+			mesh->send_datagram(mesh->send_arg, &peer->addr, bytes,
+			    length);
 	}
 }
 
-/* Keeps a datagram for those that miss it. */
+/* Saves a datagram for peers that miss it. */
 static void
-feed_keep(struct mesh *mesh, uint64_t from, uint64_t end, const char *bytes,
+feed_save(struct mesh *mesh, uint64_t from, uint64_t end, const char *bytes,
     size_t length)
 {
-	struct mesh_sent_entries *kept =
-	    &mesh->kept[mesh->n_sent_entries++ % MESH_SENT_ENTRIES_MAX];
+	struct mesh_sent_entries *sent =
+	    &mesh->sent_entries[mesh->n_sent_entries++ % MESH_SENT_ENTRIES_MAX];
 
-	g_clear_pointer(&kept->bytes, g_bytes_unref);
-	kept->from = from;
-	kept->end = end;
-	kept->bytes = g_bytes_new(bytes, length);
+	g_clear_pointer(&sent->bytes, g_bytes_unref);
+	sent->from = from;
+	sent->end = end;
+	sent->bytes = g_bytes_new(bytes, length);
 }
 
 /**
- * mesh_feed_clear() - free what is kept.
+ * mesh_feed_clear() - free the saved datagrams and records.
  * @mesh: the mesh
  */
 void
 mesh_feed_clear(struct mesh *mesh)
 {
 	for (unsigned i = 0; i < MESH_SENT_ENTRIES_MAX; i++)
-		g_clear_pointer(&mesh->kept[i].bytes, g_bytes_unref);
-	if (mesh->told != NULL)
-		g_array_free(mesh->told, TRUE);
-	mesh->told = NULL;
+		g_clear_pointer(&mesh->sent_entries[i].bytes, g_bytes_unref);
+	if (mesh->last_entries != NULL)
+		g_array_free(mesh->last_entries, TRUE);
+	mesh->last_entries = NULL;
 }
 
-/* Tells some of the records. */
+/* Sends a range of the records in one datagram. */
 static void
 entries_send(struct mesh *mesh, const struct mesh_entries *entries, guint first,
     guint n)
@@ -91,17 +94,18 @@
 	size_t length = mesh_entries_encode(entries, first, n, out, sizeof out);
 
 	if (length == 0) {
-		event_log(LOG_WARNING, "entries_not_told", "records=%u", n);
+		event_log(LOG_WARNING, "entries_not_sent", "records=%u", n);
 		return;
 	}
-	feed_keep(mesh, entries->from, entries->end, out, length);
+	feed_save(mesh, entries->from, entries->end, out, length);
 	if (mesh->relay != NULL)
-		mesh->send(mesh->send_arg, &mesh->relay->addr, out, length);
+		mesh->send_datagram(mesh->send_arg, &mesh->relay->addr, out,
+		    length);
 	else
 		feed_send(mesh, NULL, out, length, true);
 }
 
-/* Copies records to the end of an array. */
+/* Appends copies of records to an array. */
 static void
 entries_append(GArray *to, const GArray *records)
 {
@@ -115,7 +119,7 @@
 	}
 }
 
-/* Order of two records by their place in the store. */
+/* Orders two records by their store offset. */
 static int
 by_offset(const void *a, const void *b)
 {
@@ -124,15 +128,15 @@
 	return (x->offset < y->offset ? -1 : x->offset > y->offset);
 }
 
-/* Sends records in as many datagrams as they need. */
+/* Sends all records, in as many datagrams as they need. */
 static void
-entries_tell(struct mesh *mesh, struct mesh_entries *entries, uint64_t end)
+entries_send_all(struct mesh *mesh, struct mesh_entries *entries, uint64_t end)
 {
 	const GArray *records = entries->records;
 	guint first = 0;
 
 	do {
-		guint n = MIN(records->len - first, ENTRIES_TOLD);
+		guint n = MIN(records->len - first, ENTRIES_PER_DATAGRAM);
 		guint last = first + n;
 
 		/* A snapshot may hold records that are newer than its end. */
@@ -148,14 +152,14 @@
 }
 
 /**
- * mesh_send_entries() - tell the others what was read and changed.
+ * mesh_send_entries() - distribute the entries that were read from the store.
  * @mesh: the mesh
- * @from: read from this offset
- * @end: to this one
- * @records: what changed, of struct store_record
+ * @from: they were read from this store offset on
+ * @end: up to this one
+ * @records: the changed records, of struct store_record
  *
- * What was told the last time is told again, if it fits, so that one lost
- * datagram leaves no gap.
+ * The records of the previous call are repeated if they fit, so that the loss
+ * of one datagram leaves no gap.
  */
 void
 mesh_send_entries(struct mesh *mesh, uint64_t from, uint64_t end,
@@ -164,8 +168,9 @@
 	const struct dir_follow *f = &mesh->dir->endpoints;
 	struct mesh_entries entries = { .from = from,
 		.returned_ms = UINT32_MAX };
-	bool again = mesh->told != NULL && mesh->last_entries_from < from &&
-	    mesh->told->len + records->len <= ENTRIES_TOLD;
+	bool repeat = mesh->last_entries != NULL &&
+	    mesh->last_entries_from < from &&
+	    mesh->last_entries->len + records->len <= ENTRIES_PER_DATAGRAM;
 	g_autoptr(GArray) all =
 	    g_array_new(FALSE, TRUE, sizeof(struct store_record));
 
@@ -175,148 +180,151 @@
 		entries.returned_ms = (uint32_t)MIN(mesh->now_ms -
 			MIN(f->regained_ms, mesh->now_ms),
 		    UINT32_MAX);
-	if (again) {
-		entries_append(all, mesh->told);
+	if (repeat) {
+		entries_append(all, mesh->last_entries);
 		entries.from = mesh->last_entries_from;
 	}
 	entries_append(all, records);
-	/* Those of a snapshot are in the order of their keys. */
+	/* The records of a snapshot are ordered by key. */
 	g_array_sort(all, by_offset);
 	entries.records = all;
-	entries_tell(mesh, &entries, end);
-	if (mesh->told == NULL) {
-		mesh->told =
+	entries_send_all(mesh, &entries, end);
+	if (mesh->last_entries == NULL) {
+		mesh->last_entries =
 		    g_array_new(FALSE, TRUE, sizeof(struct store_record));
-		g_array_set_clear_func(mesh->told, store_record_clear);
+		g_array_set_clear_func(mesh->last_entries, store_record_clear);
 	}
-	g_array_set_size(mesh->told, 0);
-	entries_append(mesh->told, records);
+	g_array_set_size(mesh->last_entries, 0);
+	entries_append(mesh->last_entries, records);
 	mesh->last_entries_from = from;
 }
 
-/* Asks a peer for what is missing here. */
+/* Asks a peer to resend the missing entries. */
 static void
-feed_ask(struct mesh *mesh, const struct mesh_peer *peer)
+feed_request_resend(struct mesh *mesh, const struct mesh_peer *peer)
 {
-	struct mesh_resend ask = { .from = mesh->dir->endpoints.next };
+	struct mesh_resend resend = { .from = mesh->dir->endpoints.next };
 	char out[MESH_NAME_MAX * 2];
 	size_t length;
 
-	if (mesh->asked_ms != 0 && mesh->now_ms - mesh->asked_ms < ASK_AGAIN_MS)
+	if (mesh->resend_asked_ms != 0 &&
+	    mesh->now_ms - mesh->resend_asked_ms < RESEND_RETRY_MS)
 		return;
-	mesh->asked_ms = mesh->now_ms;
-	g_strlcpy(ask.name, mesh->name, sizeof ask.name);
-	length = mesh_resend_encode(&ask, out, sizeof out);
-	mesh->send(mesh->send_arg, &peer->addr, out, length);
+	mesh->resend_asked_ms = mesh->now_ms;
+	g_strlcpy(resend.name, mesh->name, sizeof resend.name);
+	length = mesh_resend_encode(&resend, out, sizeof out);
+	mesh->send_datagram(mesh->send_arg, &peer->addr, out, length);
 	event_log(LOG_INFO, "entries_missed",
 	    "peer=%s next=%llu told=%llu gap_ms=%llu", peer->name,
-	    (unsigned long long)ask.from, (unsigned long long)mesh->feed_end,
-	    (unsigned long long)(mesh->now_ms - mesh->gap_ms));
+	    (unsigned long long)resend.from, (unsigned long long)mesh->feed_end,
+	    (unsigned long long)(mesh->now_ms - mesh->missing_since_ms));
 }
 
-/* Sends again what a peer missed, as far as it is kept. */
+/* Resends the datagrams that a peer missed, as far as they are still saved. */
 static void
-feed_answer(struct mesh *mesh, const struct mesh_resend *ask,
+feed_resend(struct mesh *mesh, const struct mesh_resend *resend,
     const struct sockaddr_in *to)
 {
 	unsigned n = MIN(mesh->n_sent_entries, MESH_SENT_ENTRIES_MAX);
 
 	for (unsigned i = mesh->n_sent_entries - n; i < mesh->n_sent_entries;
 	     i++) {
-		const struct mesh_sent_entries *kept =
-		    &mesh->kept[i % MESH_SENT_ENTRIES_MAX];
+		const struct mesh_sent_entries *sent =
+		    &mesh->sent_entries[i % MESH_SENT_ENTRIES_MAX];
 		gsize length;
-		const char *bytes = g_bytes_get_data(kept->bytes, &length);
+		const char *bytes = g_bytes_get_data(sent->bytes, &length);
 
-		if (kept->end > ask->from)
-			mesh->send(mesh->send_arg, to, bytes, length);
+		if (sent->end > resend->from)
+			mesh->send_datagram(mesh->send_arg, to, bytes, length);
 	}
 }
 
-/* A relay tells its cell, and the others what comes from its cell. */
+/* Forwards a datagram: a relay sends it to its cell and, if it comes from its
+ * cell, to the relays of other cells. */
 static void
 feed_forward(struct mesh *mesh, const struct mesh_entries *entries,
     const char *bytes, size_t length)
 {
 	const struct mesh_peer *origin = mesh_find(mesh, entries->name);
-	bool own = origin != NULL && mesh_peer_in_cell(mesh, origin);
+	bool in_cell = origin != NULL && mesh_peer_in_cell(mesh, origin);
 
 	if (mesh->relay != NULL || mesh_flat(mesh))
 		return;
 	mesh->forwarded_from = entries->from;
 	mesh->forwarded_end = entries->end;
 	mesh->forwarded_ms = mesh->now_ms;
-	feed_keep(mesh, entries->from, entries->end, bytes, length);
-	feed_send(mesh, origin, bytes, length, own);
+	feed_save(mesh, entries->from, entries->end, bytes, length);
+	feed_send(mesh, origin, bytes, length, in_cell);
 }
 
 /*
- * Whether a datagram is to be told on: once if it comes by two ways, not if it
- * was asked for, but also if it tells that nothing changed.
+ * Whether a datagram is to be forwarded: once if it arrives by two paths, and
+ * not if it was resent on request; one without changes is forwarded too.
  */
 static bool
-feed_fresh(const struct mesh *mesh, const struct mesh_entries *entries)
+feed_is_new(const struct mesh *mesh, const struct mesh_entries *entries)
 {
 	bool same = entries->from == mesh->forwarded_from &&
 	    entries->end == mesh->forwarded_end;
 
 	return (entries->end >= mesh->feed_end &&
-	    (!same || mesh->now_ms - mesh->forwarded_ms >= FORWARD_AGAIN_MS));
+	    (!same || mesh->now_ms - mesh->forwarded_ms >= DUPLICATE_MS));
 }
 
-/* Takes in what was read and changed, and tells it on. */
+/* Forwards received entries, saves them for resending and applies them. */
 static void
-feed_take(struct mesh *mesh, const struct mesh_entries *entries,
+feed_apply(struct mesh *mesh, const struct mesh_entries *entries,
     const char *bytes, size_t length)
 {
-	bool fresh = feed_fresh(mesh, entries);
+	bool is_new = feed_is_new(mesh, entries);
 
 	mesh->feed_end = MAX(mesh->feed_end, entries->end);
-	if (fresh)
+	if (is_new)
 		feed_forward(mesh, entries, bytes, length);
 	else if (mesh->relay == NULL && !mesh_flat(mesh))
-		feed_keep(mesh, entries->from, entries->end, bytes, length);
+		feed_save(mesh, entries->from, entries->end, bytes, length);
 	if (!dir_feed_endpoints(mesh->dir, entries->from, entries->end,
 		entries->records, entries->returned_ms, mesh->now_ms) &&
-	    mesh->gap_ms == 0)
-		mesh->gap_ms = mesh->now_ms;
+	    mesh->missing_since_ms == 0)
+		mesh->missing_since_ms = mesh->now_ms;
 }
 
 /**
- * mesh_receive_entries() - take in a datagram about entries.
+ * mesh_receive_entries() - handle a datagram of entries or a resend request.
  * @mesh: the mesh
  * @in: the datagram
  * @length: its length
- * @from: where it came from
+ * @from: its sender's address
  *
- * Return: false where it is about something else.
+ * Return: false if it is neither of these.
  */
 bool
 mesh_receive_entries(struct mesh *mesh, char *in, size_t length,
     const struct sockaddr_in *from)
 {
 	struct mesh_entries entries;
-	struct mesh_resend ask;
+	struct mesh_resend resend;
 	bool ok;
 
-	if (mesh_resend_decode(&ask, in, length)) {
-		feed_answer(mesh, &ask, from);
+	if (mesh_resend_decode(&resend, in, length)) {
+		feed_resend(mesh, &resend, from);
 		return (true);
 	}
 	ok = mesh_entries_decode(&entries, in, length);
 	if (ok && strcmp(entries.name, mesh->name) != 0)
-		feed_take(mesh, &entries, in, length);
+		feed_apply(mesh, &entries, in, length);
 	g_array_free(entries.records, TRUE);
 	return (ok);
 }
 
 /**
- * mesh_feed_check() - see whether entries are missing here.
+ * mesh_feed_check() - check whether entries are missing here.
  * @mesh: the mesh
  * @peer: a daemon that was heard
- * @end: its entries are complete up to this offset, or MESH_NO_ENTRIES
+ * @end: it has all entries up to this offset; MESH_NO_ENTRIES if it has read
+ *	none
  *
- * Asks it for them, and reads the store where that does not help.
+ * Asks that daemon to resend them, or has the store read if that did not help.
  */
 void
 mesh_feed_check(struct mesh *mesh, const struct mesh_peer *peer, uint64_t end)
@@ -330,17 +338,17 @@
 		mesh->feed_end = MAX(mesh->feed_end, end);
 	if (f->reader || !f->synced || f->seen != NULL ||
 	    f->next >= mesh->feed_end) {
-		mesh->gap_ms = 0;
+		mesh->missing_since_ms = 0;
 		return;
 	}
-	if (mesh->gap_ms == 0)
-		mesh->gap_ms = mesh->now_ms;
-	gap = mesh->now_ms - mesh->gap_ms;
+	if (mesh->missing_since_ms == 0)
+		mesh->missing_since_ms = mesh->now_ms;
+	gap = mesh->now_ms - mesh->missing_since_ms;
 	if (gap >= GAP_STORE_MS) {
-		mesh->gap_ms = mesh->now_ms;
+		mesh->missing_since_ms = mesh->now_ms;
 		if (mesh->missed != NULL)
 			mesh->missed(mesh->missed_arg);
 	} else if (gap >= GAP_WAIT_MS && end > f->next) {
-		feed_ask(mesh, peer);
+		feed_request_resend(mesh, peer);
 	}
 }
--- a/src/mesh-limits.c
+++ b/src/mesh-limits.c
@@ -1,157 +1,162 @@
 /*
- * Limits that endpoints name for all daemons together: who is told of them, and
- * what is taken from others' words.
+ * Exchange of the request rate limits that endpoints name for all daemons
+ * together.
  */
 #include <math.h>
 
 #include "event-log.h"
 #include "mesh.h"
 
-/* What is new is told in every datagram for so long, so that some may be lost,
- * and to a daemon that starts all is. */
-#define NEWS_MS 600
-/* Some of the rest are told this often, in turn. */
-#define AGAIN_MS 1000
-#define AGAIN_MOST 16
-/* The end of a limit is told again for so long. */
-#define LIFTED_TOLD_MS 10000
-/* A daemon tells its relay of what endpoints told itself within this. */
-#define HEARD_MS 2000
+/* A change is sent in every datagram for this long, so that some may be lost. A
+ * daemon that starts is sent all limits for as long. */
+#define CHANGE_SEND_MS 600
+/* Unchanged limits are repeated at this interval, up to this many at a time, in
+ * rotation. */
+#define REPEAT_INTERVAL_MS 1000
+#define REPEAT_MAX 16
+/* The removal of a limit is repeated for this long. */
+#define REMOVAL_SEND_MS 10000
+/* A daemon reports to its relay what endpoints told it directly within this
+ * time. */
+#define DIRECT_REPORT_MS 2000
 #define MILLI 1000.0
 #define MICRO 1e6
 
-/* Whether a datagram of a kind may tell of an endpoint's limit. */
+/* Whether a datagram of a kind may carry the limit of an endpoint. */
 static bool
-limit_told(const struct mesh *mesh, const struct endpoint *ep,
+limit_sendable(const struct mesh *mesh, const struct endpoint *ep,
     enum mesh_kind kind)
 {
 	const struct endpoint_limit *limit = &ep->limit;
 	uint64_t now = mesh->now_ms;
 
 	if (kind == MESH_REPORT)
-		return (
-		    limit->heard_ms != 0 && now - limit->heard_ms < HEARD_MS);
+		return (limit->heard_ms != 0 &&
+		    now - limit->heard_ms < DIRECT_REPORT_MS);
 	return (limit->holds ||
-	    (limit->said_ms != 0 && now - limit->said_ms < LIFTED_TOLD_MS));
+	    (limit->said_ms != 0 && now - limit->said_ms < REMOVAL_SEND_MS));
 }
 
 static void
 limit_fill(const struct mesh *mesh, const struct endpoint *ep,
-    struct mesh_message *news)
+    struct mesh_message *msg)
 {
 	const struct endpoint_limit *limit = &ep->limit;
-	struct mesh_limit *told = &news->limits[news->n_limits++];
-
-	told->key = ep->key;
-	told->milli = limit->holds ? (uint32_t)lround(limit->per_s * MILLI) :
-				     MESH_NO_LIMIT;
-	told->age_ms = (uint32_t)MIN(mesh->now_ms - limit->said_ms, UINT32_MAX);
-	told->users = limit->cell_users;
-	told->each_micro_per_s =
+	struct mesh_limit *item = &msg->limits[msg->n_limits++];
+
+	item->id_hash = ep->key;
+	item->milli_per_s = limit->holds ?
+	    (uint32_t)lround(limit->per_s * MILLI) :
+	    MESH_NO_LIMIT;
+	item->age_ms = (uint32_t)MIN(mesh->now_ms - limit->said_ms, UINT32_MAX);
+	item->users = limit->cell_users;
+	item->each_micro_per_s =
 	    (uint32_t)MIN(lround(limit->cell_each_per_s * MICRO), UINT32_MAX);
 }
 
-/* Tells of what changed lately, or of all. */
+/* Adds the limits that changed recently, or all of them. */
 static void
-fill_news(const struct mesh *mesh, struct mesh_message *news, bool all)
+fill_changed(const struct mesh *mesh, struct mesh_message *msg, bool all)
 {
 	const struct endpoint *ep;
 
 	TAILQ_FOREACH(ep, &mesh->dir->fleet.endpoints, entry) {
-		if (news->n_limits == MESH_LIMITS_MAX)
+		if (msg->n_limits == MESH_LIMITS_MAX)
 			return;
-		if (limit_told(mesh, ep, news->kind) &&
-		    (all || mesh->now_ms - ep->limit.changed_ms < NEWS_MS))
-			limit_fill(mesh, ep, news);
+		if (limit_sendable(mesh, ep, msg->kind) &&
+		    (all ||
+			mesh->now_ms - ep->limit.changed_ms < CHANGE_SEND_MS))
+			limit_fill(mesh, ep, msg);
 	}
 }
 
-/* Tells of some of the others, in turn. */
+/* Adds the next few of the unchanged limits. */
 static void
-fill_again(struct mesh *mesh, struct mesh_message *news)
+fill_repeated(struct mesh *mesh, struct mesh_message *msg)
 {
-	unsigned *next = &mesh->limits_next[news->kind];
-	unsigned most = MIN(news->n_limits + AGAIN_MOST, MESH_LIMITS_MAX);
+	unsigned *next = &mesh->limits_next[msg->kind];
+	unsigned max = MIN(msg->n_limits + REPEAT_MAX, MESH_LIMITS_MAX);
 	const struct endpoint *ep;
-	unsigned at = 0;
+	unsigned index = 0;
 
 	TAILQ_FOREACH(ep, &mesh->dir->fleet.endpoints, entry) {
-		if (!limit_told(mesh, ep, news->kind))
+		if (!limit_sendable(mesh, ep, msg->kind))
 			continue;
-		if (news->n_limits == most)
+		if (msg->n_limits == max)
 			return;
-		if (at++ < *next ||
-		    mesh->now_ms - ep->limit.changed_ms < NEWS_MS)
+		if (index++ < *next ||
+		    mesh->now_ms - ep->limit.changed_ms < CHANGE_SEND_MS)
 			continue;
-		limit_fill(mesh, ep, news);
-		*next = at;
+		limit_fill(mesh, ep, msg);
+		*next = index;
 	}
 	*next = 0;
 }
 
 /**
- * mesh_fill_limits() - the limits that a datagram tells of.
+ * mesh_fill_limits() - add limits to a datagram.
  * @mesh: the mesh
- * @news: the datagram; its kind is set
+ * @msg: the datagram; its kind is set
  */
 void
-mesh_fill_limits(struct mesh *mesh, struct mesh_message *news)
+mesh_fill_limits(struct mesh *mesh, struct mesh_message *msg)
 {
-	uint64_t *told_ms = &mesh->limits_sent_ms[news->kind];
+	uint64_t *sent_ms = &mesh->limits_sent_ms[msg->kind];
 	bool all = mesh->newcomer_ms != 0 &&
-	    mesh->now_ms - mesh->newcomer_ms < NEWS_MS;
+	    mesh->now_ms - mesh->newcomer_ms < CHANGE_SEND_MS;
 
-	fill_news(mesh, news, all);
-	if (all || (*told_ms != 0 && mesh->now_ms - *told_ms < AGAIN_MS))
+	fill_changed(mesh, msg, all);
+	if (all ||
+	    (*sent_ms != 0 && mesh->now_ms - *sent_ms < REPEAT_INTERVAL_MS))
 		return;
-	*told_ms = mesh->now_ms;
-	fill_again(mesh, news);
+	*sent_ms = mesh->now_ms;
+	fill_repeated(mesh, msg);
 }
 
-/* Takes what a datagram tells of one limit; true where it is news. */
+/* Merges a received limit; returns whether it changed what is known here. */
 static bool
-take_limit(struct mesh *mesh, const struct mesh_peer *peer,
-    const struct mesh_limit *told)
+apply_limit(struct mesh *mesh, const struct mesh_peer *peer,
+    const struct mesh_limit *item)
 {
 	uint64_t now = mesh->now_ms;
-	struct endpoint *ep = fleet_find_key(&mesh->dir->fleet, told->key);
-	bool none = told->milli == MESH_NO_LIMIT;
+	struct endpoint *ep = fleet_find_key(&mesh->dir->fleet, item->id_hash);
+	bool removed = item->milli_per_s == MESH_NO_LIMIT;
 
 	if (ep == NULL)
 		return (false);
 	if (peer == mesh->relay) {
-		ep->limit.cell_users = told->users;
-		ep->limit.cell_each_per_s = told->each_micro_per_s / MICRO;
+		ep->limit.cell_users = item->users;
+		ep->limit.cell_each_per_s = item->each_micro_per_s / MICRO;
 	}
 	if (!endpoint_limit_told(&ep->limit,
-		none ? INFINITY : told->milli / MILLI,
-		now - MIN(told->age_ms, now - 1), now))
+		removed ? INFINITY : item->milli_per_s / MILLI,
+		now - MIN(item->age_ms, now - 1), now))
 		return (false);
 	event_log(LOG_INFO, "endpoint_limit_told",
 	    "endpoint=%s started_ms=%lld per_s=%.3f lifted=%d peer=%s "
 	    "age_ms=%u",
 	    ep->report.id, (long long)ep->report.started_ms, ep->limit.per_s,
-	    none, peer->name, told->age_ms);
+	    removed, peer->name, item->age_ms);
 	return (true);
 }
 
 /**
- * mesh_apply_limits() - take in what a datagram tells of limits.
+ * mesh_apply_limits() - merge the limits of a received datagram.
  * @mesh: the mesh
  * @peer: its sender
- * @news: the datagram
+ * @msg: the datagram
  */
 void
 mesh_apply_limits(struct mesh *mesh, const struct mesh_peer *peer,
-    const struct mesh_message *news)
+    const struct mesh_message *msg)
 {
-	bool fresh = false;
+	bool changed = false;
 
-	for (uint32_t i = 0; i < news->n_limits; i++)
-		fresh |= take_limit(mesh, peer, &news->limits[i]);
-	if (news->n_limits > 0)
+	for (uint32_t i = 0; i < msg->n_limits; i++)
+		changed |= apply_limit(mesh, peer, &msg->limits[i]);
+	if (msg->n_limits > 0)
 		mesh_share_limits(mesh);
-	/* A relay tells news on at once. */
-	if (fresh && mesh->relay == NULL && !mesh_flat(mesh))
+	/* A relay forwards changes at once. */
+	if (changed && mesh->relay == NULL && !mesh_flat(mesh))
 		mesh_send(mesh);
 }
--- a/src/mesh-message.h
+++ b/src/mesh-message.h
@@ -1,4 +1,4 @@
-/* What daemons tell each other in one datagram. */
+/* The state that daemons send each other, one datagram at a time. */
 #ifndef BL_MESH_MESSAGE_H
 #define BL_MESH_MESSAGE_H
 
@@ -6,27 +6,29 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Endpoints in one datagram; so many fill 7 KB. */
+/* Loads in one datagram; this many fill 7 KB. */
 #define MESH_LOADS_MAX 900
-/* Endpoints to avoid in one datagram. */
+/* Avoided endpoints in one datagram. */
 #define MESH_AVOID_MAX 64
-/* Limits of endpoints in one datagram; more are told of in turn. */
+/* Endpoint limits in one datagram; further ones are sent in rotation. */
 #define MESH_LIMITS_MAX 128
-/* Ends of endpoints under suspected work in one datagram; more are told of in
- * turn. */
+/* Endpoint crashes under suspected requests in one datagram; further ones are
+ * sent in rotation. */
 #define MESH_POISON_MAX 48
-/* In place of a limit: the endpoint names none any more. */
+/* Value of a limit that means the endpoint no longer names one. */
 #define MESH_NO_LIMIT UINT32_MAX
-/* Members of one cell. */
+/* Members of one cell: the daemons of one failure domain that report to its
+ * relay. */
 #define MESH_MEMBERS_MAX 512
 #define MESH_NAME_MAX 64
-/* Largest datagram. */
+/* Largest datagram, in bytes. */
 #define MESH_DATAGRAM_MAX 16384
-/* Offset of entries that the sender does not have. */
+/* Offset of entries where the sender has read none. */
 #define MESH_NO_ENTRIES UINT64_MAX
-/* Age of what never was. */
+/* Age of an event that has never happened. */
 #define MESH_NEVER UINT32_MAX
-/* Largest figures of a load that a datagram holds; larger ones are cut. */
+/* Largest values of a load that the encoding holds, and their resolution;
+ * larger values are clamped. */
 #define MESH_INFLIGHT_MAX 1023
 #define MESH_PENDING_STEP 16
 #define MESH_PENDING_MAX (16383 * MESH_PENDING_STEP)
@@ -34,13 +36,14 @@
 #define MESH_IDLE_MAX_MS (255 * MESH_IDLE_STEP_MS)
 
 /**
- * enum mesh_kind - whom a datagram speaks for.
- * @MESH_REPORT: the sender alone; to its relay
- * @MESH_REDIRECT: nobody; it names the sender's relay to one that did not know
- * @MESH_CELL_SUMMARY: the sender and the daemons that report to it; to other
- * relays
- * @MESH_FLEET_SUMMARY: all daemons that the sender knows of; to those that
- * report to it
+ * enum mesh_kind - which daemons a datagram reports on, and who receives it.
+ * @MESH_REPORT: the sender alone; sent to its relay
+ * @MESH_REDIRECT: none; sent to a daemon that took the sender for a relay, to
+ *	name the sender's relay
+ * @MESH_CELL_SUMMARY: the sender and the daemons that report to it; sent to
+ *	other relays
+ * @MESH_FLEET_SUMMARY: all daemons that the sender knows of; sent to those that
+ *	report to it
  */
 enum mesh_kind {
 	MESH_REPORT = 1,
@@ -52,52 +55,52 @@
 #define MESH_KINDS (MESH_FLEET_SUMMARY + 1)
 
 /**
- * struct mesh_load - work at one endpoint.
- * @key: short name of the endpoint
- * @inflight: requests
- * @reading: prompt tokens without a first event yet
- * @heard_ms: how long ago it last sent anything
+ * struct mesh_load - work in progress at one endpoint.
+ * @id_hash: hash of the endpoint's id
+ * @inflight: requests in flight
+ * @pending: prompt tokens of requests that have had no event yet
+ * @idle_ms: time since the endpoint last sent anything, in ms
  */
 struct mesh_load {
-	uint32_t key;
+	uint32_t id_hash;
 	uint32_t inflight;
-	uint32_t reading;
-	uint32_t heard_ms;
+	uint32_t pending;
+	uint32_t idle_ms;
 };
 
 /**
- * struct mesh_avoid - an endpoint that fell silent or is being closed.
- * @key: short name of the endpoint
- * @age_ms: since a daemon found so
+ * struct mesh_avoid - an endpoint that has gone silent or is being closed.
+ * @id_hash: hash of the endpoint's id
+ * @age_ms: time since a daemon detected this, in ms
  */
 struct mesh_avoid {
-	uint32_t key;
+	uint32_t id_hash;
 	uint32_t age_ms;
 };
 
 /**
- * struct mesh_limit - the limit that an endpoint names.
- * @key: short name of the endpoint
- * @milli: thousandths of a request a second, from all daemons together;
- *	MESH_NO_LIMIT where it names none any more
- * @age_ms: since an answer said so
+ * struct mesh_limit - the request rate limit that an endpoint names.
+ * @id_hash: hash of the endpoint's id
+ * @milli_per_s: limit for all daemons together, in thousandths of a request per
+ *	second; MESH_NO_LIMIT where the endpoint no longer names one
+ * @age_ms: time since an answer of the endpoint said so, in ms
  * @users: daemons of the sender's cell that may use the endpoint
- * @each_micro_per_s: millionths of a request a second that each of these may
- *send
+ * @each_micro_per_s: rate of each of these, in millionths of a request per
+ *	second
  */
 struct mesh_limit {
-	uint32_t key;
-	uint32_t milli;
+	uint32_t id_hash;
+	uint32_t milli_per_s;
 	uint32_t age_ms;
 	uint32_t users;
 	uint32_t each_micro_per_s;
 };
 
 /**
- * enum mesh_poison_kind - what is told of some work.
- * @MESH_POISON_BROKEN: an endpoint broke its connections while it had it
- * @MESH_POISON_SILENT: an endpoint fell silent while it had it
- * @MESH_POISON_CLEARED: it was answered whole
+ * enum mesh_poison_kind - what was observed of a suspected request.
+ * @MESH_POISON_BROKEN: an endpoint broke its connections while running it
+ * @MESH_POISON_SILENT: an endpoint went silent while running it
+ * @MESH_POISON_CLEARED: it was answered in full
  */
 enum mesh_poison_kind {
 	MESH_POISON_BROKEN = 1,
@@ -106,40 +109,43 @@
 };
 
 /**
- * struct mesh_poison - an endpoint that ended under some work.
- * @work: fingerprint of the work
- * @key: short name of the endpoint; 0 where the work was cleared
- * @started: low half of the time of day of its incarnation's start, in ms
- * @age_ms: since that
- * @sign: how it showed
+ * struct mesh_poison - an endpoint crash under a suspected request, or that the
+ * request was cleared.
+ * @fingerprint: fingerprint of the request
+ * @id_hash: hash of the endpoint's id; 0 where the request was cleared
+ * @started: low 32 bits of the start time of the endpoint's incarnation, in ms
+ *	of wall-clock time
+ * @age_ms: time since the crash or the clearance, in ms
+ * @kind: what was observed
  */
 struct mesh_poison {
-	uint64_t work;
-	uint32_t key;
+	uint64_t fingerprint;
+	uint32_t id_hash;
 	uint32_t started;
 	uint32_t age_ms;
-	enum mesh_poison_kind sign;
+	enum mesh_poison_kind kind;
 };
 
 /**
  * struct mesh_member - a daemon that reports to the sender.
- * @key: short name of the daemon
- * @sequence: low half of that of its newest report
- * @newest: it has the newest configuration that the sender knows of
+ * @name_hash: hash of the daemon's name
+ * @sequence: low 16 bits of the sequence number of its newest report
+ * @config_current: it has the newest configuration that the sender knows of
  */
 struct mesh_member {
-	uint32_t key;
+	uint32_t name_hash;
 	uint16_t sequence;
-	bool newest;
+	bool config_current;
 };
 
 /**
- * struct mesh_self - what a daemon says of itself.
+ * struct mesh_self - what a daemon reports about itself.
  * @placer: it holds the placer's lease
- * @leaving: it is about to end
+ * @leaving: it is shutting down
  * @store_ok: the store answers it
- * @serving: it, or one that it speaks for, has had requests from callers
- * @term: of the placer's lease that it knows of
+ * @serving: it, or a daemon that it reports on, has received requests from
+ *	clients
+ * @term: newest term of the placer's lease that it knows of
  */
 struct mesh_self {
 	bool placer;
@@ -150,25 +156,26 @@
 };
 
 /**
- * struct mesh_placer - the daemon that places, as the sender knows it.
- * @key: short name of it
- * @term: of its lease
- * @age_ms: since it was heard; MESH_NEVER for never
- * @fit: it reaches the store and is not leaving
+ * struct mesh_placer - the holder of the placer's lease, as the sender knows
+ * it.
+ * @name_hash: hash of the daemon's name
+ * @term: term of its lease
+ * @age_ms: time since it was last heard, in ms; MESH_NEVER for never
+ * @can_place: it reaches the store and is not shutting down
  */
 struct mesh_placer {
-	uint32_t key;
+	uint32_t name_hash;
 	int64_t term;
 	uint32_t age_ms;
-	bool fit;
+	bool can_place;
 };
 
 /**
  * struct mesh_relay - the daemon that the sender reports to.
  * @name: its name; empty where the sender is a relay itself
- * @ip: its address, in network order
- * @port: where it listens
- * @capacity: of it
+ * @ip: its IPv4 address, in network order
+ * @port: its port, in host order
+ * @capacity: its CPU capacity, in thousandths of a core
  */
 struct mesh_relay {
 	char name[MESH_NAME_MAX];
@@ -179,41 +186,41 @@
 
 /**
  * struct mesh_message - one datagram.
- * @kind: whom it speaks for
- * @name: of the sender
- * @domain: its failure domain
- * @capacity: thousandths of a core that it has
- * @life: drawn at its start
- * @sequence: grows with each datagram
- * @ping: the sender's clock when it sent this
- * @pong: the newest @ping that it had from the receiver; 0 where it is sent
- *	to many
- * @self: what the sender says of itself
+ * @kind: which daemons it reports on
+ * @name: name of the sender
+ * @domain: failure domain of the sender
+ * @capacity: CPU capacity of the sender, in thousandths of a core
+ * @incarnation: random number that the sender drew at its start
+ * @sequence: sequence number; increases with each datagram of an incarnation
+ * @ping: the sender's clock when it sent this, in ms
+ * @pong: newest @ping that the sender received from the receiver; 0 in a
+ *	datagram that is sent to many
+ * @self: what the sender reports about itself
  * @placer: what it knows of the placer
- * @relay: whom it reports to
- * @config_version: in force there; -1 for none
- * @config_offset: its place in the store
- * @config_age_ms: how old its proof is that this is the newest
- * @entries_end: its endpoints' entries are complete up to this offset;
- *	MESH_NO_ENTRIES where it has read none
- * @living: daemons that this speaks for
- * @loads: their work
- * @n_loads: how many
+ * @relay: the daemon that it reports to
+ * @config_version: version of the configuration in force there; -1 for none
+ * @config_offset: store offset of that configuration
+ * @config_age_ms: age of the proof that this configuration is the newest, in ms
+ * @entries_end: the sender has all entries of endpoints up to this store
+ *	offset; MESH_NO_ENTRIES where it has read none
+ * @n_alive: live daemons that this reports on
+ * @n_loads: number of @loads
+ * @n_avoid: number of @avoid
+ * @n_limits: number of @limits
+ * @n_poison: number of @poison
+ * @n_members: number of @members
+ * @loads: work of these daemons, by endpoint
  * @avoid: endpoints to avoid
- * @n_avoid: how many
- * @limits: that endpoints name
- * @n_limits: how many
- * @poison: suspected work
- * @n_poison: how many
- * @members: that report to the sender; in MESH_FLEET only
- * @n_members: how many
+ * @limits: limits that endpoints name
+ * @poison: crashes under suspected requests
+ * @members: daemons that report to the sender; in MESH_FLEET_SUMMARY only
  */
 struct mesh_message {
 	enum mesh_kind kind;
 	char name[MESH_NAME_MAX];
 	char domain[MESH_NAME_MAX];
 	uint32_t capacity;
-	uint64_t life;
+	uint64_t incarnation;
 	uint64_t sequence;
 	uint64_t ping;
 	uint64_t pong;
@@ -224,7 +231,7 @@
 	uint64_t config_offset;
 	uint32_t config_age_ms;
 	uint64_t entries_end;
-	uint32_t living;
+	uint32_t n_alive;
 	uint32_t n_loads;
 	uint32_t n_avoid;
 	uint32_t n_limits;
--- a/src/mesh-peers.c
+++ b/src/mesh-peers.c
@@ -1,32 +1,34 @@
-/* The daemons that are known, and which of them live. */
+/* Table of the other daemons, and which of them are alive. */
 #include <string.h>
 #include <xxhash.h>
 
 #include "event-log.h"
 #include "mesh.h"
 
-/* A word that a daemon lives, or its record, is a reason to report to it for
- * this long: the silence of a relay, and some trials of others after it. */
-#define HINT_MS 4000
-/* Weight of the newest time between two words of a relay. */
+/* Any sign that a daemon is alive, or the first sight of its record, makes it a
+ * candidate to report to for this long: enough for the silence of a relay and
+ * some trials of other daemons after it. */
+#define ALIVE_HINT_MS 4000
+/* Weight of the newest interval between two datagrams of a relay. */
 #define GAP_ALPHA 0.2
 
 /**
- * mesh_init() - know nobody yet.
- * @mesh: the mesh; dir, name, domain, capacity, send and send_arg are filled in
- * @now_ms: the time
- * @life: of this run
+ * mesh_init() - initialize a mesh without peers.
+ * @mesh: the mesh; dir, name, domain, capacity, send_datagram and send_arg
+ *	are filled in
+ * @now_ms: loop time, in ms
+ * @incarnation: random number of this run
  */
 void
-mesh_init(struct mesh *mesh, uint64_t now_ms, uint64_t life)
+mesh_init(struct mesh *mesh, uint64_t now_ms, uint64_t incarnation)
 {
 	mesh->now_ms = now_ms;
 	mesh->opened_ms = now_ms;
-	mesh->life = life;
+	mesh->incarnation = incarnation;
 	mesh->holder.gap_ms = 2 * MESH_ROUND_MS;
-	mesh->key = XXH32(mesh->name, strlen(mesh->name), 0);
+	mesh->name_hash = XXH32(mesh->name, strlen(mesh->name), 0);
 	mesh->by_name = g_hash_table_new(g_str_hash, g_str_equal);
-	mesh->by_key = g_hash_table_new(g_direct_hash, g_direct_equal);
+	mesh->by_name_hash = g_hash_table_new(g_direct_hash, g_direct_equal);
 	TAILQ_INIT(&mesh->peers);
 	for (unsigned i = 0; i < MESH_REPORTS_MAX; i++)
 		mesh->reports[i].loads =
@@ -34,7 +36,7 @@
 }
 
 /**
- * mesh_clear() - forget all; the loop has ended.
+ * mesh_clear() - free all peers and buffers, after the loop has ended.
  * @mesh: the mesh
  */
 void
@@ -45,27 +47,28 @@
 	while ((peer = TAILQ_FIRST(&mesh->peers)) != NULL)
 		mesh_peer_free(mesh, peer);
 	g_hash_table_destroy(mesh->by_name);
-	g_hash_table_destroy(mesh->by_key);
+	g_hash_table_destroy(mesh->by_name_hash);
 	for (unsigned i = 0; i < MESH_REPORTS_MAX; i++)
 		g_array_free(mesh->reports[i].loads, TRUE);
 	mesh_feed_clear(mesh);
 }
 
 /**
- * mesh_set_records_read() - the records of all daemons have been read.
+ * mesh_set_records_read() - note that the records of all daemons have been
+ * read.
  * @mesh: the mesh
  */
 void
 mesh_set_records_read(struct mesh *mesh)
 {
-	if (mesh->known_ms == 0)
-		mesh->known_ms = mesh->now_ms > 0 ? mesh->now_ms : 1;
+	if (mesh->records_read_ms == 0)
+		mesh->records_read_ms = mesh->now_ms > 0 ? mesh->now_ms : 1;
 }
 
 /**
- * mesh_find() - a daemon by its name.
+ * mesh_find() - find a daemon by its name.
  * @mesh: the mesh
- * @name: the name
+ * @name: its name
  */
 struct mesh_peer *
 mesh_find(const struct mesh *mesh, const char *name)
@@ -74,14 +77,15 @@
 }
 
 /**
- * mesh_find_key() - a daemon by its short name.
+ * mesh_find_by_hash() - find a daemon by the hash of its name.
  * @mesh: the mesh
- * @key: the short name
+ * @hash: hash of its name
  */
 struct mesh_peer *
-mesh_find_key(const struct mesh *mesh, uint32_t key)
+mesh_find_by_hash(const struct mesh *mesh, uint32_t hash)
 {
-	return (g_hash_table_lookup(mesh->by_key, GUINT_TO_POINTER(key)));
+	return (
+	    g_hash_table_lookup(mesh->by_name_hash, GUINT_TO_POINTER(hash)));
 }
 
 static struct mesh_peer *
@@ -92,28 +96,29 @@
 
 	peer->name = g_strdup(name);
 	peer->domain = g_strdup(domain);
-	peer->key = XXH32(name, strlen(name), 0);
+	peer->name_hash = XXH32(name, strlen(name), 0);
 	peer->loads = g_array_new(FALSE, FALSE, sizeof(struct mesh_load));
 	peer->first_seen_ms = mesh->now_ms;
 	peer->config_version = -1;
 	net_pool_init(&peer->pool, mesh->loop, addr);
 	TAILQ_INSERT_TAIL(&mesh->peers, peer, entry);
 	g_hash_table_insert(mesh->by_name, peer->name, peer);
-	g_hash_table_insert(mesh->by_key, GUINT_TO_POINTER(peer->key), peer);
+	g_hash_table_insert(mesh->by_name_hash,
+	    GUINT_TO_POINTER(peer->name_hash), peer);
 	mesh->n_peers++;
 	log_debug("peer_known", "peer=%s domain=%s", name, domain);
 	return (peer);
 }
 
 /**
- * mesh_add() - learn of a daemon.
+ * mesh_add() - add a daemon, or update its capacity and address.
  * @mesh: the mesh
  * @name: its name
  * @domain: its failure domain
- * @capacity: thousandths of a core that it has
- * @addr: where it listens
+ * @capacity: its CPU capacity, in thousandths of a core
+ * @addr: address that it listens on
  *
- * Return: the daemon; NULL where it is this one.
+ * Return: the daemon; NULL if it is this one.
  */
 struct mesh_peer *
 mesh_add(struct mesh *mesh, const char *name, const char *domain,
@@ -132,9 +137,9 @@
 }
 
 /**
- * mesh_peer_free() - forget a daemon.
+ * mesh_peer_free() - remove a daemon.
  * @mesh: the mesh
- * @peer: the daemon; none of its connections is open
+ * @peer: the daemon; it has no open connection
  */
 void
 mesh_peer_free(struct mesh *mesh, struct mesh_peer *peer)
@@ -144,7 +149,8 @@
 		mesh->relay = NULL;
 	TAILQ_REMOVE(&mesh->peers, peer, entry);
 	g_hash_table_remove(mesh->by_name, peer->name);
-	g_hash_table_remove(mesh->by_key, GUINT_TO_POINTER(peer->key));
+	g_hash_table_remove(mesh->by_name_hash,
+	    GUINT_TO_POINTER(peer->name_hash));
 	mesh->n_peers--;
 	g_free(peer->name);
 	g_free(peer->domain);
@@ -152,7 +158,7 @@
 	g_free(peer);
 }
 
-/* Whether something happened within a span; never where its time is 0. */
+/* Whether an event happened within a span of time; false if its time is 0. */
 static bool
 within(const struct mesh *mesh, uint64_t at_ms, uint64_t span_ms)
 {
@@ -161,7 +167,7 @@
 }
 
 /**
- * mesh_peer_in_cell() - whether a daemon belongs to the own cell.
+ * mesh_peer_in_cell() - whether a daemon belongs to this daemon's cell.
  * @mesh: the mesh
  * @peer: the daemon
  */
@@ -172,7 +178,7 @@
 }
 
 /**
- * mesh_peer_is_relay() - whether a daemon was lately heard as a relay.
+ * mesh_peer_is_relay() - whether a daemon was recently heard as a relay.
  * @mesh: the mesh
  * @peer: the daemon
  */
@@ -187,7 +193,7 @@
 }
 
 /**
- * mesh_peer_note_relay() - a daemon spoke as a relay just now.
+ * mesh_peer_note_relay() - note that a daemon was just heard as a relay.
  * @mesh: the mesh
  * @peer: the daemon
  */
@@ -197,12 +203,12 @@
 	double gap = (double)(mesh->now_ms - peer->relay_heard_ms);
 
 	if (mesh_peer_is_relay(mesh, peer))
-		peer->gap_ms += GAP_ALPHA * (gap - peer->gap_ms);
+		peer->relay_gap_ms += GAP_ALPHA * (gap - peer->relay_gap_ms);
 	peer->relay_heard_ms = mesh->now_ms;
 }
 
 /**
- * mesh_peer_reports() - whether a daemon of the own cell reports to this one.
+ * mesh_peer_reports() - whether a daemon of this cell reports to this one.
  * @mesh: the mesh
  * @peer: the daemon
  */
@@ -214,22 +220,22 @@
 }
 
 /**
- * mesh_peer_maybe_alive() - whether there is a word, of itself or of another,
- * that a daemon lives.
+ * mesh_peer_maybe_alive() - whether a daemon itself or another one gave a
+ * recent sign that it is alive.
  * @mesh: the mesh
  * @peer: the daemon
  *
- * What it said as a relay does not count: that it still is one shows by itself.
+ * Its datagrams as a relay do not count: mesh_peer_is_relay() covers these.
  */
 bool
 mesh_peer_maybe_alive(const struct mesh *mesh, const struct mesh_peer *peer)
 {
-	uint64_t met = peer->heard_ms == 0 ? peer->first_seen_ms : 0;
+	uint64_t first_seen = peer->heard_ms == 0 ? peer->first_seen_ms : 0;
 
-	return (within(mesh, met, HINT_MS) ||
-	    within(mesh, peer->listed_ms, HINT_MS) ||
-	    within(mesh, peer->redirected_ms, HINT_MS) ||
-	    within(mesh, peer->last_report_ms, HINT_MS));
+	return (within(mesh, first_seen, ALIVE_HINT_MS) ||
+	    within(mesh, peer->listed_ms, ALIVE_HINT_MS) ||
+	    within(mesh, peer->redirected_ms, ALIVE_HINT_MS) ||
+	    within(mesh, peer->last_report_ms, ALIVE_HINT_MS));
 }
 
 /**
@@ -243,7 +249,7 @@
 }
 
 /**
- * mesh_count_alive() - how many other daemons live.
+ * mesh_count_alive() - count the other live daemons.
  * @mesh: the mesh
  */
 unsigned
@@ -253,19 +259,19 @@
 	unsigned n = 0;
 
 	if (mesh_relay_alive(mesh))
-		return (MAX(mesh->relay->living, 1) - 1);
+		return (MAX(mesh->relay->n_alive, 1) - 1);
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
 		if (mesh_peer_reports(mesh, peer))
 			n++;
 		else if (!mesh_peer_in_cell(mesh, peer) &&
 		    mesh_peer_is_relay(mesh, peer))
-			n += peer->living;
+			n += peer->n_alive;
 	}
 	return (n);
 }
 
 /**
- * mesh_serving() - whether any daemon has had requests from callers.
+ * mesh_serving() - whether any daemon has received requests from clients.
  * @mesh: the mesh
  */
 bool
--- a/src/mesh-poison.c
+++ b/src/mesh-poison.c
@@ -1,215 +1,226 @@
-/* Work that is suspected of ending endpoints: who is told, and what is taken.
- */
+/* Exchange of requests that are suspected of crashing endpoints. */
 #include "event-log.h"
 #include "fwd-work.h"
 #include "mesh.h"
 
-/* What is new is told in every datagram for so long, so that some may be lost,
- * and to a daemon that starts all is. A relay tells less often. */
-#define NEWS_MS 300
-#define RELAY_NEWS_MS 600
-/* Some of the rest are told this often, in turn; a single end, which is a
- * bystander's most often, only for a while. */
-#define AGAIN_MS 1000
-#define AGAIN_MOST 8
-#define SINGLE_TOLD_MS 60000
+/* A change is sent in every datagram for this long, so that some may be lost. A
+ * daemon that starts is sent everything for as long. A relay sends less often.
+ */
+#define CHANGE_SEND_MS 300
+#define RELAY_CHANGE_SEND_MS 600
+/* Unchanged requests are repeated at this interval, in rotation. A request with
+ * a single crash, which is most often a bystander, is repeated only for
+ * SINGLE_REPEAT_MS. */
+#define REPEAT_INTERVAL_MS 1000
+#define REPEAT_MAX 8
+#define SINGLE_REPEAT_MS 60000
 
 static uint64_t
-news_ms(const struct mesh *mesh)
+change_send_ms(const struct mesh *mesh)
 {
-	return (
-	    mesh->relay != NULL || mesh_flat(mesh) ? NEWS_MS : RELAY_NEWS_MS);
+	return (mesh->relay != NULL || mesh_flat(mesh) ? CHANGE_SEND_MS :
+							 RELAY_CHANGE_SEND_MS);
 }
 
-/* Whether a datagram of a kind tells what is known from there: others tell the
- * rest to those who get it. */
+/* Whether a datagram of a kind carries what is known from an origin: the
+ * receivers are told of the rest by others. */
 static bool
-reach_told(enum mesh_kind kind, enum poison_reach reach)
+origin_sent(enum mesh_kind kind, enum poison_reach origin)
 {
 	switch (kind) {
 	case MESH_REPORT:
-		return (reach == POISON_OWN);
+		return (origin == POISON_OWN);
 	case MESH_CELL_SUMMARY:
-		return (reach != POISON_FAR);
+		return (origin != POISON_FAR);
 	default:
 		return (true);
 	}
 }
 
-/* Whether there is room for all that is told of some work. */
+/* Whether all that is sent of a request fits. */
 static bool
-has_room(const struct mesh_message *news, unsigned most,
-    const struct poison_work *w)
+has_room(const struct mesh_message *msg, unsigned max,
+    const struct poison_work *request)
 {
-	return (news->n_poison + MAX(w->n_ends, 1) <= most);
+	return (msg->n_poison + MAX(request->n_ends, 1) <= max);
 }
 
 static struct mesh_poison *
-news_add(struct mesh_message *news, uint64_t work, uint64_t age_ms)
+message_add(struct mesh_message *msg, uint64_t fingerprint, uint64_t age_ms)
 {
-	struct mesh_poison *told = &news->poison[news->n_poison++];
-
-	told->work = work;
-	told->key = 0;
-	told->started = 0;
-	told->age_ms = (uint32_t)MIN(age_ms, UINT32_MAX);
-	told->sign = MESH_POISON_CLEARED;
-	return (told);
+	struct mesh_poison *item = &msg->poison[msg->n_poison++];
+
+	item->fingerprint = fingerprint;
+	item->id_hash = 0;
+	item->started = 0;
+	item->age_ms = (uint32_t)MIN(age_ms, UINT32_MAX);
+	item->kind = MESH_POISON_CLEARED;
+	return (item);
 }
 
-/* Tells the ends of some work that are of a reach, or that it was cleared. */
+/* Adds the crashes of a request that a datagram of this kind carries, or that
+ * the request was cleared. */
 static void
-work_fill(const struct mesh *mesh, const struct poison_work *w, bool all,
-    struct mesh_message *news)
+request_fill(const struct mesh *mesh, const struct poison_work *request,
+    bool all, struct mesh_message *msg)
 {
-	for (unsigned i = 0; i < w->n_ends; i++) {
-		const struct poison_end *end = &w->ends[i];
-		struct mesh_poison *told;
+	for (unsigned i = 0; i < request->n_ends; i++) {
+		const struct poison_end *crash = &request->ends[i];
+		struct mesh_poison *item;
 
-		if (!all && !reach_told(news->kind, end->reach))
+		if (!all && !origin_sent(msg->kind, crash->reach))
 			continue;
-		told = news_add(news, w->work,
-		    mesh->now_ms - MIN(end->at_ms, mesh->now_ms));
-		told->key = end->key;
-		told->started = end->started;
-		told->sign =
-		    end->silent ? MESH_POISON_SILENT : MESH_POISON_BROKEN;
+		item = message_add(msg, request->work,
+		    mesh->now_ms - MIN(crash->at_ms, mesh->now_ms));
+		item->id_hash = crash->key;
+		item->started = crash->started;
+		item->kind =
+		    crash->silent ? MESH_POISON_SILENT : MESH_POISON_BROKEN;
 	}
-	if (w->n_ends == 0 && w->cleared_ms != 0 &&
-	    reach_told(news->kind, w->cleared_reach))
-		news_add(news, w->work, mesh->now_ms - w->cleared_ms);
+	if (request->n_ends == 0 && request->cleared_ms != 0 &&
+	    origin_sent(msg->kind, request->cleared_reach))
+		message_add(msg, request->work,
+		    mesh->now_ms - request->cleared_ms);
 }
 
-/* Tells of what changed lately, or of all, if it has ends enough. */
+/* Adds the requests that changed recently, or all, whose number of crashes is
+ * within bounds. */
 static void
-fill_news(const struct mesh *mesh, struct mesh_message *news, bool all,
-    unsigned least, unsigned most)
+fill_changed(const struct mesh *mesh, struct mesh_message *msg, bool all,
+    unsigned min, unsigned max)
 {
-	const struct poison_work *w;
+	const struct poison_work *request;
 
-	TAILQ_FOREACH(w, &mesh->dir->poison.works, entry) {
-		if (w->n_ends < least || w->n_ends > most ||
-		    (!all && mesh->now_ms - w->changed_ms >= news_ms(mesh)))
+	TAILQ_FOREACH(request, &mesh->dir->poison.works, entry) {
+		if (request->n_ends < min || request->n_ends > max ||
+		    (!all &&
+			mesh->now_ms - request->changed_ms >=
+			    change_send_ms(mesh)))
 			continue;
-		if (!has_room(news, MESH_POISON_MAX, w))
+		if (!has_room(msg, MESH_POISON_MAX, request))
 			return;
-		work_fill(mesh, w, all, news);
+		request_fill(mesh, request, all, msg);
 	}
 }
 
-/* Whether some work is told of long after it changed. */
+/* Whether a request is still repeated although it has not changed recently. */
 static bool
-told_again(const struct mesh *mesh, const struct poison_work *w)
+still_repeated(const struct mesh *mesh, const struct poison_work *request)
 {
-	uint64_t since = mesh->now_ms - w->changed_ms;
+	uint64_t since = mesh->now_ms - request->changed_ms;
 
-	if (since < news_ms(mesh) || w->n_ends == 0)
+	if (since < change_send_ms(mesh) || request->n_ends == 0)
 		return (false);
-	return (w->n_ends > 1 || since < SINGLE_TOLD_MS);
+	return (request->n_ends > 1 || since < SINGLE_REPEAT_MS);
 }
 
-/* Tells of some of the others, in turn. */
+/* Adds the next few of the unchanged requests. */
 static void
-fill_again(struct mesh *mesh, struct mesh_message *news)
+fill_repeated(struct mesh *mesh, struct mesh_message *msg)
 {
-	unsigned *next = &mesh->poison_next[news->kind];
-	unsigned most = MIN(news->n_poison + AGAIN_MOST, MESH_POISON_MAX);
-	const struct poison_work *w;
-	unsigned at = 0;
+	unsigned *next = &mesh->poison_next[msg->kind];
+	unsigned max = MIN(msg->n_poison + REPEAT_MAX, MESH_POISON_MAX);
+	const struct poison_work *request;
+	unsigned index = 0;
 
-	TAILQ_FOREACH(w, &mesh->dir->poison.works, entry) {
-		if (!told_again(mesh, w))
+	TAILQ_FOREACH(request, &mesh->dir->poison.works, entry) {
+		if (!still_repeated(mesh, request))
 			continue;
-		if (!has_room(news, most, w))
+		if (!has_room(msg, max, request))
 			return;
-		if (at++ < *next)
+		if (index++ < *next)
 			continue;
-		work_fill(mesh, w, true, news);
-		*next = at;
+		request_fill(mesh, request, true, msg);
+		*next = index;
 	}
 	*next = 0;
 }
 
 /**
- * mesh_fill_poison() - the suspected work that a datagram tells of.
+ * mesh_fill_poison() - add suspected requests to a datagram.
  * @mesh: the mesh
- * @news: the datagram; its kind is set
+ * @msg: the datagram; its kind is set
  *
- * What has ended several endpoints goes first: of what has ended one, most is
- * innocent.
+ * Requests that crashed several endpoints go first: most of those that crashed
+ * one are innocent.
  */
 void
-mesh_fill_poison(struct mesh *mesh, struct mesh_message *news)
+mesh_fill_poison(struct mesh *mesh, struct mesh_message *msg)
 {
-	uint64_t *told_ms = &mesh->poison_sent_ms[news->kind];
+	uint64_t *sent_ms = &mesh->poison_sent_ms[msg->kind];
 	bool all = mesh->newcomer_ms != 0 &&
-	    mesh->now_ms - mesh->newcomer_ms < RELAY_NEWS_MS;
+	    mesh->now_ms - mesh->newcomer_ms < RELAY_CHANGE_SEND_MS;
 
-	fill_news(mesh, news, all, 2, POISON_ENDS_MAX);
-	fill_news(mesh, news, all, 0, 1);
-	if (all || (*told_ms != 0 && mesh->now_ms - *told_ms < AGAIN_MS))
+	fill_changed(mesh, msg, all, 2, POISON_ENDS_MAX);
+	fill_changed(mesh, msg, all, 0, 1);
+	if (all ||
+	    (*sent_ms != 0 && mesh->now_ms - *sent_ms < REPEAT_INTERVAL_MS))
 		return;
-	*told_ms = mesh->now_ms;
-	fill_again(mesh, news);
+	*sent_ms = mesh->now_ms;
+	fill_repeated(mesh, msg);
 }
 
-/* How much a line on some work matters. */
+/* Log level of a line about a suspected request. */
 static int
-told_level(const struct poison *poison, const struct mesh_poison *told)
+log_level(const struct poison *poison, const struct mesh_poison *item)
 {
-	const struct poison_work *w = poison_find(poison, told->work);
+	const struct poison_work *request =
+	    poison_find(poison, item->fingerprint);
 
-	return (w != NULL && w->n_ends > 1 ? LOG_INFO : LOG_DEBUG);
+	return (request != NULL && request->n_ends > 1 ? LOG_INFO : LOG_DEBUG);
 }
 
-/* Takes what a datagram tells of some work; true where it is news. */
+/* Merges what a datagram says of a suspected request; returns whether it
+ * changed what is known here. */
 static bool
-take_poison(struct mesh *mesh, const struct mesh_peer *peer,
-    enum poison_reach reach, const struct mesh_poison *told)
+apply_poison(struct mesh *mesh, const struct mesh_peer *peer,
+    enum poison_reach origin, const struct mesh_poison *item)
 {
 	struct poison *poison = &mesh->dir->poison;
-	uint64_t now = mesh->now_ms, at = now - MIN(told->age_ms, now - 1);
-	const struct poison_end end = {
-		.key = told->key,
-		.started = told->started,
-		.at_ms = at,
-		.silent = told->sign == MESH_POISON_SILENT,
-		.reach = reach,
+	uint64_t now = mesh->now_ms, at_ms = now - MIN(item->age_ms, now - 1);
+	const struct poison_end crash = {
+		.key = item->id_hash,
+		.started = item->started,
+		.at_ms = at_ms,
+		.silent = item->kind == MESH_POISON_SILENT,
+		.reach = origin,
 	};
-	bool cleared = told->sign == MESH_POISON_CLEARED;
-	bool news = cleared ? poison_clear(poison, told->work, at, reach, now) :
-			      poison_told(poison, told->work, &end, now);
-
-	/* A single end is a bystander's most often, and there are many. */
-	if (news)
-		event_log(told_level(poison, told), "work_told",
-		    "work=%08x sign=%s endpoint_key=%08x started=%08x "
+	bool cleared = item->kind == MESH_POISON_CLEARED;
+	bool changed = cleared ?
+	    poison_clear(poison, item->fingerprint, at_ms, origin, now) :
+	    poison_told(poison, item->fingerprint, &crash, now);
+
+	/* Most requests with a single crash are bystanders, and there are many.
+	 */
+	if (changed)
+		event_log(log_level(poison, item), "work_told",
+		    "work=%08x sign=%s endpoint_hash=%08x started=%08x "
 		    "age_ms=%u peer=%s",
-		    WORK_SHORT(told->work),
-		    cleared	   ? "cleared" :
-			end.silent ? "silent" :
-				     "broken",
-		    told->key, told->started, told->age_ms, peer->name);
-	return (news);
+		    WORK_SHORT(item->fingerprint),
+		    cleared	     ? "cleared" :
+			crash.silent ? "silent" :
+				       "broken",
+		    item->id_hash, item->started, item->age_ms, peer->name);
+	return (changed);
 }
 
 /**
- * mesh_apply_poison() - take in what a datagram tells of suspected work.
+ * mesh_apply_poison() - merge the suspected requests of a received datagram.
  * @mesh: the mesh
  * @peer: its sender
- * @news: the datagram
+ * @msg: the datagram
  */
 void
 mesh_apply_poison(struct mesh *mesh, const struct mesh_peer *peer,
-    const struct mesh_message *news)
+    const struct mesh_message *msg)
 {
-	enum poison_reach reach =
-	    news->kind == MESH_REPORT ? POISON_CELL : POISON_FAR;
-	bool fresh = false;
-
-	for (uint32_t i = 0; i < news->n_poison; i++)
-		fresh |= take_poison(mesh, peer, reach, &news->poison[i]);
-	/* A relay tells news on at once. */
-	if (fresh && mesh->relay == NULL && !mesh_flat(mesh))
+	enum poison_reach origin =
+	    msg->kind == MESH_REPORT ? POISON_CELL : POISON_FAR;
+	bool changed = false;
+
+	for (uint32_t i = 0; i < msg->n_poison; i++)
+		changed |= apply_poison(mesh, peer, origin, &msg->poison[i]);
+	/* A relay forwards changes at once. */
+	if (changed && mesh->relay == NULL && !mesh_flat(mesh))
 		mesh_send(mesh);
 }
--- a/src/mesh-receive.c
+++ b/src/mesh-receive.c
@@ -1,40 +1,43 @@
-/* What a datagram of another daemon changes. */
+/* Handling of datagrams received from other daemons. */
 #include <string.h>
 
 #include "event-log.h"
 #include "mesh.h"
 
-/* How long a warning of an endpoint counts. */
+/* How long a warning of an endpoint is in force. */
 #define AVOID_MS 1500
-/* Words of a relay that may be missing before it counts as replaced. */
+/* Datagrams of a relay that may be missing before another relay of its cell
+ * replaces it. */
 #define OLD_RELAY_GAPS 2
-/* Until a daemon knows the fleet's size from its relays: some of their words.
- */
-#define BEGIN_MS 5000
-/* A warning that comes back to the daemon that gave it is no other one. */
+/* A daemon knows the size of the fleet this long after its start, after several
+ * datagrams of relays. */
+#define STARTUP_MS 5000
+/* A warning that returns within this time to the daemon that issued it is not a
+ * new one. */
 #define AVOID_ECHO_MS 300
 
 /*
- * A peer's proof that its configuration is the newest: it answered a question
- * that left here at some time, so the proof is of that time less its age
- * there. The time that the answer took can only make it younger than that.
+ * Time as of which a peer's configuration was the newest. The peer answered a
+ * message that left here at @asked_ms, so its proof is at least as recent as
+ * that time less the age that it states; the transit time of the answer can
+ * only make it more recent.
  */
 static uint64_t
-proof_ms(const struct mesh_message *news, uint64_t asked_ms)
+proof_ms(const struct mesh_message *msg, uint64_t asked_ms)
 {
-	if (asked_ms == 0 || news->config_age_ms == MESH_NEVER ||
-	    news->config_age_ms >= asked_ms)
+	if (asked_ms == 0 || msg->config_age_ms == MESH_NEVER ||
+	    msg->config_age_ms >= asked_ms)
 		return (0);
-	return (asked_ms - news->config_age_ms);
+	return (asked_ms - msg->config_age_ms);
 }
 
 /*
- * Takes a peer's proof that its configuration was the newest at some time. Of
- * the same version or a newer one here it says as much: nothing that was
- * changed until then is missing.
+ * Adopts a peer's proof that its configuration was the newest at some time. It
+ * holds for the same or a newer version here as well: no change made until then
+ * is missing.
  */
 static void
-take_proof(struct mesh *mesh, const struct mesh_peer *peer)
+apply_proof(struct mesh *mesh, const struct mesh_peer *peer)
 {
 	struct dir *dir = mesh->dir;
 
@@ -45,13 +48,14 @@
 	dir_follow_fed(&dir->config, peer->config_proof_ms);
 }
 
-/* Sends no new work to what a peer warns of; true where that is new. */
+/* Stops new requests to an endpoint that a peer warns of; returns whether the
+ * warning is new. */
 static bool
-take_avoid(struct mesh *mesh, const struct mesh_peer *peer,
+apply_avoid(struct mesh *mesh, const struct mesh_peer *peer,
     const struct mesh_avoid *avoid)
 {
 	uint64_t now = mesh->now_ms, at = now - MIN(avoid->age_ms, now);
-	struct endpoint *ep = fleet_find_key(&mesh->dir->fleet, avoid->key);
+	struct endpoint *ep = fleet_find_key(&mesh->dir->fleet, avoid->id_hash);
 	bool first;
 
 	if (ep == NULL || at <= ep->avoided_ms ||
@@ -69,54 +73,55 @@
 	return (true);
 }
 
-/* Takes all warnings; a relay tells new ones on at once. */
+/* Applies all warnings; a relay forwards new ones at once. */
 static void
-take_avoids(struct mesh *mesh, const struct mesh_peer *peer,
-    const struct mesh_message *news)
+apply_avoids(struct mesh *mesh, const struct mesh_peer *peer,
+    const struct mesh_message *msg)
 {
-	bool fresh = false;
+	bool changed = false;
 
-	for (uint32_t i = 0; i < news->n_avoid; i++)
-		fresh |= take_avoid(mesh, peer, &news->avoid[i]);
-	if (fresh && mesh->relay == NULL && !mesh_flat(mesh))
+	for (uint32_t i = 0; i < msg->n_avoid; i++)
+		changed |= apply_avoid(mesh, peer, &msg->avoid[i]);
+	if (changed && mesh->relay == NULL && !mesh_flat(mesh))
 		mesh_send(mesh);
 }
 
-/* Names the own relay to one that took this daemon for it. */
+/* Names this daemon's relay to a peer that took this daemon for a relay. */
 static void
-point(struct mesh *mesh, struct mesh_peer *peer)
+redirect(struct mesh *mesh, struct mesh_peer *peer)
 {
 	if (mesh->relay != NULL && mesh->relay != peer)
 		mesh_send_to(mesh, peer, MESH_REDIRECT);
 }
 
 static void
-take_report(struct mesh *mesh, struct mesh_peer *peer,
-    const struct mesh_message *news)
+apply_report(struct mesh *mesh, struct mesh_peer *peer,
+    const struct mesh_message *msg)
 {
 	bool known = mesh_peer_reports(mesh, peer);
 
-	/* At first the others know more of the fleet's size. */
-	if (mesh->now_ms - mesh->opened_ms < BEGIN_MS &&
+	/* Soon after the start, a daemon that reports here knows more of the
+	 * size of the fleet. */
+	if (mesh->now_ms - mesh->opened_ms < STARTUP_MS &&
 	    strcmp(peer->domain, mesh->domain) == 0)
 		mesh->cells_heard_ms = mesh->now_ms;
 	peer->last_report_ms = mesh->now_ms;
 	if (mesh->relay != NULL) {
-		point(mesh, peer);
+		redirect(mesh, peer);
 		return;
 	}
 	if (!known && mesh_peer_in_cell(mesh, peer))
-		event_log(LOG_INFO, "peer_reports", "peer=%s life=%llx",
-		    peer->name, (unsigned long long)news->life);
-	mesh_add_loads(mesh, peer, news, mesh_peer_in_cell(mesh, peer));
-	/* One that starts waits for what is known here. */
+		event_log(LOG_INFO, "peer_reports", "peer=%s incarnation=%llx",
+		    peer->name, (unsigned long long)msg->incarnation);
+	mesh_add_loads(mesh, peer, msg, mesh_peer_in_cell(mesh, peer));
+	/* A daemon that has just started waits for the state known here. */
 	if (!known && mesh_peer_in_cell(mesh, peer))
 		mesh_send_to(mesh, peer, MESH_FLEET_SUMMARY);
 }
 
-/* The relay that a peer names becomes known, and worth a word. */
+/* Adds the relay that a peer names, so that it is sent to. */
 static void
-take_pointer(struct mesh *mesh, const struct mesh_peer *peer,
+apply_redirect(struct mesh *mesh, const struct mesh_peer *peer,
     const struct mesh_relay *relay)
 {
 	struct sockaddr_in addr = { .sin_family = AF_INET };
@@ -124,8 +129,8 @@
 
 	if (relay->name[0] == '\0' || strcmp(relay->name, mesh->name) == 0)
 		return;
-	/* In the own cell a relay that is known shows by its own words, and its
-	 * silence counts for more than what others have not noticed yet. */
+	/* A known relay of this cell is recognized by its own datagrams, and
+	 * its silence outweighs a peer that has not noticed it yet. */
 	if (named != NULL && mesh_peer_in_cell(mesh, named))
 		return;
 	addr.sin_addr.s_addr = relay->ip;
@@ -136,19 +141,21 @@
 		named->redirected_ms = mesh->now_ms;
 }
 
-/* A cell whose new relay speaks is no longer spoken for by the old one, unless
- * that goes on; its words would count twice. */
+/* Drops the former relays of a cell that has a new one, unless they are still
+ * sending: the loads of the cell would be counted twice. */
 static void
 drop_old_relays(struct mesh *mesh, const struct mesh_peer *peer)
 {
 	struct mesh_peer *other;
 
 	TAILQ_FOREACH(other, &mesh->peers, entry) {
-		double quiet = (double)(mesh->now_ms - other->relay_heard_ms);
+		double silent_ms =
+		    (double)(mesh->now_ms - other->relay_heard_ms);
 
 		if (other == peer || other->relay_heard_ms == 0 ||
 		    strcmp(other->domain, peer->domain) != 0 ||
-		    quiet <= OLD_RELAY_GAPS * other->gap_ms + MESH_ROUND_MS)
+		    silent_ms <=
+			OLD_RELAY_GAPS * other->relay_gap_ms + MESH_ROUND_MS)
 			continue;
 		other->relay_heard_ms = 0;
 		mesh_remove_loads(mesh, other);
@@ -156,159 +163,160 @@
 }
 
 static void
-take_cell(struct mesh *mesh, struct mesh_peer *peer,
-    const struct mesh_message *news)
+apply_cell_summary(struct mesh *mesh, struct mesh_peer *peer,
+    const struct mesh_message *msg)
 {
 	mesh_peer_note_relay(mesh, peer);
 	if (mesh->relay != NULL) {
-		point(mesh, peer);
+		redirect(mesh, peer);
 		return;
 	}
 	if (!mesh_flat(mesh))
 		drop_old_relays(mesh, peer);
-	mesh_add_loads(mesh, peer, news, false);
+	mesh_add_loads(mesh, peer, msg, false);
 }
 
-/* Notes which daemons of the cell live, and which could give a configuration.
- */
+/* Records which members of the cell are alive, and which can serve the newest
+ * configuration. */
 static void
-take_members(struct mesh *mesh, const struct mesh_message *news)
+record_members(struct mesh *mesh, const struct mesh_message *msg)
 {
-	for (uint32_t i = 0; i < news->n_members; i++) {
+	for (uint32_t i = 0; i < msg->n_members; i++) {
 		struct mesh_peer *peer =
-		    mesh_find_key(mesh, news->members[i].key);
+		    mesh_find_by_hash(mesh, msg->members[i].name_hash);
 
 		if (peer == NULL)
 			continue;
 		peer->listed_ms = mesh->now_ms;
-		peer->newest = news->members[i].newest;
+		peer->config_current = msg->members[i].config_current;
 	}
 }
 
-/* Notes who else belongs to the own cell. */
+/* Records the other members of the cell. */
 static void
-take_cell_keys(struct mesh *mesh, const struct mesh_peer *relay,
-    const struct mesh_message *news)
+record_cell_hashes(struct mesh *mesh, const struct mesh_peer *relay,
+    const struct mesh_message *msg)
 {
-	mesh->n_cell_keys = 0;
-	mesh->cell_keys[mesh->n_cell_keys++] = relay->key;
+	mesh->n_cell_hashes = 0;
+	mesh->cell_hashes[mesh->n_cell_hashes++] = relay->name_hash;
 	for (uint32_t i = 0;
-	     i < news->n_members && mesh->n_cell_keys < MESH_MEMBERS_MAX; i++) {
-		if (news->members[i].key != mesh->key)
-			mesh->cell_keys[mesh->n_cell_keys++] =
-			    news->members[i].key;
+	     i < msg->n_members && mesh->n_cell_hashes < MESH_MEMBERS_MAX;
+	     i++) {
+		if (msg->members[i].name_hash != mesh->name_hash)
+			mesh->cell_hashes[mesh->n_cell_hashes++] =
+			    msg->members[i].name_hash;
 	}
 }
 
 static void
-take_fleet(struct mesh *mesh, struct mesh_peer *peer,
-    const struct mesh_message *news)
+apply_fleet_summary(struct mesh *mesh, struct mesh_peer *peer,
+    const struct mesh_message *msg)
 {
-	const struct mesh_report *told = mesh_acked_report(mesh, news);
+	const struct mesh_report *report = mesh_acked_report(mesh, msg);
 
 	if (strcmp(peer->domain, mesh->domain) != 0)
 		return;
 	mesh->cells_heard_ms = mesh->now_ms;
 	mesh_peer_note_relay(mesh, peer);
-	take_members(mesh, news);
-	if (told != NULL)
-		peer->config_proof_ms = proof_ms(news, told->sent_ms);
+	record_members(mesh, msg);
+	if (report != NULL)
+		peer->config_proof_ms = proof_ms(msg, report->sent_ms);
 	if (peer != mesh->relay)
 		return;
-	take_cell_keys(mesh, peer, news);
-	mesh_set_fleet_loads(mesh, peer, news);
+	record_cell_hashes(mesh, peer, msg);
+	mesh_set_fleet_loads(mesh, peer, msg);
 }
 
-/* A line for each change of what is believed of a daemon. */
+/* Logs a restart of a peer, and changes of its lease and its shutdown state. */
 static void
-log_change(const struct mesh_peer *peer, const struct mesh_message *news)
+log_change(const struct mesh_peer *peer, const struct mesh_message *msg)
 {
-	if (peer->life == news->life &&
-	    peer->self.placer == news->self.placer &&
-	    peer->self.leaving == news->self.leaving)
+	if (peer->incarnation == msg->incarnation &&
+	    peer->self.placer == msg->self.placer &&
+	    peer->self.leaving == msg->self.leaving)
 		return;
 	event_log(LOG_INFO, "peer_changed",
-	    "peer=%s life=%llx placer=%d term=%lld leaving=%d store_ok=%d",
-	    peer->name, (unsigned long long)news->life, news->self.placer,
-	    (long long)news->self.term, news->self.leaving,
-	    news->self.store_ok);
+	    "peer=%s incarnation=%llx placer=%d term=%lld leaving=%d store_ok=%d",
+	    peer->name, (unsigned long long)msg->incarnation, msg->self.placer,
+	    (long long)msg->self.term, msg->self.leaving, msg->self.store_ok);
 }
 
-/* Notes what a peer says of itself. */
+/* Records what a peer reports about itself. */
 static void
-take_self(struct mesh *mesh, struct mesh_peer *peer,
-    const struct mesh_message *news)
+record_self(struct mesh *mesh, struct mesh_peer *peer,
+    const struct mesh_message *msg)
 {
-	log_change(peer, news);
-	if (peer->life != news->life)
+	log_change(peer, msg);
+	if (peer->incarnation != msg->incarnation)
 		mesh->newcomer_ms = mesh->now_ms;
-	peer->life = news->life;
-	peer->sequence = news->sequence;
-	peer->ping = news->ping;
-	peer->self = news->self;
-	peer->living = news->living;
-	peer->config_version = news->config_version;
-	peer->config_offset = news->config_offset;
-	peer->config_proof_ms = proof_ms(news, news->pong);
+	peer->incarnation = msg->incarnation;
+	peer->sequence = msg->sequence;
+	peer->ping = msg->ping;
+	peer->self = msg->self;
+	peer->n_alive = msg->n_alive;
+	peer->config_version = msg->config_version;
+	peer->config_offset = msg->config_offset;
+	peer->config_proof_ms = proof_ms(msg, msg->pong);
 	peer->heard_ms = mesh->now_ms;
-	mesh->self.term = MAX(mesh->self.term, news->self.term);
-	mesh_update_holder(mesh, news);
+	mesh->self.term = MAX(mesh->self.term, msg->self.term);
+	mesh_update_holder(mesh, msg);
 }
 
-/* What the kind of a datagram says. */
+/* Applies the parts of a datagram that depend on its kind. */
 static void
-take_kind(struct mesh *mesh, struct mesh_peer *peer,
-    const struct mesh_message *news)
+apply_kind(struct mesh *mesh, struct mesh_peer *peer,
+    const struct mesh_message *msg)
 {
-	switch (news->kind) {
+	switch (msg->kind) {
 	case MESH_REPORT:
-		take_report(mesh, peer, news);
+		apply_report(mesh, peer, msg);
 		break;
 	case MESH_REDIRECT:
-		take_pointer(mesh, peer, &news->relay);
+		apply_redirect(mesh, peer, &msg->relay);
 		break;
 	case MESH_CELL_SUMMARY:
-		take_cell(mesh, peer, news);
+		apply_cell_summary(mesh, peer, msg);
 		break;
 	case MESH_FLEET_SUMMARY:
-		take_fleet(mesh, peer, news);
+		apply_fleet_summary(mesh, peer, msg);
 		break;
 	}
 }
 
 /**
- * mesh_receive() - take in a datagram.
+ * mesh_receive() - handle a received datagram.
  * @mesh: the mesh
  * @in: the datagram
  * @length: its length
- * @from: where it came from
+ * @from: its sender's address
  */
 void
 mesh_receive(struct mesh *mesh, char *in, size_t length,
     const struct sockaddr_in *from)
 {
-	static struct mesh_message news;
+	static struct mesh_message msg;
 	struct mesh_peer *peer;
 
 	if (mesh_receive_entries(mesh, in, length, from))
 		return;
-	if (!mesh_message_decode(&news, in, length)) {
-		event_log(LOG_WARNING, "peer_news_ignored",
+	if (!mesh_message_decode(&msg, in, length)) {
+		event_log(LOG_WARNING, "peer_message_ignored",
 		    "bytes=%zu reason=format", length);
 		return;
 	}
-	peer = mesh_add(mesh, news.name, news.domain, news.capacity, from);
-	/* Datagrams may overtake each other, and may come twice. */
+	peer = mesh_add(mesh, msg.name, msg.domain, msg.capacity, from);
+	/* Datagrams may be reordered or duplicated. */
 	if (peer == NULL ||
-	    (peer->life == news.life && news.sequence <= peer->sequence))
+	    (peer->incarnation == msg.incarnation &&
+		msg.sequence <= peer->sequence))
 		return;
-	take_self(mesh, peer, &news);
-	take_kind(mesh, peer, &news);
-	take_proof(mesh, peer);
+	record_self(mesh, peer, &msg);
+	apply_kind(mesh, peer, &msg);
+	apply_proof(mesh, peer);
 	mesh_fetch_config(mesh, peer);
-	take_avoids(mesh, peer, &news);
-	mesh_apply_limits(mesh, peer, &news);
-	mesh_apply_poison(mesh, peer, &news);
-	mesh_fetch_entries(mesh, peer, news.entries_end);
-	mesh_feed_check(mesh, peer, news.entries_end);
+	apply_avoids(mesh, peer, &msg);
+	mesh_apply_limits(mesh, peer, &msg);
+	mesh_apply_poison(mesh, peer, &msg);
+	mesh_fetch_entries(mesh, peer, msg.entries_end);
+	mesh_feed_check(mesh, peer, msg.entries_end);
 }
--- a/src/mesh-role.c
+++ b/src/mesh-role.c
@@ -1,38 +1,40 @@
 /*
- * Who relays, who reads the store for the others, who may place. Pure.
+ * Choice of relays, of the daemon that reads the store for the others, and of
+ * the placer. Pure.
  *
- * Answers fleets of hundreds of daemons, where all that each knows of its work
- * can't go to all others: the daemons of a failure domain form a cell and
- * report to one of them, which tells them the sum of all cells. So a daemon
- * sends and hears a few datagrams a second, whatever the number of daemons. In
- * a small fleet every daemon is a cell of its own.
+ * The full state of hundreds of daemons can't be sent from each to every other.
+ * The daemons of a failure domain therefore form a cell and report to one of
+ * them, the relay, which sends them the sum of all cells. So each daemon sends
+ * and receives a few datagrams a second, whatever the number of daemons. In a
+ * small fleet every daemon is a cell of its own.
  */
 #include <math.h>
 #include <string.h>
 
 #include "mesh.h"
 
-/* Up to so many others, all tell each other directly: as many datagrams as a
- * relay of a usual failure domain sends. */
-#define FLAT_MOST 12
-/* A daemon that should be its cell's relay takes over from one that serves well
- * only after this: it has heard of the fleet by then. */
+/* Up to this many other daemons, all send to each other directly: as many
+ * datagrams as a relay of a typical failure domain sends. */
+#define FLAT_MAX 12
+/* A daemon that should be the relay of its cell replaces a working relay only
+ * this long after its start: by then it has heard of the fleet. */
 #define SETTLE_MS 1000
-/* A daemon that was reported to should begin to relay within this: it may find
- * the old relay lost a little later than others. */
-#define TRY_MS 450
-/* One that did not is reported to again after this. */
-#define TRY_AGAIN_MS 5000
-/* Bounds on the silence of the placer, and how it follows from the usual time
- * between two words of it: three lost in a row, and the time of a round. */
-#define HOLDER_LOST_LEAST_MS 700
-#define HOLDER_LOST_MOST_MS 3000
+/* A daemon that is reported to must start to relay within this time: it may
+ * detect the loss of the old relay a little later than others. */
+#define TRIAL_MS 450
+/* A daemon that did not start to relay is reported to again after this time. */
+#define TRIAL_RETRY_MS 5000
+/* Silence after which the placer counts as lost: a multiple of the average
+ * interval between two signs of it, which covers three lost ones in a row, and
+ * the time of a round, within bounds. */
+#define HOLDER_LOST_MIN_MS 700
+#define HOLDER_LOST_MAX_MS 3000
 #define HOLDER_LOST_GAPS 4
-#define HOLDER_LOST_MORE_MS 300
-/* Weight of the newest time between two words of the placer. */
+#define HOLDER_LOST_EXTRA_MS 300
+/* Weight of the newest interval between two signs of the placer. */
 #define HOLDER_GAP_ALPHA 0.125
-/* Daemons that are no relays wait behind all that are, each for another time:
- * where no relay reaches the store, one of hundreds is enough. */
+/* Rank of daemons that are not relays: behind all relays, and spread out,
+ * because one of hundreds is enough where no relay reaches the store. */
 #define RANK_NO_RELAY 10
 #define RANK_SPREAD 64
 
@@ -43,16 +45,17 @@
 bool
 mesh_flat(const struct mesh *mesh)
 {
-	bool told = mesh->cells_heard_ms != 0 &&
+	bool cells_heard = mesh->cells_heard_ms != 0 &&
 	    mesh->now_ms - mesh->cells_heard_ms < MESH_PEER_TIMEOUT_MS;
 
-	/* A daemon that knows few may still be told by those that know more. */
-	return (mesh->size <= FLAT_MOST && !told);
+	/* A daemon that knows few others may still receive from daemons that
+	 * know more. */
+	return (mesh->n_others <= FLAT_MAX && !cells_heard);
 }
 
-/* The order of daemons for duties: those with more room, then by name. */
+/* Order of preference for duties: by capacity, then by name. */
 static bool
-comes_before(uint32_t capacity, const char *name, uint32_t other_capacity,
+is_preferred(uint32_t capacity, const char *name, uint32_t other_capacity,
     const char *other_name)
 {
 	if (capacity != other_capacity)
@@ -61,78 +64,80 @@
 }
 
 /**
- * mesh_outranks() - whether this daemon comes before another for duties.
+ * mesh_outranks() - whether this daemon is preferred to another for duties.
  * @mesh: the mesh
- * @peer: the other
+ * @peer: the other daemon
  */
 bool
 mesh_outranks(const struct mesh *mesh, const struct mesh_peer *peer)
 {
-	return (comes_before(mesh->capacity, mesh->name, peer->capacity,
+	return (is_preferred(mesh->capacity, mesh->name, peer->capacity,
 	    peer->name));
 }
 
 /**
- * mesh_peer_outranks() - whether a daemon comes before another for duties.
- * @a: the one
- * @b: the other
+ * mesh_peer_outranks() - whether a daemon is preferred to another for duties.
+ * @a: the daemon
+ * @b: the other daemon
  */
 bool
 mesh_peer_outranks(const struct mesh_peer *a, const struct mesh_peer *b)
 {
-	return (comes_before(a->capacity, a->name, b->capacity, b->name));
+	return (is_preferred(a->capacity, a->name, b->capacity, b->name));
 }
 
-/* Whether a daemon was reported to in vain. */
+/* Whether a daemon did not start to relay when it was reported to. */
 static bool
-peer_failed(const struct mesh *mesh, const struct mesh_peer *peer)
+trial_failed(const struct mesh *mesh, const struct mesh_peer *peer)
 {
 	uint64_t since = mesh->now_ms - peer->trial_ms;
 
-	return (peer->trial_ms != 0 && since >= TRY_MS && since < TRY_AGAIN_MS);
+	return (
+	    peer->trial_ms != 0 && since >= TRIAL_MS && since < TRIAL_RETRY_MS);
 }
 
-/* Whether a daemon might relay if it were reported to. */
+/* Whether a daemon may start to relay if it is reported to. */
 static bool
-peer_might_relay(const struct mesh *mesh, const struct mesh_peer *peer)
+peer_may_relay(const struct mesh *mesh, const struct mesh_peer *peer)
 {
-	return (mesh_peer_maybe_alive(mesh, peer) && !peer_failed(mesh, peer) &&
-	    !peer->self.leaving);
+	return (mesh_peer_maybe_alive(mesh, peer) &&
+	    !trial_failed(mesh, peer) && !peer->self.leaving);
 }
 
-/* The first daemon of the own cell of which something holds. */
+/* Finds the most preferred daemon of this cell that satisfies a predicate.
+ */
 static struct mesh_peer *
-first_of_cell(const struct mesh *mesh,
-    bool (*holds)(const struct mesh *, const struct mesh_peer *))
+cell_find_first(const struct mesh *mesh,
+    bool (*matches)(const struct mesh *, const struct mesh_peer *))
 {
 	struct mesh_peer *peer, *first = NULL;
 
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
-		if (mesh_peer_in_cell(mesh, peer) && holds(mesh, peer) &&
+		if (mesh_peer_in_cell(mesh, peer) && matches(mesh, peer) &&
 		    (first == NULL || mesh_peer_outranks(peer, first)))
 			first = peer;
 	}
 	return (first);
 }
 
-/* Whether this daemon may take over from a relay that serves. */
+/* Whether this daemon may replace a working relay. */
 static bool
 self_settled(const struct mesh *mesh)
 {
 	const struct catalog *catalog = mesh->dir->catalog;
 
 	return (mesh->now_ms - mesh->opened_ms >= SETTLE_MS &&
-	    mesh->newest <= (catalog != NULL ? catalog->version : -1));
+	    mesh->newest_version <= (catalog != NULL ? catalog->version : -1));
 }
 
 /**
- * mesh_choose_relay() - the daemon that this one should report to.
- * @mesh: the mesh; a trial of a daemon is noted
+ * mesh_choose_relay() - choose the daemon that this one reports to.
+ * @mesh: the mesh; the start of a trial of a daemon is recorded
  *
- * Where one relays already, the first that does; where none does, the first
- * that is said to live.
+ * It is the most preferred of the relays of the cell; if there is none, the
+ * most preferred of the daemons that may be alive.
  *
- * Return: NULL where it should be a relay itself.
+ * Return: the relay; NULL if this daemon is to be a relay itself.
  */
 struct mesh_peer *
 mesh_choose_relay(struct mesh *mesh)
@@ -142,62 +147,65 @@
 
 	if (mesh_flat(mesh))
 		return (NULL);
-	first = first_of_cell(mesh, mesh_peer_is_relay);
+	first = cell_find_first(mesh, mesh_peer_is_relay);
 	if (first != NULL)
 		return (
 		    able && mesh_outranks(mesh, first) && self_settled(mesh) ?
 			NULL :
 			first);
-	first = first_of_cell(mesh, peer_might_relay);
+	first = cell_find_first(mesh, peer_may_relay);
 	if (first == NULL || (able && mesh_outranks(mesh, first)))
 		return (NULL);
 	if (first->trial_ms == 0 ||
-	    mesh->now_ms - first->trial_ms >= TRY_AGAIN_MS)
+	    mesh->now_ms - first->trial_ms >= TRIAL_RETRY_MS)
 		first->trial_ms = mesh->now_ms;
 	return (first);
 }
 
-/* Notes that the placer was heard at some time, by itself or by others. */
+/* Records a time as of which the placer was heard, directly or through others.
+ */
 static void
-holder_heard(struct mesh_holder *holder, const struct mesh_placer *placer,
+holder_update(struct mesh_holder *holder, const struct mesh_placer *placer,
     uint64_t at_ms)
 {
 	if (placer->term < holder->term ||
 	    (placer->term == holder->term && at_ms <= holder->heard_ms))
 		return;
-	if (placer->term == holder->term && placer->key == holder->key)
+	if (placer->term == holder->term &&
+	    placer->name_hash == holder->name_hash)
 		holder->gap_ms += HOLDER_GAP_ALPHA *
 		    ((double)(at_ms - holder->heard_ms) - holder->gap_ms);
-	holder->key = placer->key;
+	holder->name_hash = placer->name_hash;
 	holder->term = placer->term;
 	holder->heard_ms = at_ms;
-	holder->fit = placer->fit;
+	holder->can_place = placer->can_place;
 }
 
 /**
- * mesh_update_holder() - take in what a daemon knows of the placer.
+ * mesh_update_holder() - merge what a daemon knows of the lease's holder.
  * @mesh: the mesh
- * @news: its datagram
+ * @msg: its datagram
  */
 void
-mesh_update_holder(struct mesh *mesh, const struct mesh_message *news)
+mesh_update_holder(struct mesh *mesh, const struct mesh_message *msg)
 {
 	struct mesh_holder *holder = &mesh->holder;
-	const struct mesh_peer *peer = mesh_find(mesh, news->name);
+	const struct mesh_peer *peer = mesh_find(mesh, msg->name);
 
-	/* One that gave its lease up says so itself. */
-	if (peer != NULL && peer->key == holder->key && !news->self.placer)
-		holder->fit = false;
-	if (news->placer.age_ms == MESH_NEVER ||
-	    news->placer.age_ms >= mesh->now_ms ||
-	    news->placer.key == mesh->key)
+	/* A daemon that gave up its lease says so itself. */
+	if (peer != NULL && peer->name_hash == holder->name_hash &&
+	    !msg->self.placer)
+		holder->can_place = false;
+	if (msg->placer.age_ms == MESH_NEVER ||
+	    msg->placer.age_ms >= mesh->now_ms ||
+	    msg->placer.name_hash == mesh->name_hash)
 		return;
-	holder_heard(holder, &news->placer, mesh->now_ms - news->placer.age_ms);
+	holder_update(holder, &msg->placer, mesh->now_ms - msg->placer.age_ms);
 }
 
 /**
  * mesh_placer_heard() - whether another daemon that holds the placer's lease,
- * and can use it, was heard lately.
+ * and can place, was heard recently.
  * @mesh: the mesh
  */
 bool
@@ -205,10 +213,10 @@
 {
 	const struct mesh_holder *holder = &mesh->holder;
 	double lost =
-	    CLAMP(HOLDER_LOST_MORE_MS + HOLDER_LOST_GAPS * holder->gap_ms,
-		HOLDER_LOST_LEAST_MS, HOLDER_LOST_MOST_MS);
+	    CLAMP(HOLDER_LOST_EXTRA_MS + HOLDER_LOST_GAPS * holder->gap_ms,
+		HOLDER_LOST_MIN_MS, HOLDER_LOST_MAX_MS);
 
-	return (holder->heard_ms != 0 && holder->fit &&
+	return (holder->heard_ms != 0 && holder->can_place &&
 	    holder->term >= mesh->self.term &&
 	    (double)(mesh->now_ms - MIN(holder->heard_ms, mesh->now_ms)) <
 		lost);
@@ -219,7 +227,7 @@
  * holds.
  * @mesh: the mesh
  *
- * One that the store turns away learns it from the others only.
+ * A daemon that the store rejects learns this from other daemons only.
  */
 bool
 mesh_lease_superseded(const struct mesh *mesh)
@@ -227,7 +235,7 @@
 	return (mesh->self.placer && mesh->holder.term > mesh->held_term);
 }
 
-/* Whether a daemon relays and could read the store or place. */
+/* Whether a daemon is a relay and the store answers it. */
 static bool
 peer_able(const struct mesh *mesh, const struct mesh_peer *peer)
 {
@@ -235,35 +243,36 @@
 }
 
 /**
- * mesh_rank() - place of this daemon among those that could place.
+ * mesh_rank() - rank of this daemon among those that may become the placer.
  * @mesh: the mesh
  *
- * Return: how many come before it; relays that reach the store come first.
+ * Return: number of daemons ranked before it; relays that reach the store come
+ * first.
  */
 unsigned
 mesh_rank(const struct mesh *mesh)
 {
 	const struct mesh_peer *peer;
-	unsigned before = 0, relays = 0;
+	unsigned ahead = 0, relays = 0;
 
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
 		bool able = peer_able(mesh, peer);
 
 		relays += able;
-		before += able && !mesh_outranks(mesh, peer);
+		ahead += able && !mesh_outranks(mesh, peer);
 	}
 	return (mesh->relay == NULL ?
-		before :
-		relays + RANK_NO_RELAY + mesh->key % RANK_SPREAD);
+		ahead :
+		relays + RANK_NO_RELAY + mesh->name_hash % RANK_SPREAD);
 }
 
 /**
- * mesh_is_reader() - whether this daemon should read the store for the
- * others.
+ * mesh_is_reader() - whether this daemon is to read the store for the others.
  * @mesh: the mesh
  *
- * It is the first of the relays that reach the store; where none does, of all
- * relays, so that one of them notices the store's return.
+ * It is the most preferred of the relays that reach the store; if none does,
+ * the most preferred of all relays, so that one of them notices when the store
+ * returns.
  */
 bool
 mesh_is_reader(const struct mesh *mesh)
@@ -271,7 +280,7 @@
 	const struct mesh_peer *peer;
 	bool reached = mesh->self.store_ok;
 
-	if (mesh->relay != NULL || mesh->known_ms == 0)
+	if (mesh->relay != NULL || mesh->records_read_ms == 0)
 		return (false);
 	TAILQ_FOREACH(peer, &mesh->peers, entry)
 		reached = reached || peer_able(mesh, peer);
@@ -287,36 +296,38 @@
 }
 
 /*
- * Part of a span that this daemon waits for others to do something that one of
- * them is enough for. Of n daemons one or two wait for nothing and twice as
- * many for each further 1 / log2(n): the first that succeeds has told the rest
- * before most have begun, and where the first can't, others can.
+ * Fraction of a span of time that this daemon waits for others to do what only
+ * one daemon needs to do. Of n daemons one or two do not wait at all, and twice
+ * as many start with each further 1 / log2(n): the first that succeeds has
+ * informed the rest before most have started, and if the first can't, others
+ * can.
  */
 static double
-mesh_wait_share(const struct mesh *mesh)
+mesh_wait_fraction(const struct mesh *mesh)
 {
-	double others = MAX(mesh->size, 1) + 1.0;
-	double draw = (mesh->key + 1.0) / (UINT32_MAX + 1.0);
+	double others = MAX(mesh->n_others, 1) + 1.0;
+	double draw = (mesh->name_hash + 1.0) / (UINT32_MAX + 1.0);
 
 	return (MAX(0.0, 1.0 + log2(draw) / log2(others)));
 }
 
 /**
- * mesh_stale_after_ms() - how old others' word of the store may get before this
- * daemon reads the store for itself.
+ * mesh_stale_after_ms() - age after which the store's state as received from
+ * other daemons is stale, and this daemon reads the store itself.
  * @mesh: the mesh
- * @least: above the usual age, in milliseconds
- * @most: what a rule leaves, less the time to read
+ * @min_ms: lower bound, above the usual age
+ * @max_ms: upper bound: what a requirement allows, less the time to read
  *
- * It goes by the age of the word alone. That a relay or a reader is heard says
+ * Only the age of the state counts. That a relay or a reader is heard proves
  * nothing: it may have lost the store, as may all relays at once, while the
- * daemons that follow them could read it.
+ * daemons that report to them could read it.
  */
 unsigned
-mesh_stale_after_ms(const struct mesh *mesh, unsigned least, unsigned most)
+mesh_stale_after_ms(const struct mesh *mesh, unsigned min_ms, unsigned max_ms)
 {
 	if (mesh->relay == NULL)
-		return (least);
-	return (least +
-	    (unsigned)(mesh_wait_share(mesh) * (most - MIN(least, most))));
+		return (min_ms);
+	return (min_ms +
+	    (unsigned)(mesh_wait_fraction(mesh) *
+		(max_ms - MIN(min_ms, max_ms))));
 }
--- a/src/mesh-send.c
+++ b/src/mesh-send.c
@@ -1,45 +1,49 @@
 /*
- * Who is told what, and when.
+ * Which state is sent to whom, and when.
  *
- * A daemon that reports sends one datagram a round while it has work. A relay
- * tells its cell the sum of all work, and each other relay the sum of its
- * cell's, as often as keeps what each receives within a bound.
+ * A daemon that reports sends one datagram per round while it has work. A relay
+ * sends the sum of all loads to its cell, and the sum of its cell's loads to
+ * each other relay, at an interval that bounds what each of them receives.
  */
 #include <string.h>
 
 #include "event-log.h"
 #include "mesh.h"
 
-/* Rounds between two reports of a daemon that has no work: three of these are
+/* Rounds between two reports of a daemon without work: three of these are
  * within the silence after which it counts as dead. */
 #define IDLE_ROUNDS 4
-/* A relay tells at least this far apart; a load is this much older by it. */
-#define RELAY_LEAST_MS 200
-/* And at most: a load that is older says little of a place that is free. */
-#define RELAY_MOST_MS 500
-/* Bytes a second that a daemon should receive of its relay: of the 10 KB a
- * second that control may take, with room for its own reports. */
+/* Shortest interval between two datagrams of a relay; a load is older by this
+ * much because of it. */
+#define RELAY_MIN_MS 200
+/* Longest interval: an older load says little about free capacity. */
+#define RELAY_MAX_MS 500
+/* Bytes per second that a daemon should receive from its relay: part of the 10
+ * KB per second that control traffic may use, with room for its own reports. */
 #define RELAY_BYTES_S 6000
-/* Between two rounds that something urgent brings forward. */
+/* Shortest interval between two rounds that urgent changes trigger. */
 #define URGENT_MS 50
-/* One in so many words of a relay goes to those that are not known to live. */
-#define PROBE_TURNS 20
-/* One in so many goes to cells of which no relay is known. */
-#define SEEK_TURNS 2
-/* Failure domains that a relay keeps apart. */
+/* One in this many datagrams of a relay also goes to daemons that are not known
+ * to be alive. */
+#define PROBE_ONE_IN 20
+/* One in this many also goes to cells whose relay is not known. */
+#define SEEK_ONE_IN 2
+/* Failure domains that a relay distinguishes. */
 #define CELLS_MAX 64
-/* How long a warning of an endpoint is told on; some rounds. */
-#define AVOID_TOLD_MS 600
-/* Silence after which others' work is no longer counted: some reports that got
- * lost, and some words of a relay. */
-#define REPORT_OLD_MS 700
-#define SUM_OLD_MS 1500
-/* Dead daemons are forgotten after this; a newcomer tells of itself. */
-#define PEER_FORGET_MS 60000
-
-/* A warning of an endpoint, by this daemon or told to it. */
+/* How long a warning of an endpoint is repeated: a few rounds. */
+#define AVOID_SEND_MS 600
+/* Silence after which another daemon's loads are no longer counted: several
+ * lost reports, or several lost datagrams of a relay. */
+#define REPORT_EXPIRE_MS 700
+#define SUMMARY_EXPIRE_MS 1500
+/* A dead daemon is removed after this time; one that starts again announces
+ * itself. */
+#define PEER_REMOVE_MS 60000
+
+/* Adds the endpoints to avoid: those that this daemon warns of and, in a
+ * summary, those that it was warned of. */
 static void
-fill_avoid(const struct mesh *mesh, struct mesh_message *news)
+fill_avoid(const struct mesh *mesh, struct mesh_message *msg)
 {
 	const struct endpoint *ep;
 
@@ -47,33 +51,34 @@
 		uint64_t at = ep->warned_ms;
 		uint64_t age;
 
-		if (news->kind != MESH_REPORT)
+		if (msg->kind != MESH_REPORT)
 			at = MAX(at, ep->avoided_ms);
 		age = mesh->now_ms - MIN(at, mesh->now_ms);
-		if (at == 0 || age >= AVOID_TOLD_MS ||
-		    news->n_avoid == MESH_AVOID_MAX)
+		if (at == 0 || age >= AVOID_SEND_MS ||
+		    msg->n_avoid == MESH_AVOID_MAX)
 			continue;
-		news->avoid[news->n_avoid].key = ep->key;
-		news->avoid[news->n_avoid++].age_ms = (uint32_t)age;
+		msg->avoid[msg->n_avoid].id_hash = ep->key;
+		msg->avoid[msg->n_avoid++].age_ms = (uint32_t)age;
 	}
 }
 
 static void
-fill_members(const struct mesh *mesh, struct mesh_message *news)
+fill_members(const struct mesh *mesh, struct mesh_message *msg)
 {
 	const struct mesh_peer *peer;
 
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
-		struct mesh_member *member = &news->members[news->n_members];
+		struct mesh_member *member = &msg->members[msg->n_members];
 
-		if (news->n_members == MESH_MEMBERS_MAX)
+		if (msg->n_members == MESH_MEMBERS_MAX)
 			return;
 		if (!mesh_peer_reports(mesh, peer))
 			continue;
-		member->key = peer->key;
+		member->name_hash = peer->name_hash;
 		member->sequence = (uint16_t)peer->sequence;
-		member->newest = peer->config_version >= news->config_version;
-		news->n_members++;
+		member->config_current =
+		    peer->config_version >= msg->config_version;
+		msg->n_members++;
 	}
 }
 
@@ -82,9 +87,9 @@
 {
 	const struct mesh_holder *holder = &mesh->holder;
 
-	placer->key = holder->key;
+	placer->name_hash = holder->name_hash;
 	placer->term = holder->term;
-	placer->fit = holder->fit;
+	placer->can_place = holder->can_place;
 	placer->age_ms = MESH_NEVER;
 	if (holder->heard_ms != 0)
 		placer->age_ms = (uint32_t)MIN(mesh->now_ms -
@@ -92,9 +97,9 @@
 		    MESH_NEVER);
 	if (!mesh->self.placer || mesh_lease_superseded(mesh))
 		return;
-	placer->key = mesh->key;
+	placer->name_hash = mesh->name_hash;
 	placer->term = mesh->held_term;
-	placer->fit = mesh->self.store_ok && !mesh->self.leaving;
+	placer->can_place = mesh->self.store_ok && !mesh->self.leaving;
 	placer->age_ms = 0;
 }
 
@@ -111,9 +116,9 @@
 	relay->capacity = peer->capacity;
 }
 
-/* Daemons that a datagram speaks for. */
+/* Number of live daemons that a datagram of a kind reports on. */
 static uint32_t
-living_of(const struct mesh *mesh, enum mesh_kind kind)
+count_reported(const struct mesh *mesh, enum mesh_kind kind)
 {
 	const struct mesh_peer *peer;
 	uint32_t n = 1;
@@ -126,124 +131,128 @@
 }
 
 static void
-fill_config(const struct mesh *mesh, struct mesh_message *news)
+fill_config(const struct mesh *mesh, struct mesh_message *msg)
 {
 	const struct dir *dir = mesh->dir;
-	/* A proof by a peer's word is as good as an own one, and as old. */
+	/* A proof received from a peer counts like one obtained here, with the
+	 * age that it has. */
 	uint64_t age = dir_config_age(dir, mesh->now_ms);
 
-	news->config_version = -1;
+	msg->config_version = -1;
 	if (dir->catalog != NULL) {
-		news->config_version = dir->catalog->version;
-		news->config_offset = dir->catalog->offset;
+		msg->config_version = dir->catalog->version;
+		msg->config_offset = dir->catalog->offset;
 	}
-	news->config_age_ms = (uint32_t)MIN(age, MESH_NEVER);
-	/* Without a configuration all entries would be given, not those of
-	 * endpoints that serve: megabytes with thousands of hosts. */
-	news->entries_end = dir->endpoints.synced && dir->catalog != NULL ?
+	msg->config_age_ms = (uint32_t)MIN(age, MESH_NEVER);
+	/* Without a configuration all entries would be served instead of those
+	 * of endpoints that serve: megabytes with thousands of hosts. */
+	msg->entries_end = dir->endpoints.synced && dir->catalog != NULL ?
 	    dir->endpoints.next :
 	    MESH_NO_ENTRIES;
 }
 
-/* What this daemon says, but for what differs by receiver. */
+/* Fills in a datagram, except for what differs by receiver. */
 static void
-news_fill(struct mesh *mesh, enum mesh_kind kind, struct mesh_message *news)
+message_fill(struct mesh *mesh, enum mesh_kind kind, struct mesh_message *msg)
 {
-	mesh_message_clear(news);
-	news->kind = kind;
-	g_strlcpy(news->name, mesh->name, sizeof news->name);
-	g_strlcpy(news->domain, mesh->domain, sizeof news->domain);
-	news->capacity = mesh->capacity;
-	news->life = mesh->life;
-	news->sequence = ++mesh->sequence;
-	news->ping = mesh->now_ms;
-	news->self = mesh->self;
+	mesh_message_clear(msg);
+	msg->kind = kind;
+	g_strlcpy(msg->name, mesh->name, sizeof msg->name);
+	g_strlcpy(msg->domain, mesh->domain, sizeof msg->domain);
+	msg->capacity = mesh->capacity;
+	msg->incarnation = mesh->incarnation;
+	msg->sequence = ++mesh->sequence;
+	msg->ping = mesh->now_ms;
+	msg->self = mesh->self;
 	if (kind == MESH_CELL_SUMMARY || kind == MESH_FLEET_SUMMARY)
-		news->self.serving = mesh_serving(mesh);
-	fill_placer(mesh, &news->placer);
-	fill_relay(mesh, &news->relay);
-	fill_config(mesh, news);
-	news->living = living_of(mesh, kind);
+		msg->self.serving = mesh_serving(mesh);
+	fill_placer(mesh, &msg->placer);
+	fill_relay(mesh, &msg->relay);
+	fill_config(mesh, msg);
+	msg->n_alive = count_reported(mesh, kind);
 	if (kind == MESH_REDIRECT)
 		return;
-	mesh_fill_loads(mesh, news);
-	fill_avoid(mesh, news);
-	mesh_fill_limits(mesh, news);
-	mesh_fill_poison(mesh, news);
+	mesh_fill_loads(mesh, msg);
+	fill_avoid(mesh, msg);
+	mesh_fill_limits(mesh, msg);
+	mesh_fill_poison(mesh, msg);
 	if (kind == MESH_FLEET_SUMMARY)
-		fill_members(mesh, news);
+		fill_members(mesh, msg);
 }
 
-/* Encodes once more where the receiver's own clock is told back to it. */
+/* Sends a datagram to one peer. It is encoded for each receiver, since it
+ * returns the receiver's own clock. */
 static size_t
-news_send(struct mesh *mesh, const struct mesh_peer *peer,
-    struct mesh_message *news)
+message_send(struct mesh *mesh, const struct mesh_peer *peer,
+    struct mesh_message *msg)
 {
 	static char out[MESH_DATAGRAM_MAX];
 	size_t length;
 
-	news->pong = peer->ping;
-	length = mesh_message_encode(news, out, sizeof out);
-	/* A datagram that does not go out now is made good by the next. */
+	msg->pong = peer->ping;
+	length = mesh_message_encode(msg, out, sizeof out);
+	/* A datagram that can't be sent now is not retried: the next one
+	 * replaces it. */
 	if (length > 0)
-		mesh->send(mesh->send_arg, &peer->addr, out, length);
+		mesh->send_datagram(mesh->send_arg, &peer->addr, out, length);
 	else
-		event_log(LOG_WARNING, "news_not_told", "peer=%s loads=%u",
-		    peer->name, news->n_loads);
+		event_log(LOG_WARNING, "message_not_sent", "peer=%s loads=%u",
+		    peer->name, msg->n_loads);
 	return (length);
 }
 
 /**
- * mesh_send_to() - tell one daemon something.
+ * mesh_send_to() - send a datagram to one daemon.
  * @mesh: the mesh
  * @peer: the daemon
- * @kind: what
+ * @kind: kind of the datagram
  */
 void
 mesh_send_to(struct mesh *mesh, struct mesh_peer *peer, enum mesh_kind kind)
 {
-	static struct mesh_message news;
+	static struct mesh_message msg;
 
-	news_fill(mesh, kind, &news);
+	message_fill(mesh, kind, &msg);
 	if (kind == MESH_REPORT)
-		mesh_save_report(mesh, &news);
-	news_send(mesh, peer, &news);
+		mesh_save_report(mesh, &msg);
+	message_send(mesh, peer, &msg);
 }
 
-/* Whether a daemon of the own cell is told in this round. */
+/* Whether a daemon of this cell is sent to in this round. */
 static bool
-near_due(const struct mesh *mesh, const struct mesh_peer *peer)
+cell_due(const struct mesh *mesh, const struct mesh_peer *peer)
 {
 	return (mesh_peer_maybe_alive(mesh, peer) ||
-	    mesh_peer_is_relay(mesh, peer) || mesh->n_sent % PROBE_TURNS == 0);
+	    mesh_peer_is_relay(mesh, peer) || mesh->n_sent % PROBE_ONE_IN == 0);
 }
 
-/* Tells the cell; all get the same bytes. */
+/* Sends the fleet summary to the cell; all members receive the same bytes. */
 static size_t
-tell_cell(struct mesh *mesh)
+send_to_cell(struct mesh *mesh)
 {
-	static struct mesh_message news;
+	static struct mesh_message msg;
 	static char out[MESH_DATAGRAM_MAX];
 	struct mesh_peer *peer;
 	size_t length;
 
-	news_fill(mesh, MESH_FLEET_SUMMARY, &news);
-	length = mesh_message_encode(&news, out, sizeof out);
+	message_fill(mesh, MESH_FLEET_SUMMARY, &msg);
+	length = mesh_message_encode(&msg, out, sizeof out);
 	if (length == 0) {
-		event_log(LOG_WARNING, "news_not_told", "loads=%u members=%u",
-		    news.n_loads, news.n_members);
+		event_log(LOG_WARNING, "message_not_sent",
+		    "loads=%u members=%u", msg.n_loads, msg.n_members);
 		return (0);
 	}
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
-		if (mesh_peer_in_cell(mesh, peer) && near_due(mesh, peer))
-			mesh->send(mesh->send_arg, &peer->addr, out, length);
+		if (mesh_peer_in_cell(mesh, peer) && cell_due(mesh, peer))
+			mesh->send_datagram(mesh->send_arg, &peer->addr, out,
+			    length);
 	}
 	return (length);
 }
 
 /* Whether a daemon of another cell is known to be its relay. */
 static bool
-far_relay(const struct mesh *mesh, const struct mesh_peer *peer)
+is_other_relay(const struct mesh *mesh, const struct mesh_peer *peer)
 {
 	return (mesh_peer_is_relay(mesh, peer) ||
 	    (peer->redirected_ms != 0 &&
@@ -251,11 +260,12 @@
 }
 
 /**
- * struct cell_seen - a cell of others, while a relay looks for its relay.
+ * struct cell_seen - another cell, while a relay looks for the relay of that
+ * cell.
  * @domain: its failure domain
  * @found: a relay of it is known
- * @first: its daemon that comes first for duties
- * @n: its daemons
+ * @first: its most preferred daemon
+ * @n: number of its daemons
  */
 struct cell_seen {
 	const char *domain;
@@ -265,7 +275,7 @@
 };
 
 static struct cell_seen *
-cell_of(struct cell_seen *cells, unsigned *n, const char *domain)
+cell_find(struct cell_seen *cells, unsigned *n, const char *domain)
 {
 	for (unsigned i = 0; i < *n; i++) {
 		if (strcmp(cells[i].domain, domain) == 0)
@@ -278,11 +288,11 @@
 	return (&cells[(*n)++]);
 }
 
-/* Some daemon of a cell, another each time; it names its relay. */
+/* Picks a daemon of a cell, a different one each time; it names its relay. */
 static struct mesh_peer *
-cell_some(const struct mesh *mesh, const struct cell_seen *cell)
+cell_pick(const struct mesh *mesh, const struct cell_seen *cell)
 {
-	unsigned at = (unsigned)(mesh->n_sent / SEEK_TURNS) % cell->n;
+	unsigned at = (unsigned)(mesh->n_sent / SEEK_ONE_IN) % cell->n;
 	struct mesh_peer *peer;
 
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
@@ -292,9 +302,9 @@
 	return (cell->first);
 }
 
-/* Looks for the relays of cells of which none is known. */
+/* Sends to cells whose relay is not known, to find it. */
 static void
-seek_relays(struct mesh *mesh, struct mesh_message *news)
+seek_relays(struct mesh *mesh, struct mesh_message *msg)
 {
 	struct cell_seen cells[CELLS_MAX];
 	struct mesh_peer *peer;
@@ -304,50 +314,51 @@
 		struct cell_seen *cell;
 
 		if (mesh_peer_in_cell(mesh, peer) ||
-		    (cell = cell_of(cells, &n, peer->domain)) == NULL)
+		    (cell = cell_find(cells, &n, peer->domain)) == NULL)
 			continue;
 		cell->n++;
-		cell->found = cell->found || far_relay(mesh, peer);
+		cell->found = cell->found || is_other_relay(mesh, peer);
 		if (cell->first == NULL ||
 		    mesh_peer_outranks(peer, cell->first))
 			cell->first = peer;
 	}
 	for (unsigned i = 0; i < n; i++) {
-		struct mesh_peer *some;
+		struct mesh_peer *pick;
 
 		if (cells[i].found)
 			continue;
-		some = cell_some(mesh, &cells[i]);
-		news_send(mesh, cells[i].first, news);
-		if (some != cells[i].first)
-			news_send(mesh, some, news);
+		pick = cell_pick(mesh, &cells[i]);
+		message_send(mesh, cells[i].first, msg);
+		if (pick != cells[i].first)
+			message_send(mesh, pick, msg);
 	}
 }
 
-/* Tells the relays of the other cells. */
+/* Sends the cell summary to the relays of the other cells. */
 static void
-tell_relays(struct mesh *mesh)
+send_to_relays(struct mesh *mesh)
 {
-	static struct mesh_message news;
+	static struct mesh_message msg;
 	struct mesh_peer *peer;
 	bool flat = mesh_flat(mesh);
 
-	news_fill(mesh, MESH_CELL_SUMMARY, &news);
+	message_fill(mesh, MESH_CELL_SUMMARY, &msg);
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
 		if (mesh_peer_in_cell(mesh, peer))
 			continue;
-		if (far_relay(mesh, peer) ||
+		if (is_other_relay(mesh, peer) ||
 		    (flat &&
 			(mesh_peer_maybe_alive(mesh, peer) ||
-			    mesh->n_sent % PROBE_TURNS == 0)))
-			news_send(mesh, peer, &news);
+			    mesh->n_sent % PROBE_ONE_IN == 0)))
+			message_send(mesh, peer, &msg);
 	}
-	if (!flat && mesh->n_sent % SEEK_TURNS == 0)
-		seek_relays(mesh, &news);
+	if (!flat && mesh->n_sent % SEEK_ONE_IN == 0)
+		seek_relays(mesh, &msg);
 }
 
 /**
- * mesh_send() - tell the others now, as relay or to the own relay.
+ * mesh_send() - send this daemon's state now: to all others as a relay, or else
+ * to its relay.
  * @mesh: the mesh
  */
 void
@@ -359,22 +370,22 @@
 		mesh_send_to(mesh, mesh->relay, MESH_REPORT);
 		return;
 	}
-	if (mesh->told_ms != 0 && mesh->now_ms - mesh->told_ms < URGENT_MS) {
-		/* Soon enough with the next round. */
-		mesh->tell_ms = 0;
+	if (mesh->sent_ms != 0 && mesh->now_ms - mesh->sent_ms < URGENT_MS) {
+		/* The next round is soon enough. */
+		mesh->send_interval_ms = 0;
 		return;
 	}
-	mesh->told_ms = mesh->now_ms;
+	mesh->sent_ms = mesh->now_ms;
 	mesh->n_sent++;
-	tell_relays(mesh);
+	send_to_relays(mesh);
 	if (!mesh_flat(mesh))
-		length = tell_cell(mesh);
-	mesh->tell_ms = mesh_flat(mesh) ?
+		length = send_to_cell(mesh);
+	mesh->send_interval_ms = mesh_flat(mesh) ?
 	    MESH_ROUND_MS :
-	    CLAMP(length * 1000 / RELAY_BYTES_S, RELAY_LEAST_MS, RELAY_MOST_MS);
+	    CLAMP(length * 1000 / RELAY_BYTES_S, RELAY_MIN_MS, RELAY_MAX_MS);
 }
 
-/* Whether this daemon has something to report beyond that it lives. */
+/* Whether this daemon has more to report than that it is alive. */
 static bool
 self_busy(const struct mesh *mesh)
 {
@@ -389,30 +400,31 @@
 	return (false);
 }
 
-/* Forgets the work of the silent and, later, the silent themselves. */
+/* Drops the loads of silent daemons and, later, these daemons themselves. */
 static void
-mesh_age(struct mesh *mesh)
+mesh_expire(struct mesh *mesh)
 {
 	struct mesh_peer *peer, *next;
 
 	for (peer = TAILQ_FIRST(&mesh->peers); peer != NULL; peer = next) {
 		uint64_t since = MAX(peer->heard_ms, peer->first_seen_ms);
-		uint64_t old = peer->loads_in_cell ? REPORT_OLD_MS : SUM_OLD_MS;
+		uint64_t expire_ms =
+		    peer->loads_in_cell ? REPORT_EXPIRE_MS : SUMMARY_EXPIRE_MS;
 
 		next = TAILQ_NEXT(peer, entry);
 		since = MAX(since, peer->listed_ms);
 		if (peer->loads->len > 0 &&
-		    mesh->now_ms - peer->loads_ms >= old)
+		    mesh->now_ms - peer->loads_ms >= expire_ms)
 			mesh_remove_loads(mesh, peer);
 		if (peer->pool.open > 0)
 			net_pool_expire(&peer->pool);
-		if (mesh->now_ms - since >= PEER_FORGET_MS &&
+		if (mesh->now_ms - since >= PEER_REMOVE_MS &&
 		    peer->pool.open == 0)
 			mesh_peer_free(mesh, peer);
 	}
 }
 
-/* Chooses anew whom to report to, with a line for each change. */
+/* Chooses the relay again, and logs a change. */
 static void
 relay_update(struct mesh *mesh)
 {
@@ -420,19 +432,19 @@
 
 	if (relay == mesh->relay)
 		return;
-	event_log(LOG_INFO, "relay_changed", "relay=%s was=%s living=%u",
+	event_log(LOG_INFO, "relay_changed", "relay=%s was=%s alive=%u",
 	    relay != NULL ? relay->name : mesh->name,
 	    mesh->relay != NULL ? mesh->relay->name : mesh->name,
 	    mesh_count_alive(mesh));
 	mesh->relay = relay;
-	/* The first word is urgent for a cell that lost its relay. */
-	mesh->told_ms = 0;
+	/* Sent at once, since the cell may have lost its relay. */
+	mesh->sent_ms = 0;
 	mesh_send(mesh);
 }
 
-/* Others that live, by what this daemon hears or is told. */
+/* Number of other daemons that are alive, as heard or reported. */
 static unsigned
-fleet_size(const struct mesh *mesh)
+count_others(const struct mesh *mesh)
 {
 	const struct mesh_peer *peer;
 	unsigned n = 0;
@@ -444,15 +456,15 @@
 }
 
 /**
- * mesh_round() - a round of telling.
+ * mesh_round() - run one round: expire peers, choose the relay and send if due.
  * @mesh: the mesh
  */
 void
 mesh_round(struct mesh *mesh)
 {
 	mesh->round++;
-	mesh_age(mesh);
-	mesh->size = fleet_size(mesh);
+	mesh_expire(mesh);
+	mesh->n_others = count_others(mesh);
 	relay_update(mesh);
 	mesh_share_limits(mesh);
 	if (mesh->relay != NULL) {
@@ -460,7 +472,9 @@
 			mesh_send(mesh);
 		return;
 	}
-	/* Half a round early is as good as half a round late. */
-	if (mesh->now_ms - mesh->told_ms + MESH_ROUND_MS / 2 >= mesh->tell_ms)
+	/* Rounds to the nearest round: half a round early is as good as half a
+	 * round late. */
+	if (mesh->now_ms - mesh->sent_ms + MESH_ROUND_MS / 2 >=
+	    mesh->send_interval_ms)
 		mesh_send(mesh);
 }
--- a/src/mesh-serve.c
+++ b/src/mesh-serve.c
@@ -1,4 +1,5 @@
-/* What a daemon gives to others that ask for it, and fetches when it starts. */
+/* State that a daemon serves to its peers over HTTP, and fetches when it
+ * starts. */
 #include <string.h>
 
 #include "event-log.h"
@@ -6,43 +7,43 @@
 #include "net-call.h"
 
 #define ENTRIES_PATH "/entries"
-/* Entries of some hundred endpoints at some hundred bytes each, to a cell of
- * daemons that all start at once. */
+/* Entries of some hundred endpoints at some hundred bytes each, served to a
+ * cell of daemons that all start at once. */
 #define FETCH_TIMEOUT_MS 1500
-/* Room for the head of an answer with entries. */
-#define HEAD_BYTES 256
+/* Room for the header of an answer with entries. */
+#define HEADER_BYTES 256
 
-/* The configuration in force here. */
+/* Serves the configuration in force here. */
 static unsigned
 serve_config(const struct mesh *mesh, GString *body)
 {
 	const GBytes *bytes = mesh->dir->config_bytes;
 	gsize length;
-	const char *at;
+	const char *data;
 
 	if (bytes == NULL)
 		return (HTTP_STATUS_NOT_FOUND);
-	at = g_bytes_get_data((GBytes *)bytes, &length);
-	g_string_append_len(body, at, (gssize)length);
+	data = g_bytes_get_data((GBytes *)bytes, &length);
+	g_string_append_len(body, data, (gssize)length);
 	return (HTTP_STATUS_OK);
 }
 
-/* Room that records take at most when they are encoded. */
+/* Upper bound of the encoded size of records. */
 static size_t
-records_room(const GArray *records)
+records_size_max(const GArray *records)
 {
-	size_t room = HEAD_BYTES;
+	size_t size = HEADER_BYTES;
 
 	for (guint i = 0; i < records->len; i++) {
 		const struct store_record *record =
 		    &g_array_index(records, struct store_record, i);
 
-		room += HEAD_BYTES + strlen(record->key) + record->length;
+		size += HEADER_BYTES + strlen(record->key) + record->length;
 	}
-	return (room);
+	return (size);
 }
 
-/* The entries of all endpoints that serve. */
+/* Serves the entries of all endpoints that serve. */
 static unsigned
 serve_entries(const struct mesh *mesh, GString *body)
 {
@@ -50,7 +51,7 @@
 	g_autoptr(GArray) records =
 	    g_array_new(FALSE, TRUE, sizeof(struct store_record));
 	g_autofree char *out = NULL;
-	size_t room, length;
+	size_t size, length;
 
 	if (!mesh->dir->endpoints.synced)
 		return (HTTP_STATUS_NOT_FOUND);
@@ -59,9 +60,9 @@
 	g_strlcpy(entries.name, mesh->name, sizeof entries.name);
 	entries.end = mesh->dir->endpoints.next;
 	entries.records = records;
-	room = records_room(records);
-	out = g_malloc(room);
-	length = mesh_entries_encode(&entries, 0, records->len, out, room);
+	size = records_size_max(records);
+	out = g_malloc(size);
+	length = mesh_entries_encode(&entries, 0, records->len, out, size);
 	if (length == 0)
 		return (HTTP_STATUS_NOT_FOUND);
 	g_string_append_len(body, out, (gssize)length);
@@ -69,10 +70,12 @@
 }
 
 /**
- * mesh_serve() - answer another daemon.
+ * mesh_serve() - answer a request of another daemon.
  * @arg: the struct mesh
- * @path: asked for
+ * @path: path of the request
  * @body: filled in
+ *
+ * Return: HTTP status.
  */
 unsigned
 mesh_serve(void *arg, const char *path, GString *body)
@@ -109,8 +112,8 @@
 }
 
 /*
- * Whether a daemon should be asked: the relay, by one that waits for it; any
- * relay, by one that the store does not answer.
+ * Whether to fetch from a daemon: from its relay, if this daemon waits for
+ * that; from any relay, if the store does not answer.
  */
 static bool
 fetch_from(const struct mesh *mesh, const struct mesh_peer *peer)
@@ -124,10 +127,11 @@
 }
 
 /**
- * mesh_fetch_entries() - fetch all entries from a relay, at the start.
+ * mesh_fetch_entries() - fetch all entries from a relay at the start.
  * @mesh: the mesh
  * @peer: a daemon that was heard
- * @end: its entries are complete up to this offset, or MESH_NO_ENTRIES
+ * @end: it has all entries up to this offset; MESH_NO_ENTRIES if it has read
+ *	none
  */
 void
 mesh_fetch_entries(struct mesh *mesh, struct mesh_peer *peer, uint64_t end)
--- a/src/mesh-shares.c
+++ b/src/mesh-shares.c
@@ -1,13 +1,13 @@
 /*
- * Which daemon has what share of the limits that endpoints name for all daemons
- * together. Pure.
+ * Shares of the limits that endpoints name for all daemons together. Pure.
  *
- * Answers endpoints that name few requests a second before many daemons. Equal
- * shares of all would give each one request in minutes, and as many at once as
- * there are daemons. So a few daemons have all, a number that follows the
- * limit, taken from the failure domains in turn and drawn by hash, on which all
- * agree who know of the same daemons. A part of the fleet that knows of fewer
- * than lately lived takes its part of the limit, not the whole.
+ * Endpoints may name a limit of few requests per second to many daemons. Equal
+ * shares would give each daemon one request in minutes, and allow as many at
+ * once as there are daemons. A few daemons therefore share the whole limit.
+ * Their number depends on the limit; they are taken from the failure domains in
+ * turn and chosen by a hash, so that all daemons with the same view agree on
+ * them. A part of the fleet that knows of fewer daemons than were recently
+ * alive uses only its part of the limit.
  */
 #include <math.h>
 #include <string.h>
@@ -15,62 +15,64 @@
 
 #include "mesh.h"
 
-/* Users of an endpoint for each request a second of its limit, and besides.
- * Each may send one request at once, so in 4 s the sum is at most six times the
- * limit and this; endpoints bear six times the limit and five. */
+/* Users of an endpoint: this many per request per second of its limit, and
+ * USERS_BASE more. Each may send one request at once, so the sum over 4 s is at
+ * most six times the limit and USERS_BASE; endpoints tolerate six times the
+ * limit and five. */
 #define USERS_PER_RATE 2.0
-#define USERS_LEAST 3.0
-/* Span in which the most daemons that lived count, and the one before: longer
- * than usual cuts. Shares of daemons that are gone for good are unused for so
- * long. */
-#define LIVED_SPAN_MS 300000
-/* A number of daemons that is told for so long is one that lived. */
+#define USERS_BASE 3.0
+/* The peak of live daemons covers the current window of this length and the one
+ * before: longer than typical partitions. The shares of daemons that are gone
+ * for good stay unused for as long. */
+#define PEAK_WINDOW_MS 300000
+/* A number of live daemons counts towards the peak once it has been reported
+ * for this long. */
 #define STEADY_MS 3000
-/* A daemon that starts knows its relay within this, or is one, and by the end
- * of the second span it has heard of all others. */
+/* A daemon that starts knows its relay, or is one, within SETTLE_MS; by
+ * STARTUP_MS it has heard of all others. */
 #define SETTLE_MS 1500
-#define BEGIN_MS 5000
-/* A daemon that takes a share over waits for so long: the one that had it has
- * heard by then that it is another's. */
+#define STARTUP_MS 5000
+/* A daemon that takes over a share waits for this long: by then the previous
+ * owner has heard of the change. */
 #define TAKE_OVER_MS 2000
 /* Failure domains that daemons are counted by. */
 #define CELLS_MAX 64
 
 /**
- * struct limit_cell - the daemons of a failure domain.
- * @domain: its name
- * @living: how many live
- * @place: among the domains, for one endpoint
- * @users: of them, that may use that endpoint
+ * struct limit_cell - the daemons of one failure domain.
+ * @domain: name of the failure domain
+ * @n_alive: number of live daemons
+ * @order: order among the failure domains for one endpoint
+ * @users: number of them that may use that endpoint
  */
 struct limit_cell {
 	const char *domain;
-	unsigned living;
-	uint32_t place;
+	unsigned n_alive;
+	uint32_t order;
 	unsigned users;
 };
 
 /**
- * struct limit_view - the daemons that live, as this one knows.
- * @cells: by failure domain; the own one first
- * @n_cells: how many
- * @living: daemons in all
- * @part: of those that lived lately
- * @others: short names of the others of the own cell
- * @n_others: how many
+ * struct limit_view - the live daemons, as this daemon knows them.
+ * @cells: by failure domain; this daemon's own first
+ * @n_cells: number of @cells
+ * @n_alive: number of live daemons
+ * @part: that number as a fraction of the recent peak
+ * @others: hashes of the names of the other members of this daemon's cell
+ * @n_others: number of @others
  */
 struct limit_view {
 	struct limit_cell cells[CELLS_MAX];
 	unsigned n_cells;
-	unsigned living;
+	unsigned n_alive;
 	double part;
 	uint32_t others[MESH_MEMBERS_MAX];
 	unsigned n_others;
 };
 
-/* A number for a pair of short names; the least comes first. */
+/* Pseudorandom order of a pair of hashes; the lowest comes first. */
 static uint32_t
-pair_place(uint32_t a, uint32_t b)
+pair_order(uint32_t a, uint32_t b)
 {
 	const uint32_t pair[] = { a, b };
 
@@ -78,11 +80,11 @@
 }
 
 static void
-view_add(struct limit_view *view, const char *domain, unsigned living)
+view_add(struct limit_view *view, const char *domain, unsigned n_alive)
 {
 	struct limit_cell *cell = NULL;
 
-	view->living += living;
+	view->n_alive += n_alive;
 	for (unsigned i = 0; i < view->n_cells && cell == NULL; i++) {
 		if (strcmp(view->cells[i].domain, domain) == 0)
 			cell = &view->cells[i];
@@ -90,13 +92,14 @@
 	if (cell == NULL && view->n_cells < CELLS_MAX) {
 		cell = &view->cells[view->n_cells++];
 		cell->domain = domain;
-		cell->living = 0;
+		cell->n_alive = 0;
 	}
 	if (cell != NULL)
-		cell->living += living;
+		cell->n_alive += n_alive;
 }
 
-/* The others of the own cell, as its relay knows them or tells them. */
+/* Fills in the other members of this daemon's cell, as its relay knows or lists
+ * them. */
 static void
 view_fill_others(const struct mesh *mesh, struct limit_view *view)
 {
@@ -104,9 +107,9 @@
 
 	view->n_others = 0;
 	if (mesh->relay != NULL) {
-		view->n_others = mesh->n_cell_keys;
-		memcpy(view->others, mesh->cell_keys,
-		    mesh->n_cell_keys * sizeof mesh->cell_keys[0]);
+		view->n_others = mesh->n_cell_hashes;
+		memcpy(view->others, mesh->cell_hashes,
+		    mesh->n_cell_hashes * sizeof mesh->cell_hashes[0]);
 		return;
 	}
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
@@ -114,37 +117,39 @@
 		    (mesh_peer_is_relay(mesh, peer) ||
 			mesh_peer_reports(mesh, peer)) &&
 		    view->n_others < MESH_MEMBERS_MAX)
-			view->others[view->n_others++] = peer->key;
+			view->others[view->n_others++] = peer->name_hash;
 	}
 }
 
-/* The most daemons that lived lately, each number for a while: where a relay
- * takes over from another, some are counted twice for a moment. */
+/* Peak of the recent numbers of live daemons. A number counts only if it held
+ * for a while: when a relay replaces another, some daemons are briefly counted
+ * twice. */
 static unsigned
-lived_most(struct mesh *mesh, unsigned living)
+peak_update(struct mesh *mesh, unsigned n_alive)
 {
 	unsigned steady = 0;
 
-	mesh->alive_min = MIN(mesh->alive_min, living);
+	mesh->alive_min = MIN(mesh->alive_min, n_alive);
 	if (mesh->now_ms - mesh->alive_since_ms >= STEADY_MS) {
 		steady = mesh->alive_min;
-		mesh->alive_min = living;
+		mesh->alive_min = n_alive;
 		mesh->alive_since_ms = mesh->now_ms;
 	}
-	return (fwd_sharers_note(&mesh->lived, steady, LIVED_SPAN_MS,
+	return (fwd_sharers_note(&mesh->alive_peak, steady, PEAK_WINDOW_MS,
 	    mesh->now_ms));
 }
 
-/* Part of the daemons that lived lately which this one knows of now. */
+/* Live daemons as a fraction of the recent peak. */
 static double
-view_part(struct mesh *mesh, unsigned living)
+view_part(struct mesh *mesh, unsigned n_alive)
 {
-	unsigned most = lived_most(mesh, living);
+	unsigned peak = peak_update(mesh, n_alive);
 
-	/* One that starts goes by the records until it has heard of all. */
-	if (mesh->now_ms - mesh->opened_ms < BEGIN_MS)
-		most = MAX(most, 1 + mesh->size);
-	return ((double)living / MAX(most, living));
+	/* A daemon that has just started uses the records until it has heard of
+	 * all. */
+	if (mesh->now_ms - mesh->opened_ms < STARTUP_MS)
+		peak = MAX(peak, 1 + mesh->n_others);
+	return ((double)n_alive / MAX(peak, n_alive));
 }
 
 static void
@@ -153,20 +158,21 @@
 	const struct mesh_peer *peer;
 
 	view_fill_others(mesh, view);
-	view->n_cells = view->living = 0;
+	view->n_cells = view->n_alive = 0;
 	view_add(view, mesh->domain, 1);
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
 		if (mesh_peer_reports(mesh, peer))
 			view_add(view, mesh->domain, 1);
 		else if (!mesh_peer_in_cell(mesh, peer) &&
 		    mesh_peer_is_relay(mesh, peer))
-			view_add(view, peer->domain, MAX(peer->living, 1));
+			view_add(view, peer->domain, MAX(peer->n_alive, 1));
 	}
 	view->part = view_part(mesh,
-	    mesh->relay == NULL ? view->living : 1 + mesh->size);
+	    mesh->relay == NULL ? view->n_alive : 1 + mesh->n_others);
 }
 
-/* The cell that gets the next user of an endpoint; NULL where all have one. */
+/* Finds the cell that gets the next user of an endpoint; NULL if all its
+ * daemons are users already. */
 static struct limit_cell *
 cells_next(struct limit_view *view)
 {
@@ -175,18 +181,18 @@
 	for (unsigned i = 0; i < view->n_cells; i++) {
 		struct limit_cell *cell = &view->cells[i];
 
-		if (cell->users == cell->living)
+		if (cell->users == cell->n_alive)
 			continue;
 		if (next == NULL || cell->users < next->users ||
-		    (cell->users == next->users && cell->place < next->place))
+		    (cell->users == next->users && cell->order < next->order))
 			next = cell;
 	}
 	return (next);
 }
 
-/* Gives the cells their numbers of users, one after the other in turn. */
+/* Distributes the users of an endpoint among the cells in turn. */
 static unsigned
-cells_share(struct limit_view *view, uint32_t key, unsigned users)
+cells_share(struct limit_view *view, uint32_t id_hash, unsigned users)
 {
 	struct limit_cell *next;
 	unsigned given = 0;
@@ -194,9 +200,9 @@
 	for (unsigned i = 0; i < view->n_cells; i++) {
 		struct limit_cell *cell = &view->cells[i];
 
-		cell->place =
-		    pair_place(XXH32(cell->domain, strlen(cell->domain), 0),
-			key);
+		cell->order =
+		    pair_order(XXH32(cell->domain, strlen(cell->domain), 0),
+			id_hash);
 		cell->users = 0;
 	}
 	while (given < users && (next = cells_next(view)) != NULL) {
@@ -206,15 +212,17 @@
 	return (given);
 }
 
-/* How many of the own cell may use an endpoint, as a relay decides it. */
+/* Decides, as a relay, how many daemons of the cell may use an endpoint, and at
+ * what rate. */
 static void
 limit_decide(struct limit_view *view, struct endpoint *ep, uint64_t now_ms)
 {
 	struct endpoint_limit *limit = &ep->limit;
 	double rate = endpoint_limit_rate(limit);
-	double most = floor((USERS_PER_RATE * rate + USERS_LEAST) * view->part);
+	double max_users =
+	    floor((USERS_PER_RATE * rate + USERS_BASE) * view->part);
 	unsigned users = cells_share(view, ep->key,
-	    (unsigned)CLAMP(most, 1, (double)view->living));
+	    (unsigned)CLAMP(max_users, 1, (double)view->n_alive));
 	double each = rate * view->part / users;
 
 	if (limit->cell_users == view->cells[0].users &&
@@ -225,51 +233,55 @@
 	limit->changed_ms = now_ms;
 }
 
-/* Others of the own cell that come before this daemon for an endpoint. */
+/* Number of other members of the cell that come before this daemon for an
+ * endpoint. */
 static unsigned
 others_before(const struct mesh *mesh, const struct limit_view *view,
-    uint32_t key)
+    uint32_t id_hash)
 {
-	uint32_t own = pair_place(mesh->key, key);
+	uint32_t own = pair_order(mesh->name_hash, id_hash);
 	unsigned before = 0;
 
 	for (unsigned i = 0; i < view->n_others; i++)
-		before += pair_place(view->others[i], key) < own;
+		before += pair_order(view->others[i], id_hash) < own;
 	return (before);
 }
 
-/* Whether all daemons learn of a limit just now, so that no other may still use
- * a share that this one gets. */
+/* Whether all daemons are only now learning of a limit, so that no other daemon
+ * may still use a share that this one gets. */
 static bool
 limit_is_new(const struct mesh *mesh, const struct endpoint_limit *limit)
 {
 	return (mesh->now_ms - limit->since_ms < TAKE_OVER_MS &&
-	    mesh->now_ms - mesh->opened_ms >= BEGIN_MS);
+	    mesh->now_ms - mesh->opened_ms >= STARTUP_MS);
 }
 
 static void
-limit_share(struct mesh *mesh, struct limit_view *view, struct endpoint *ep)
+limit_update_share(struct mesh *mesh, struct limit_view *view,
+    struct endpoint *ep)
 {
 	const struct endpoint_limit *limit = &ep->limit;
 	double share = 0;
 
 	if (mesh->relay == NULL && mesh->now_ms - mesh->opened_ms >= SETTLE_MS)
 		limit_decide(view, ep, mesh->now_ms);
-	if (mesh->known_ms != 0 || mesh->now_ms - mesh->opened_ms >= BEGIN_MS)
+	if (mesh->records_read_ms != 0 ||
+	    mesh->now_ms - mesh->opened_ms >= STARTUP_MS)
 		share = others_before(mesh, view, ep->key) < limit->cell_users ?
 		    limit->cell_each_per_s :
 		    0;
-	/* A part of a turn by their names, so that not all send at once. */
+	/* Starts with a fraction of a permit that depends on the names, so that
+	 * not all send at once. */
 	if (limit->share_per_s == 0 && share > 0)
 		endpoint_limit_begin(&ep->limit,
-		    pair_place(mesh->key, ep->key) / (UINT32_MAX + 1.0),
+		    pair_order(mesh->name_hash, ep->key) / (UINT32_MAX + 1.0),
 		    mesh->now_ms +
 			(limit_is_new(mesh, limit) ? 0 : TAKE_OVER_MS));
 	endpoint_limit_share(&ep->limit, share, mesh->now_ms);
 }
 
 /**
- * mesh_share_limits() - this daemon's share of each limit.
+ * mesh_share_limits() - compute this daemon's share of each limit.
  * @mesh: the mesh
  */
 void
@@ -281,13 +293,12 @@
 	view_fill(mesh, &view);
 	TAILQ_FOREACH(ep, &mesh->dir->fleet.endpoints, entry) {
 		if (ep->limit.holds)
-			limit_share(mesh, &view, ep);
+			limit_update_share(mesh, &view, ep);
 	}
 }
 
 /**
- * mesh_limit_changed() - an endpoint told this daemon something new of its
- * limit.
+ * mesh_limit_changed() - handle a change of a limit, as told by the endpoint.
  * @mesh: the mesh
  * @ep: the endpoint
  */
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -1,4 +1,4 @@
-/* The other daemons: the socket and the timer. */
+/* Socket and timer of the exchange of state with other daemons. */
 #include <string.h>
 
 #include "clock.h"
@@ -8,10 +8,11 @@
 
 static char receive_buffer[MESH_DATAGRAM_MAX];
 
-/* An age must not be told as less than it is, also where this loop's round
- * takes long or the process stood still in it. */
+/* Sets the mesh's clock. The loop's time is updated first: an age that is sent
+ * must not be less than the real one, even if this iteration of the loop takes
+ * long or the process was suspended during it. */
 static void
-mesh_time(struct mesh *mesh)
+mesh_update_clock(struct mesh *mesh)
 {
 	uv_update_time(mesh->loop);
 	mesh->now_ms = clock_loop_ms(mesh->loop);
@@ -31,12 +32,13 @@
 
 	if (n <= 0 || from == NULL)
 		return;
-	mesh_time(mesh);
+	mesh_update_clock(mesh);
 	mesh_receive(mesh, buf->base, (size_t)n,
 	    (const struct sockaddr_in *)(const void *)from);
 }
 
-/* A datagram that does not go out now is made good by the next. */
+/* Sends a datagram. One that can't be sent now is not retried: the next one
+ * replaces it. */
 static void
 send_udp(void *arg, const struct sockaddr_in *to, const char *bytes,
     size_t length)
@@ -52,52 +54,54 @@
 {
 	struct mesh *mesh = timer->data;
 
-	mesh_time(mesh);
+	mesh_update_clock(mesh);
 	mesh_round(mesh);
 }
 
 /**
- * mesh_send_now() - tell the others before the next round.
+ * mesh_send_now() - send this daemon's state without waiting for the next
+ * round.
  * @mesh: the mesh
  */
 void
 mesh_send_now(struct mesh *mesh)
 {
-	mesh_time(mesh);
+	mesh_update_clock(mesh);
 	mesh_send(mesh);
 }
 
 /**
- * mesh_limit_announce() - an endpoint told this daemon something new of its
- * limit.
+ * mesh_limit_announce() - handle a change of a limit, as told by the endpoint,
+ * and announce it to the other daemons.
  * @mesh: the mesh
  * @ep: the endpoint
  */
 void
 mesh_limit_announce(struct mesh *mesh, struct endpoint *ep)
 {
-	mesh_time(mesh);
+	mesh_update_clock(mesh);
 	mesh_limit_changed(mesh, ep);
 	mesh_send(mesh);
 }
 
 /**
- * mesh_begin() - the records of all daemons have been read: find the relay.
+ * mesh_begin() - choose a relay, once the records of all daemons have been
+ * read.
  * @mesh: the mesh
  */
 void
 mesh_begin(struct mesh *mesh)
 {
-	mesh_time(mesh);
+	mesh_update_clock(mesh);
 	mesh_set_records_read(mesh);
 	mesh_round(mesh);
 }
 
 /**
- * mesh_open() - begin to listen and tell.
+ * mesh_open() - start to listen and to send.
  * @mesh: the mesh; dir, name, domain and capacity are filled in
  * @loop: the event loop
- * @addr: where to listen
+ * @addr: address to listen on
  *
  * Return: 0, or a libuv error.
  */
@@ -108,7 +112,7 @@
 
 	mesh->loop = loop;
 	mesh->addr = *addr;
-	mesh->send = send_udp;
+	mesh->send_datagram = send_udp;
 	mesh->send_arg = mesh;
 	mesh_init(mesh, clock_loop_ms(loop), random_u64());
 	uv_udp_init(loop, &mesh->udp);
--- a/src/poison-model.c
+++ b/src/poison-model.c
@@ -1,161 +1,169 @@
-/* Work that ends each endpoint that runs it, before many daemons, in virtual
- * time. */
+/* Simulation, in virtual time, of many daemons that receive requests which
+ * crash every endpoint that runs them. */
 #include "poison-model.h"
 
-/* From the send to the end of the endpoint: about a wait for a place and the
+/* From the send to the crash of the endpoint: about the wait for a slot and the
  * first step. */
 #define RUN_MS 400
 /* Sends of one attempt. */
-#define SENDS_MOST 2
-/* After this many ends daemons have so long until arrivals count. */
-#define TOLD_ENDS 3
+#define SENDS_MAX 2
+/* After this many crashes by a request, its sends count as late once STABLE_MS
+ * have passed. */
+#define LATE_AFTER_CRASHES 3
 #define STABLE_MS 3000
-/* Requests of others on an endpoint, and how many of them met an end before. */
-#define OTHERS 25
+/* Bystanders on an endpoint, and how many of these, in thousandths, met the
+ * previous crash as well. */
+#define BYSTANDERS_PER_CRASH 25
 #define MEET_THOUSANDTHS 100
 #define MS_PER_S 1000
-/* Fingerprints of bystanders begin here. */
-#define BYSTANDERS 1000000u
+/* First fingerprint of bystanders. */
+#define FIRST_BYSTANDER 1000000u
 
 /**
- * poison_model_new() - works that have ended nothing yet.
+ * poison_model_new() - create a model without crashes.
  * @fleet: the daemons
- * @way: how they bound what such work does
- * @per_s: attempts a second of each work
- * @works: how many works
+ * @scheme: how they bound the damage of such requests
+ * @per_s: attempts per second of each request
+ * @n_requests: number of such requests
  */
 struct poison_model *
-poison_model_new(struct fleet_model *fleet, const struct poison_scheme *way,
-    double per_s, unsigned works)
+poison_model_new(struct fleet_model *fleet, const struct poison_scheme *scheme,
+    double per_s, unsigned n_requests)
 {
 	struct poison_model *m = g_new0(struct poison_model, 1);
 
 	m->fleet = fleet;
-	m->way = way;
+	m->scheme = scheme;
 	m->per_s = per_s;
-	m->works = works;
-	m->runs = g_array_new(FALSE, FALSE, sizeof(struct poison_attempt));
+	m->n_requests = n_requests;
+	m->attempts = g_array_new(FALSE, FALSE, sizeof(struct poison_attempt));
 	m->bystanders = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	m->third_end_ms = g_new0(uint64_t, works);
-	m->by_work = g_new0(unsigned, works);
-	m->over = g_new0(unsigned, works);
-	m->fingerprint = BYSTANDERS;
+	m->third_crash_ms = g_new0(uint64_t, n_requests);
+	m->crashes = g_new0(unsigned, n_requests);
+	m->n_late = g_new0(unsigned, n_requests);
+	m->next_fingerprint = FIRST_BYSTANDER;
 	return (m);
 }
 
 /**
- * poison_model_free() - free the works, not the daemons.
+ * poison_model_free() - free the model, not the daemons.
  * @m: the model
  */
 void
 poison_model_free(struct poison_model *m)
 {
-	g_array_free(m->runs, TRUE);
+	g_array_free(m->attempts, TRUE);
 	g_array_free(m->bystanders, TRUE);
-	g_free(m->third_end_ms);
-	g_free(m->by_work);
-	g_free(m->over);
+	g_free(m->third_crash_ms);
+	g_free(m->crashes);
+	g_free(m->n_late);
 	g_free(m);
 }
 
 static struct poison *
-model_poison(const struct poison_model *m, unsigned at)
+model_poison(const struct poison_model *m, unsigned index)
 {
-	return (&m->fleet->daemons[at].dir.poison);
+	return (&m->fleet->daemons[index].dir.poison);
 }
 
-/* A daemon sees that an endpoint ended while it had some work there. */
+/* A daemon detects that an endpoint crashed while running a request. */
 static void
-model_lose(struct poison_model *m, unsigned at, uint64_t work)
+model_observe_crash(struct poison_model *m, unsigned index,
+    uint64_t fingerprint)
 {
-	const struct poison_end end = {
-		.key = m->ends,
+	const struct poison_end crash = {
+		.key = m->n_crashes,
 		.at_ms = m->fleet->now_ms,
 	};
 
-	if (m->fleet->daemons[at].up)
-		poison_suspect(model_poison(m, at), work, &end,
+	if (m->fleet->daemons[index].up)
+		poison_suspect(model_poison(m, index), fingerprint, &crash,
 		    m->fleet->now_ms);
 }
 
-/* The others on the endpoint: some that met an end before, the rest new. */
+/* Adds the crash to the bystanders: some that met the previous one, the rest
+ * new. */
 static void
-model_lose_others(struct poison_model *m)
+model_crash_bystanders(struct poison_model *m)
 {
-	GArray *met = m->bystanders;
+	GArray *previous = m->bystanders;
 
 	m->bystanders = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	for (unsigned i = 0; i < OTHERS; i++) {
-		unsigned at = fleet_model_random(m->fleet, m->fleet->n);
-		uint64_t work = m->fingerprint;
+	for (unsigned i = 0; i < BYSTANDERS_PER_CRASH; i++) {
+		unsigned index = fleet_model_random(m->fleet, m->fleet->n);
+		uint64_t fingerprint = m->next_fingerprint;
 
-		if (i < met->len &&
+		if (i < previous->len &&
 		    fleet_model_random(m->fleet, MS_PER_S) < MEET_THOUSANDTHS)
-			work = g_array_index(met, uint64_t, i);
+			fingerprint = g_array_index(previous, uint64_t, i);
 		else
-			m->fingerprint++;
-		g_array_append_val(m->bystanders, work);
-		model_lose(m, at, work);
+			m->next_fingerprint++;
+		g_array_append_val(m->bystanders, fingerprint);
+		model_observe_crash(m, index, fingerprint);
 	}
-	g_array_free(met, TRUE);
+	g_array_free(previous, TRUE);
 }
 
-/* Sends some work, unless the daemon refuses it. */
+/* Sends a request, unless the daemon refuses it. */
 static void
-model_send(struct poison_model *m, unsigned at, uint64_t work, unsigned sends)
+model_send(struct poison_model *m, unsigned index, uint64_t fingerprint,
+    unsigned sends)
 {
 	uint64_t now = m->fleet->now_ms;
-	unsigned of = (unsigned)work - 1;
-	const struct poison_attempt run = {
-		.work = work,
-		.daemon = at,
+	unsigned request = (unsigned)fingerprint - 1;
+	const struct poison_attempt attempt = {
+		.fingerprint = fingerprint,
+		.daemon = index,
 		.sends = sends + 1,
-		.ends_ms = now + RUN_MS,
+		.crash_ms = now + RUN_MS,
 	};
 
-	if (!m->fleet->daemons[at].up || m->way->refuses(m, at, work))
+	if (!m->fleet->daemons[index].up ||
+	    m->scheme->refuses(m, index, fingerprint))
 		return;
-	m->over[of] +=
-	    m->third_end_ms[of] != 0 && now - m->third_end_ms[of] >= STABLE_MS;
-	g_array_append_val(m->runs, run);
+	m->n_late[request] += m->third_crash_ms[request] != 0 &&
+	    now - m->third_crash_ms[request] >= STABLE_MS;
+	g_array_append_val(m->attempts, attempt);
 }
 
-/* An endpoint ends under the work that it runs. */
+/* An endpoint crashes under a request. */
 static void
-model_end(struct poison_model *m, const struct poison_attempt *run)
+model_crash(struct poison_model *m, const struct poison_attempt *attempt)
 {
-	unsigned of = (unsigned)run->work - 1;
-
-	m->ends++;
-	m->last_ms = m->fleet->now_ms;
-	if (++m->by_work[of] == TOLD_ENDS)
-		m->third_end_ms[of] = m->fleet->now_ms;
-	model_lose(m, run->daemon, run->work);
-	model_lose_others(m);
-	if (run->sends < SENDS_MOST &&
-	    m->way->repeats(m, run->daemon, run->work))
-		model_send(m, run->daemon, run->work, run->sends);
+	unsigned request = (unsigned)attempt->fingerprint - 1;
+
+	m->n_crashes++;
+	m->last_crash_ms = m->fleet->now_ms;
+	if (++m->crashes[request] == LATE_AFTER_CRASHES)
+		m->third_crash_ms[request] = m->fleet->now_ms;
+	model_observe_crash(m, attempt->daemon, attempt->fingerprint);
+	model_crash_bystanders(m);
+	if (attempt->sends < SENDS_MAX &&
+	    m->scheme->resends(m, attempt->daemon, attempt->fingerprint))
+		model_send(m, attempt->daemon, attempt->fingerprint,
+		    attempt->sends);
 }
 
 static void
-model_end_due(struct poison_model *m)
+model_crash_due(struct poison_model *m)
 {
-	for (guint i = 0; i < m->runs->len;) {
-		struct poison_attempt run =
-		    g_array_index(m->runs, struct poison_attempt, i);
+	for (guint i = 0; i < m->attempts->len;) {
+		struct poison_attempt attempt =
+		    g_array_index(m->attempts, struct poison_attempt, i);
 
-		if (run.ends_ms > m->fleet->now_ms) {
+		if (attempt.crash_ms > m->fleet->now_ms) {
 			i++;
 			continue;
 		}
-		g_array_remove_index(m->runs, i);
-		model_end(m, &run);
+		g_array_remove_index(m->attempts, i);
+		model_crash(m, &attempt);
 	}
 }
 
-/* Where daemons don't tell each other, nothing of this is news. */
+/* For schemes in which daemons do not tell each other: marks everything as
+ * sent. */
 static void
-model_hush(struct poison_model *m)
+model_suppress_sends(struct poison_model *m)
 {
 	for (unsigned i = 0; i < m->fleet->n; i++) {
 		struct poison_work *w;
@@ -172,19 +180,19 @@
 }
 
 /**
- * poison_model_run() - let time pass.
+ * poison_model_run() - advance virtual time.
  * @m: the model
- * @ms: how much
+ * @ms: by how much, in ms
  */
 void
 poison_model_run(struct poison_model *m, uint64_t ms)
 {
 	while (ms-- > 0) {
-		if (!m->way->told)
-			model_hush(m);
+		if (!m->scheme->shares)
+			model_suppress_sends(m);
 		fleet_model_run(m->fleet, 1);
-		model_end_due(m);
-		for (unsigned i = 0; i < m->works; i++) {
+		model_crash_due(m);
+		for (unsigned i = 0; i < m->n_requests; i++) {
 			if (fleet_model_random(m->fleet, MS_PER_S) < m->per_s)
 				model_send(m,
 				    fleet_model_random(m->fleet, m->fleet->n),
@@ -194,37 +202,37 @@
 }
 
 static unsigned
-most_of(const unsigned *counts, unsigned n)
+max_of(const unsigned *counts, unsigned n)
 {
-	unsigned most = 0;
+	unsigned max = 0;
 
 	for (unsigned i = 0; i < n; i++)
-		most = MAX(most, counts[i]);
-	return (most);
+		max = MAX(max, counts[i]);
+	return (max);
 }
 
 /**
- * poison_model_ends_max() - the most endpoints that one work ended.
+ * poison_model_crashes_max() - highest number of crashes by one request.
  * @m: the model
  */
 unsigned
-poison_model_ends_max(const struct poison_model *m)
+poison_model_crashes_max(const struct poison_model *m)
 {
-	return (most_of(m->by_work, m->works));
+	return (max_of(m->crashes, m->n_requests));
 }
 
 /**
- * poison_model_late_max() - the most late sends of one work.
+ * poison_model_late_max() - highest number of late sends of one request.
  * @m: the model
  */
 unsigned
 poison_model_late_max(const struct poison_model *m)
 {
-	return (most_of(m->over, m->works));
+	return (max_of(m->n_late, m->n_requests));
 }
 
 /**
- * poison_model_refused() - bystanders that some daemon refuses.
+ * poison_model_refused() - count the bystanders that any daemon refuses.
  * @m: the model
  */
 unsigned
@@ -232,10 +240,11 @@
 {
 	unsigned n = 0;
 
-	for (uint64_t work = BYSTANDERS; work < m->fingerprint; work++) {
+	for (uint64_t fingerprint = FIRST_BYSTANDER;
+	     fingerprint < m->next_fingerprint; fingerprint++) {
 		for (unsigned i = 0; i < m->fleet->n; i++) {
 			if (!m->fleet->daemons[i].up ||
-			    !m->way->refuses(m, i, work))
+			    !m->scheme->refuses(m, i, fingerprint))
 				continue;
 			n++;
 			break;
@@ -244,12 +253,13 @@
 	return (n);
 }
 
-/* The daemons' own verdict. */
+/* The verdict of the daemons themselves. */
 static bool
-told_refuses(const struct poison_model *m, unsigned at, uint64_t work)
+verdict_refuses(const struct poison_model *m, unsigned index,
+    uint64_t fingerprint)
 {
-	const struct dir *dir = &m->fleet->daemons[at].dir;
-	const struct poison_work *w = poison_find(&dir->poison, work);
+	const struct dir *dir = &m->fleet->daemons[index].dir;
+	const struct poison_work *w = poison_find(&dir->poison, fingerprint);
 	struct poison_verdict verdict;
 
 	if (w == NULL)
@@ -259,50 +269,52 @@
 }
 
 static bool
-always_repeats(const struct poison_model *m, unsigned at, uint64_t work)
+always_resends(const struct poison_model *m, unsigned index,
+    uint64_t fingerprint)
 {
 	return (true);
 }
 
-/* Only what has ended no other endpoint. */
+/* Resends only requests that crashed no other endpoint. */
 static bool
-once_repeats(const struct poison_model *m, unsigned at, uint64_t work)
+once_resends(const struct poison_model *m, unsigned index, uint64_t fingerprint)
 {
-	const struct dir *dir = &m->fleet->daemons[at].dir;
+	const struct dir *dir = &m->fleet->daemons[index].dir;
 
-	return (poison_repeatable(&dir->poison, &dir->fleet, work,
+	return (poison_repeatable(&dir->poison, &dir->fleet, fingerprint,
 	    m->fleet->now_ms));
 }
 
-/* After the second end already. */
+/* Refuses after the second crash. */
 static bool
-two_refuses(const struct poison_model *m, unsigned at, uint64_t work)
+two_refuses(const struct poison_model *m, unsigned index, uint64_t fingerprint)
 {
-	const struct poison_work *w = poison_find(model_poison(m, at), work);
+	const struct poison_work *w =
+	    poison_find(model_poison(m, index), fingerprint);
 
 	return (w != NULL && w->n_ends >= 2);
 }
 
 const struct poison_scheme poison_scheme_alone = {
 	.name = "alone",
-	.refuses = told_refuses,
-	.repeats = always_repeats,
+	.refuses = verdict_refuses,
+	.resends = always_resends,
 };
 const struct poison_scheme poison_scheme_two = {
 	.name = "two",
 	.refuses = two_refuses,
-	.repeats = always_repeats,
-	.told = true,
+	.resends = always_resends,
+	.shares = true,
 };
 const struct poison_scheme poison_scheme_once = {
 	.name = "once",
-	.refuses = told_refuses,
-	.repeats = once_repeats,
-	.told = true,
+	.refuses = verdict_refuses,
+	.resends = once_resends,
+	.shares = true,
 };
 const struct poison_scheme poison_scheme_told = {
 	.name = "told",
-	.refuses = told_refuses,
-	.repeats = always_repeats,
-	.told = true,
+	.refuses = verdict_refuses,
+	.resends = always_resends,
+	.shares = true,
 };
--- a/tests/test-fuzz.c
+++ b/tests/test-fuzz.c
@@ -222,11 +222,11 @@
 	news.n_members = 3;
 	for (unsigned i = 0; i < news.n_poison; i++) {
 		news.poison[i] = (struct mesh_poison){
-			.work = UINT64_C(0x1122334455667788) * (i + 1),
-			.key = i,
+			.fingerprint = UINT64_C(0x1122334455667788) * (i + 1),
+			.id_hash = i,
 			.started = i,
 			.age_ms = i * 1000,
-			.sign = MESH_POISON_BROKEN + i % MESH_POISON_CLEARED,
+			.kind = MESH_POISON_BROKEN + i % MESH_POISON_CLEARED,
 		};
 	}
 	return (mesh_message_encode(&news, out, size));
@@ -259,8 +259,8 @@
 		    news.n_poison <= MESH_POISON_MAX &&
 		    news.n_members <= MESH_MEMBERS_MAX);
 		for (uint32_t k = 0; k < news.n_poison; k++)
-			CU_ASSERT(news.poison[k].sign >= MESH_POISON_BROKEN &&
-			    news.poison[k].sign <= MESH_POISON_CLEARED);
+			CU_ASSERT(news.poison[k].kind >= MESH_POISON_BROKEN &&
+			    news.poison[k].kind <= MESH_POISON_CLEARED);
 	}
 	CU_ASSERT(taken > 0);
 }
