--- a/tests/test-mesh.c
+++ b/tests/test-mesh.c
@@ -1,4 +1,4 @@
-/* Scripts over what many daemons know of each other. */
+/* Runs scripts on simulated fleets of daemons that exchange state. */
 #include <math.h>
 #include <string.h>
 #include <syslog.h>
@@ -8,8 +8,9 @@
 #include "poison-model.h"
 #include "script.h"
 
-/* Three ends tell of such work, and three more may come. */
-#define ENDS_ALLOWED 6
+/* Crashes by one request: three until it is quarantined, and three that may
+ * follow until all daemons know. */
+#define CRASHES_ALLOWED 6
 
 static struct fleet_model *model;
 static struct limit_model *limit;
@@ -23,7 +24,8 @@
 	g_clear_pointer(&model, fleet_model_free);
 }
 
-/* fleet N domains=N endpoints=N [seed=N] [loss=N]: lost in thousandths */
+/* fleet N domains=N endpoints=N [seed=N] [loss=N]: creates N daemons; loss is
+ * the number of lost datagrams, in thousandths */
 static void
 exec_fleet(const char *rest, GString *out)
 {
@@ -35,7 +37,7 @@
 	model->loss = (unsigned)script_number(rest, "loss", 0);
 }
 
-/* run MS: time passes */
+/* run MS: advances virtual time */
 static void
 exec_run(const char *rest, GString *out)
 {
@@ -50,8 +52,8 @@
 }
 
 /*
- * demand N [busy=N]: from now on each Nth daemon has N thousandths of a request
- * a second for an endpoint
+ * demand N [busy=N]: from now on, one in every "busy" daemons sends N
+ * thousandths of a request per second to an endpoint
  */
 static void
 exec_demand(const char *rest, GString *out)
@@ -62,7 +64,8 @@
 	    (unsigned)script_number(rest, "busy", 1));
 }
 
-/* limit N: the endpoint names N thousandths of a request a second; or none */
+/* limit N|none: the endpoint names N thousandths of a request per second, or no
+ * limit */
 static void
 exec_limit(const char *rest, GString *out)
 {
@@ -72,7 +75,7 @@
 
 /*
  * limited: daemons that know of the limit, the sum of their shares, requests
- * over it, and the part that was used since it counts, in tenths
+ * over the limit, and the used fraction of it since requests count, in tenths
  */
 static void
 exec_limited(const char *rest, GString *out)
@@ -82,14 +85,14 @@
 	g_string_append_printf(out, "known to %u", limit_model_informed(limit));
 	if (limit->per_s >= 0)
 		g_string_append_printf(out, " share %.2f over %u used %.1f",
-		    limit_model_share(limit), limit->over,
+		    limit_model_share(limit), limit->n_over,
 		    MAX(floor(used * 10) / 10, 0));
 	g_string_append_c(out, '\n');
 }
 
 /*
- * poison N [works=N]: from now on N times a second a caller comes with work
- * that ends each endpoint, or with each of several
+ * poison N [requests=N]: from now on, a request that crashes every endpoint
+ * arrives N times per second; or several such requests, each at that rate
  */
 static void
 exec_poison(const char *rest, GString *out)
@@ -97,23 +100,23 @@
 	g_clear_pointer(&poison, poison_model_free);
 	poison = poison_model_new(model, &poison_scheme_once,
 	    g_ascii_strtod(rest, NULL),
-	    (unsigned)script_number(rest, "works", 1));
+	    (unsigned)script_number(rest, "requests", 1));
 }
 
 /*
- * poisoned: whether each of these works ended six endpoints at most, and sends
- * later than the settling time after the third end, the most of one work
+ * poisoned: whether each such request crashed six endpoints at most, and the
+ * highest number of late sends of one request
  */
 static void
 exec_poisoned(const char *rest, GString *out)
 {
 	g_string_append_printf(out, "%s late sends %u\n",
-	    poison_model_ends_max(poison) <= ENDS_ALLOWED ? "within six" :
-							    "beyond six",
+	    poison_model_crashes_max(poison) <= CRASHES_ALLOWED ? "within six" :
+								  "beyond six",
 	    poison_model_late_max(poison));
 }
 
-/* refusing WORK: daemons that refuse one of these works */
+/* refusing FINGERPRINT: number of daemons that refuse one of these requests */
 static void
 exec_refusing(const char *rest, GString *out)
 {
@@ -126,16 +129,16 @@
 	g_string_append_printf(out, "%u\n", n);
 }
 
-/* count: begin the counts anew */
+/* count: resets the counters */
 static void
 exec_count(const char *rest, GString *out)
 {
 	fleet_model_reset_counts(model);
 }
 
-/* work N: each daemon has N requests at endpoints drawn at random */
+/* load N: each daemon has N requests at randomly drawn endpoints */
 static void
-exec_work(const char *rest, GString *out)
+exec_load(const char *rest, GString *out)
 {
 	fleet_model_set_load(model, (unsigned)g_ascii_strtoull(rest, NULL, 10));
 }
@@ -147,14 +150,14 @@
 	model->loss = (unsigned)g_ascii_strtoull(rest, NULL, 10);
 }
 
-/* kill NAME... or start NAME...: daemons end, or begin again */
+/* kill NAME... and start NAME...: daemons stop, or start again */
 static void
 exec_kill(const char *rest, GString *out)
 {
 	g_auto(GStrv) names = g_strsplit(rest, " ", -1);
 
 	for (char **name = names; *name != NULL; name++)
-		fleet_model_stop(model, fleet_model_find(model, *name)->at);
+		fleet_model_stop(model, fleet_model_find(model, *name)->index);
 }
 
 static void
@@ -163,10 +166,11 @@
 	g_auto(GStrv) names = g_strsplit(rest, " ", -1);
 
 	for (char **name = names; *name != NULL; name++)
-		fleet_model_start(model, fleet_model_find(model, *name)->at, 1);
+		fleet_model_start(model, fleet_model_find(model, *name)->index,
+		    1);
 }
 
-/* domain N up=0|1: all daemons of a failure domain end or begin again */
+/* domain N up=0|1: all daemons of a failure domain stop or start again */
 static void
 exec_domain(const char *rest, GString *out)
 {
@@ -180,7 +184,8 @@
 	}
 }
 
-/* cut FROM TO on=0|1: the way from one failure domain to another */
+/* cut FROM TO [on=0|1]: cuts or restores the link from one failure domain to
+ * another */
 static void
 exec_cut(const char *rest, GString *out)
 {
@@ -191,10 +196,10 @@
 	    script_number(rest, "on", 1) != 0;
 }
 
-/* place NAME [on=0|1] [store=0|1]: a daemon takes or loses the placer's lease
+/* placer NAME [on=0|1] [store=0|1]: a daemon takes or loses the placer's lease
  */
 static void
-exec_place(const char *rest, GString *out)
+exec_placer(const char *rest, GString *out)
 {
 	g_autofree char *name = g_strndup(rest, strcspn(rest, " "));
 	struct mesh *mesh = &fleet_model_find(model, name)->mesh;
@@ -215,7 +220,8 @@
 	    script_number(rest, "on", 1) != 0;
 }
 
-/* warn NAME endpoint=ID: a daemon finds an endpoint silent and tells so */
+/* warn NAME endpoint=ID: a daemon finds an endpoint silent and warns the others
+ */
 static void
 exec_warn(const char *rest, GString *out)
 {
@@ -227,7 +233,8 @@
 	mesh_send(&daemon->mesh);
 }
 
-/* warned ID: daemons that were told to avoid an endpoint, and how lately */
+/* warned ID: number of daemons that were warned of an endpoint, and time since
+ * the newest warning */
 static void
 exec_warned(const char *rest, GString *out)
 {
@@ -247,7 +254,7 @@
 	    n, model->n, model->now_ms - newest);
 }
 
-/* relays: the daemons that relay */
+/* relays: the daemons that are relays */
 static void
 exec_relays(const char *rest, GString *out)
 {
@@ -261,37 +268,37 @@
 	g_string_append_c(out, '\n');
 }
 
-/* see: how far the daemons' pictures differ from the truth */
+/* views: how far the daemons' views differ from the actual state */
 static void
-exec_see(const char *rest, GString *out)
+exec_views(const char *rest, GString *out)
 {
 	struct model_stats s;
 
 	fleet_model_measure(model, &s);
 	g_string_append_printf(out,
-	    "up %u relays %u living %u to %u readers %u first %u placer known "
+	    "up %u relays %u alive %u to %u readers %u first %u placer known "
 	    "to %u\n",
 	    s.up, s.relays, s.alive_least, s.alive_most, s.readers,
-	    s.first_ranked, s.holder);
+	    s.first_ranked, s.placer_known);
 }
 
-/* counts: requests off the truth, moves, and what was told a second */
+/* traffic: errors of the load sums, relay changes, and datagrams per second */
 static void
-exec_counts(const char *rest, GString *out)
+exec_traffic(const char *rest, GString *out)
 {
 	struct model_stats s;
 
 	fleet_model_measure(model, &s);
 	g_string_append_printf(out,
-	    "off %.2f most %u moves %u reads %u heard %.0f a second %.1f KB sent %.0f "
-	    "most %.0f\n",
-	    s.load_error_mean, s.load_error_max, s.moves, s.reads, s.received_s,
-	    s.received_bytes_s / 1000, s.sent_s, s.sent_max_s);
+	    "load error %.2f max %u relay changes %u entry reads %u "
+	    "received %.0f a second %.1f KB sent %.0f max %.0f\n",
+	    s.load_error_mean, s.load_error_max, s.relay_changes, s.entry_reads,
+	    s.received_s, s.received_bytes_s / 1000, s.sent_s, s.sent_max_s);
 }
 
 /*
- * proof: age of the oldest proof of the configuration, and of the oldest word
- * of entries, in steps of 500 ms
+ * proof: age of the oldest proof of a configuration, and the longest time since
+ * a daemon received entries, in steps of 500 ms
  */
 static void
 exec_proof(const char *rest, GString *out)
@@ -300,23 +307,23 @@
 
 	fleet_model_measure(model, &s);
 	g_string_append_printf(out,
-	    "below %" G_GUINT64_FORMAT " ms, fed below %" G_GUINT64_FORMAT
+	    "below %" G_GUINT64_FORMAT " ms, entries below %" G_GUINT64_FORMAT
 	    " ms\n",
 	    (s.config_age_max_ms / 500 + 1) * 500,
 	    (s.feed_age_max_ms / 500 + 1) * 500);
 }
 
-/* alone: questions to the store that daemons asked for want of others' news */
+/* store-queries: store queries because no peer's state was recent enough */
 static void
-exec_alone(const char *rest, GString *out)
+exec_store_queries(const char *rest, GString *out)
 {
 	struct model_stats s;
 
 	fleet_model_measure(model, &s);
-	g_string_append_printf(out, "%u\n", s.alone);
+	g_string_append_printf(out, "%u\n", s.store_queries);
 }
 
-/* A configuration is its version alone. */
+/* Decodes a configuration that consists of its version alone. */
 static struct catalog *
 fake_config(const void *bytes, size_t length, GError **error)
 {
@@ -329,23 +336,24 @@
 
 static const struct dir_decode fake_decode = { .config = fake_config };
 
-/* take NAME version=N: a daemon gets a newer configuration from elsewhere */
+/* set-config NAME version=N: a daemon obtains a newer configuration from
+ * elsewhere */
 static void
-exec_take(const char *rest, GString *out)
+exec_set_config(const char *rest, GString *out)
 {
 	g_autofree char *name = g_strndup(rest, strcspn(rest, " "));
 	g_autofree char *version = script_word(rest, "version");
 	struct dir *dir = &fleet_model_find(model, name)->dir;
 
-	/* The others' fetches of it stay on their way. */
+	/* Keeps the other daemons from fetching it. */
 	for (unsigned i = 0; i < model->n; i++)
-		model->daemons[i].mesh.fetching = true;
+		model->daemons[i].mesh.fetching_config = true;
 	dir->decode = &fake_decode;
 	dir_take_config(dir, version, strlen(version), 0);
 	g_clear_pointer(&dir->config_bytes, g_bytes_unref);
 }
 
-/* age NAME: of a daemon's proof, in steps of 500 ms */
+/* age NAME: age of a daemon's proof, in steps of 500 ms */
 static void
 exec_age(const char *rest, GString *out)
 {
@@ -359,9 +367,9 @@
 		    (age / 500 + 1) * 500);
 }
 
-/* One trouble of a storm, drawn at random. */
+/* Causes one randomly drawn fault. */
 static void
-storm_trouble(GRand *draw)
+storm_fault(GRand *draw)
 {
 	unsigned at = (unsigned)g_rand_int_range(draw, 0, (int)model->n);
 	unsigned a = (unsigned)g_rand_int_range(draw, 0, (int)model->n_domains);
@@ -384,7 +392,7 @@
 	}
 }
 
-/* Ends all troubles; every daemon runs. */
+/* Removes all faults and starts all daemons. */
 static void
 storm_heal(void)
 {
@@ -396,7 +404,7 @@
 	}
 }
 
-/* Whether all daemons have the same picture. */
+/* Whether all daemons have the same view. */
 static bool
 storm_agreed(void)
 {
@@ -408,8 +416,9 @@
 }
 
 /*
- * storm from=SEED to=SEED: fleets of 5 to 80 daemons with ten seconds of
- * troubles; names the seeds after which they do not agree within eight seconds
+ * storm from=SEED to=SEED: fleets of 5 to 80 daemons, each with ten seconds of
+ * faults; prints the seeds after which the daemons do not agree within eight
+ * seconds
  */
 static void
 exec_storm(const char *rest, GString *out)
@@ -426,7 +435,7 @@
 		    (unsigned)g_rand_int_range(draw, 1, 6), 4, seed);
 		fleet_model_run(model, 2000);
 		for (unsigned i = 0; i < 20; i++) {
-			storm_trouble(draw);
+			storm_fault(draw);
 			fleet_model_run(model, 500);
 		}
 		storm_heal();
@@ -435,7 +444,7 @@
 			g_string_append_printf(out,
 			    "seed %u of %u daemons: ", (unsigned)seed,
 			    model->n);
-			exec_see("", out);
+			exec_views("", out);
 			failed++;
 		}
 		g_rand_free(draw);
@@ -453,22 +462,22 @@
 	{ "demand", exec_demand },
 	{ "limit", exec_limit },
 	{ "limited", exec_limited },
-	{ "work", exec_work },
+	{ "load", exec_load },
 	{ "loss", exec_loss },
 	{ "kill", exec_kill },
 	{ "start", exec_start },
 	{ "domain", exec_domain },
 	{ "cut", exec_cut },
-	{ "place", exec_place },
+	{ "placer", exec_placer },
 	{ "store", exec_store },
 	{ "warn", exec_warn },
 	{ "warned", exec_warned },
 	{ "relays", exec_relays },
-	{ "see", exec_see },
-	{ "counts", exec_counts },
+	{ "views", exec_views },
+	{ "traffic", exec_traffic },
 	{ "proof", exec_proof },
-	{ "alone", exec_alone },
-	{ "take", exec_take },
+	{ "store-queries", exec_store_queries },
+	{ "set-config", exec_set_config },
 	{ "age", exec_age },
 	{ "storm", exec_storm },
 	{ NULL, NULL },
