--- a/src/edge.c
+++ b/src/edge.c
@@ -93,7 +93,7 @@
 	set->keys_fail_closed = e->set.keys_fail_closed;
 	set->rest_most_ms = (uint64_t)e->set.rest_most_ms;
 	set->deny_proof_ms = (uint64_t)e->set.apply_ms;
-	e->keeper.stall_ms = (uint64_t)e->set.stall_ms;
+	e->placer.stall_ms = (uint64_t)e->set.stall_ms;
 	set->released_works = e->set.released_works;
 	set->refused_works = e->set.refused_works;
 	set->retry.ratio = e->set.retry_ratio;
@@ -159,14 +159,14 @@
 
 	if (since >= LEAVE_ACCEPT_MS) {
 		fwd_stop_listening(&e->fwd);
-		fwd_close_callers(&e->fwd, false);
-		if (e->fwd.n_exchanges == 0 && fwd_callers_quiet(&e->fwd)) {
+		fwd_close_conns(&e->fwd, false);
+		if (e->fwd.n_exchanges == 0 && fwd_conns_drained(&e->fwd)) {
 			edge_stop(e, "drained");
 			return;
 		}
 	}
 	if (since + LEAVE_MARGIN_MS >= grace) {
-		fwd_close_callers(&e->fwd, true);
+		fwd_close_conns(&e->fwd, true);
 		edge_stop(e, "grace_over");
 	}
 }
@@ -182,10 +182,10 @@
 		return;
 	e->leaving_ms = clock_loop_ms(e->loop);
 	event_log(LOG_NOTICE, "leaving", "exchanges=%u", e->fwd.n_exchanges);
-	keeper_stop(&e->keeper);
+	placer_stop(&e->placer);
 	e->mesh.self.leaving = true;
 	mesh_send_now(&e->mesh);
-	fwd_leave(&e->fwd);
+	fwd_drain(&e->fwd);
 	uv_timer_start(&e->leave, on_leave, LEAVE_LOOK_MS, LEAVE_LOOK_MS);
 }
 
@@ -208,14 +208,14 @@
 static void
 edge_choose_reader(struct edge *e)
 {
-	bool places = e->keeper.state == KEEPER_HOLDING;
+	bool places = e->placer.state == PLACER_HOLDING;
 	bool reader = places ||
 	    (!mesh_placer_heard(&e->mesh) && mesh_is_reader(&e->mesh));
 
-	dir_follow_set_reader(&e->dir.config, reader);
+	topic_follower_set_reader(&e->registry.config, reader);
 	/* One that takes the lease reads all entries for itself first. */
-	dir_follow_set_reader(&e->dir.endpoints,
-	    reader || e->keeper.preparing || e->keeper.state != KEEPER_IDLE);
+	topic_follower_set_reader(&e->registry.endpoints,
+	    reader || e->placer.preparing || e->placer.state != PLACER_IDLE);
 }
 
 /* A part of a bound of the settings, in milliseconds. */
@@ -232,7 +232,7 @@
 	const struct mesh *mesh = &e->mesh;
 	const struct edge_settings *set = &e->set;
 
-	dir_rely(&e->dir,
+	registry_set_fallback(&e->registry,
 	    mesh_stale_after_ms(mesh, part_ms(set->apply_ms, CONFIG_LEAST),
 		part_ms(set->apply_ms, CONFIG_MOST)),
 	    mesh_stale_after_ms(mesh, part_ms(set->drain_ms, ENDPOINT_LEAST),
@@ -257,7 +257,7 @@
 	    (unsigned long long)counts[COUNT_REFUSED],
 	    (unsigned long long)counts[COUNT_FAILED],
 	    (unsigned long long)counts[COUNT_SENT],
-	    (unsigned long long)counts[COUNT_REPEATED],
+	    (unsigned long long)counts[COUNT_RETRIED],
 	    (unsigned long long)counts[COUNT_RESUMED], e->fwd.n_exchanges,
 	    mesh_count_alive(&e->mesh), (unsigned long long)calls[TOPIC_CONFIG],
 	    (unsigned long long)calls[TOPIC_ENDPOINTS],
@@ -289,7 +289,7 @@
 	bool own = mesh->records_read_ms != 0 && mesh->relay == NULL &&
 	    (mesh->n_peers > 0 || e->announced);
 
-	if (e->dir.endpoints.synced && e->dir.catalog != NULL) {
+	if (e->registry.endpoints.synced && e->registry.catalog != NULL) {
 		uv_timer_stop(timer);
 		/* Those that report here wait for it. */
 		mesh_send_now(&e->mesh);
@@ -298,11 +298,11 @@
 	/* After all were killed at once, waiting for a relay took a second, and
 	 * reading takes 0.1 s. */
 	if (callers_come(e)) {
-		dir_follow_release(&e->dir.config);
+		topic_follower_release(&e->registry.config);
 		own = own || mesh->n_peers < HOLD_DAEMONS_MOST;
 	}
 	if (own || since >= (mesh_relay_alive(mesh) ? HOLD_LED_MS : HOLD_MS))
-		dir_release(&e->dir);
+		registry_release(&e->registry);
 }
 
 /* Looks at what has no timer of its own. */
@@ -317,16 +317,17 @@
 	if (ready != e->was_ready)
 		event_log(LOG_NOTICE, ready ? "ready" : "not_ready",
 		    "config_age_ms=%lld",
-		    (long long)MIN(dir_config_age(&e->dir,
+		    (long long)MIN(registry_config_age(&e->registry,
 				       clock_loop_ms(e->loop)),
 			INT64_MAX));
 	e->was_ready = ready;
-	e->fwd.daemons = fwd_sharers_note(&e->sharers, 1 + e->mesh.n_others,
-	    e->fwd.set.retry.window_ms, clock_loop_ms(e->loop));
+	e->fwd.daemons =
+	    fwd_daemon_peak_update(&e->sharers, 1 + e->mesh.n_others,
+		e->fwd.set.retry.window_ms, clock_loop_ms(e->loop));
 	edge_choose_reader(e);
 	edge_choose_patience(e);
 	e->mesh.self.serving = e->fwd.stats.counts[COUNT_REQUESTS] > 0;
-	dir_sweep(&e->dir, clock_loop_ms(e->loop));
+	registry_sweep(&e->registry, clock_loop_ms(e->loop));
 	fwd_poison_sweep(&e->fwd);
 	edge_quarantine_look(e);
 	event_log_flush();
@@ -345,16 +346,17 @@
 on_dir_changed(void *arg)
 {
 	struct edge *e = arg;
-	int64_t version = e->dir.catalog != NULL ? e->dir.catalog->version : -1;
+	int64_t version =
+	    e->registry.catalog != NULL ? e->registry.catalog->version : -1;
 
 	/* A new configuration is worth a word before the next round. */
 	if (version != e->told_version && e->mesh.loop != NULL &&
 	    (e->mesh.relay == NULL || e->mesh.relay->config_version < version))
 		mesh_send_now(&e->mesh);
 	e->told_version = version;
-	if (!TAILQ_EMPTY(&e->fwd.waiting))
-		fwd_kick(&e->fwd);
-	keeper_look_soon(&e->keeper);
+	if (!TAILQ_EMPTY(&e->fwd.queue))
+		fwd_schedule_dispatch(&e->fwd);
+	placer_schedule_pass(&e->placer);
 }
 
 static void
@@ -362,7 +364,7 @@
 {
 	struct edge *e = arg;
 
-	keeper_suspect(&e->keeper, ep);
+	placer_suspect(&e->placer, ep);
 	mesh_send_now(&e->mesh);
 }
 
@@ -379,7 +381,7 @@
 {
 	struct edge *e = arg;
 
-	keeper_suspect(&e->keeper, ep);
+	placer_suspect(&e->placer, ep);
 }
 
 /* No other daemon could tell which entries changed: read the store. */
@@ -388,7 +390,7 @@
 {
 	struct edge *e = arg;
 
-	dir_follow_hurry(&e->dir.endpoints);
+	topic_follower_poll(&e->registry.endpoints);
 }
 
 static void
@@ -433,15 +435,15 @@
 static void
 edge_join_parts(struct edge *e)
 {
-	e->dir.changed = on_dir_changed;
-	e->dir.changed_arg = e;
+	e->registry.changed = on_dir_changed;
+	e->registry.changed_arg = e;
 	e->fwd.wire = e->platform->wire;
-	e->fwd.dir = &e->dir;
-	e->fwd.suspect = on_suspect;
-	e->fwd.suspect_arg = e;
-	e->fwd.limited = on_limited;
-	e->fwd.limited_arg = e;
-	e->mesh.dir = &e->dir;
+	e->fwd.registry = &e->registry;
+	e->fwd.on_silent = on_suspect;
+	e->fwd.on_silent_arg = e;
+	e->fwd.on_limit = on_limited;
+	e->fwd.on_limit_arg = e;
+	e->mesh.registry = &e->registry;
 	e->mesh.name = e->set.name;
 	e->mesh.domain = e->set.domain;
 	e->mesh.capacity =
@@ -450,13 +452,13 @@
 	e->mesh.missed_arg = e;
 	e->mesh.avoided = on_avoided;
 	e->mesh.avoided_arg = e;
-	e->dir.relayed = on_relayed;
-	e->dir.relayed_arg = e;
-	e->keeper.store = e->store;
-	e->keeper.dir = &e->dir;
-	e->keeper.mesh = &e->mesh;
-	e->keeper.orders = e->platform->orders;
-	e->keeper.name = e->set.name;
+	e->registry.relayed = on_relayed;
+	e->registry.relayed_arg = e;
+	e->placer.store = e->store;
+	e->placer.registry = &e->registry;
+	e->placer.mesh = &e->mesh;
+	e->placer.orders = e->platform->orders;
+	e->placer.name = e->set.name;
 }
 
 /**
@@ -475,8 +477,8 @@
 	address_of(e->set.metrics_address, &metrics);
 	address_of(e->set.peer_address, &peer);
 	e->store = e->platform->store_open(e->loop, &store, STORE_TIMEOUT_MS);
-	dir_init(&e->dir, e->loop, e->store, e->platform->decode);
-	uv_ip4_addr(e->set.source_ip, 0, &e->dir.fleet.source);
+	registry_init(&e->registry, e->loop, e->store, e->platform->decode);
+	uv_ip4_addr(e->set.source_ip, 0, &e->registry.fleet.source);
 	edge_join_parts(e);
 	edge_start_timers(e);
 	if (!opened(fwd_open(&e->fwd, e->loop, &caller), "--caller-address",
@@ -493,11 +495,12 @@
 	    !opened(mesh_open(&e->mesh, e->loop, &peer), "--peer-address",
 		e->set.peer_address, error))
 		return (false);
-	dir_start(&e->dir, (unsigned)(e->set.key_proof_ms / CONFIG_READS),
+	registry_configure(&e->registry,
+	    (unsigned)(e->set.key_proof_ms / CONFIG_READS),
 	    (unsigned)(e->set.drain_ms / ENDPOINT_READS));
 	edge_choose_patience(e);
 	edge_apply(e);
-	keeper_open(&e->keeper, e->loop);
+	placer_start(&e->placer, e->loop);
 	edge_find_daemons(e);
 	edge_announce(e);
 	return (true);
--- a/src/fleet-model.c
+++ b/src/fleet-model.c
@@ -98,9 +98,9 @@
 	struct model_daemon *daemon = arg;
 
 	daemon->entry_reads++;
-	daemon->dir.endpoints.next =
+	daemon->registry.endpoints.next =
 	    daemon->model->now_ms * RECORDS_PER_S / 1000;
-	daemon->dir.endpoints.fed_ms = daemon->model->now_ms;
+	daemon->registry.endpoints.peer_update_ms = daemon->model->now_ms;
 }
 
 /* Adds an endpoint that serves, as all daemons know it. */
@@ -112,7 +112,7 @@
 	report.id = g_strdup_printf("e%u", index);
 	report.service = g_strdup("s");
 	report.staged = g_ptr_array_new_with_free_func(g_free);
-	fleet_update(&daemon->dir.fleet, &report, 1, 0);
+	fleet_update(&daemon->registry.fleet, &report, 1, 0);
 }
 
 /* Starts a daemon that knows no other. */
@@ -122,15 +122,15 @@
 	struct fleet_model *model = daemon->model;
 	struct mesh *mesh = &daemon->mesh;
 
-	daemon->dir.loop = &model_loop;
-	fleet_init(&daemon->dir.fleet, &model_loop);
-	poison_init(&daemon->dir.poison);
+	daemon->registry.loop = &model_loop;
+	fleet_init(&daemon->registry.fleet, &model_loop);
+	poison_init(&daemon->registry.poison);
 	for (unsigned i = 0; i < model->n_endpoints; i++)
 		daemon_add_endpoint(daemon, i);
-	daemon->dir.catalog = catalog_create();
-	daemon->dir.catalog->version = 1;
+	daemon->registry.catalog = catalog_create();
+	daemon->registry.catalog->version = 1;
 	mesh->loop = &model_loop;
-	mesh->dir = &daemon->dir;
+	mesh->registry = &daemon->registry;
 	mesh->name = g_strdup_printf("d%03u", daemon->index);
 	mesh->domain = g_strdup_printf("z%u", daemon->domain);
 	mesh->capacity = daemon->index < model->n_domains * LARGE_PER_DOMAIN ?
@@ -141,8 +141,8 @@
 	mesh->missed = daemon_missed;
 	mesh->missed_arg = daemon;
 	mesh->self.store_ok = true;
-	daemon->dir.endpoints.synced = true;
-	daemon->dir.endpoints.next = model->now_ms * RECORDS_PER_S / 1000;
+	daemon->registry.endpoints.synced = true;
+	daemon->registry.endpoints.next = model->now_ms * RECORDS_PER_S / 1000;
 	mesh_init(mesh, model->now_ms,
 	    fleet_model_random(model, UINT32_MAX) + 1);
 	daemon->up = true;
@@ -157,13 +157,13 @@
 	if (!daemon->up)
 		return;
 	mesh_clear(&daemon->mesh);
-	fleet_clear(&daemon->dir.fleet);
-	poison_release(&daemon->dir.poison);
-	catalog_unref(daemon->dir.catalog);
+	fleet_clear(&daemon->registry.fleet);
+	poison_release(&daemon->registry.poison);
+	catalog_unref(daemon->registry.catalog);
 	g_free((char *)daemon->mesh.name);
 	g_free((char *)daemon->mesh.domain);
 	memset(&daemon->mesh, 0, sizeof daemon->mesh);
-	memset(&daemon->dir, 0, sizeof daemon->dir);
+	memset(&daemon->registry, 0, sizeof daemon->registry);
 	daemon->up = false;
 }
 
@@ -282,13 +282,13 @@
 
 		if (!daemon->up)
 			continue;
-		TAILQ_FOREACH(ep, &daemon->dir.fleet.endpoints, entry)
+		TAILQ_FOREACH(ep, &daemon->registry.fleet.endpoints, entry)
 			ep->inflight = 0;
 		for (unsigned k = 0; k < each; k++) {
 			g_autofree char *id = g_strdup_printf("e%u",
 			    fleet_model_random(model, model->n_endpoints));
 
-			fleet_find(&daemon->dir.fleet, id)->inflight++;
+			fleet_find(&daemon->registry.fleet, id)->inflight++;
 		}
 	}
 }
@@ -324,13 +324,13 @@
 static void
 daemon_feed(struct model_daemon *daemon)
 {
-	struct dir_follow *f = &daemon->dir.endpoints;
+	struct topic_follower *f = &daemon->registry.endpoints;
 	g_autoptr(GArray) none =
 	    g_array_new(FALSE, TRUE, sizeof(struct store_record));
 	uint64_t from = f->next;
 
 	f->next = daemon->model->now_ms * RECORDS_PER_S / 1000;
-	f->fed_ms = daemon->model->now_ms;
+	f->peer_update_ms = daemon->model->now_ms;
 	mesh_send_entries(&daemon->mesh, from, f->next, none);
 }
 
@@ -352,15 +352,15 @@
 daemon_read_store(struct model_daemon *daemon)
 {
 	uint64_t now = daemon->model->now_ms;
-	struct dir *dir = &daemon->dir;
+	struct registry *registry = &daemon->registry;
 
 	if (now % PROOF_MS == daemon->index % PROOF_MS &&
-	    daemon_queries_store(daemon, dir->config.fed_ms, PROOF_STALE_MIN_MS,
-		PROOF_STALE_MAX_MS) &&
+	    daemon_queries_store(daemon, registry->config.peer_update_ms,
+		PROOF_STALE_MIN_MS, PROOF_STALE_MAX_MS) &&
 	    daemon->mesh.self.store_ok)
-		dir->config.proof_ms = now;
+		registry->config.proof_ms = now;
 	if (now % FEED_MS == daemon->index % FEED_MS &&
-	    daemon_queries_store(daemon, dir->endpoints.fed_ms,
+	    daemon_queries_store(daemon, registry->endpoints.peer_update_ms,
 		FEED_STALE_MIN_MS, FEED_STALE_MAX_MS) &&
 	    daemon->mesh.self.store_ok)
 		daemon_feed(daemon);
@@ -436,7 +436,8 @@
 
 		if (!model->daemons[i].up)
 			continue;
-		TAILQ_FOREACH(ep, &model->daemons[i].dir.fleet.endpoints, entry)
+		TAILQ_FOREACH(ep, &model->daemons[i].registry.fleet.endpoints,
+		    entry)
 			g_array_index(actual, unsigned, index++) +=
 			    ep->inflight;
 	}
@@ -451,7 +452,7 @@
 	const struct endpoint *ep;
 	unsigned index = 0;
 
-	TAILQ_FOREACH(ep, &daemon->dir.fleet.endpoints, entry) {
+	TAILQ_FOREACH(ep, &daemon->registry.fleet.endpoints, entry) {
 		unsigned real = g_array_index(actual, unsigned, index++);
 		unsigned seen = ep->inflight + ep->peer_inflight;
 		unsigned difference = real > seen ? real - seen : seen - real;
@@ -482,7 +483,8 @@
 {
 	const struct mesh *mesh = &daemon->mesh;
 	unsigned n_alive = 1 + mesh_count_alive(mesh);
-	uint64_t age = dir_config_age(&daemon->dir, daemon->model->now_ms);
+	uint64_t age =
+	    registry_config_age(&daemon->registry, daemon->model->now_ms);
 
 	stats->up++;
 	stats->relays += mesh->relay == NULL;
@@ -493,7 +495,7 @@
 	stats->placer_known += mesh_placer_heard(mesh) || mesh->self.placer;
 	stats->config_age_max_ms = MAX(stats->config_age_max_ms, age);
 	stats->feed_age_max_ms = MAX(stats->feed_age_max_ms,
-	    daemon->model->now_ms - daemon->dir.endpoints.fed_ms);
+	    daemon->model->now_ms - daemon->registry.endpoints.peer_update_ms);
 }
 
 /**
--- a/src/fleet-model.h
+++ b/src/fleet-model.h
@@ -11,7 +11,7 @@
 /**
  * struct model_daemon - one daemon.
  * @mesh: its view of the other daemons
- * @dir: its view of the endpoints
+ * @registry: its view of the endpoints
  * @model: the model that it belongs to
  * @index: its index, from which its address follows
  * @domain: index of its failure domain
@@ -31,7 +31,7 @@
  */
 struct model_daemon {
 	struct mesh mesh;
-	struct dir dir;
+	struct registry registry;
 	struct fleet_model *model;
 	unsigned index;
 	unsigned domain;
--- a/src/limit-model.c
+++ b/src/limit-model.c
@@ -21,7 +21,8 @@
 static struct endpoint *
 model_endpoint(const struct limit_model *m, unsigned index)
 {
-	return (TAILQ_FIRST(&m->fleet->daemons[index].dir.fleet.endpoints));
+	return (
+	    TAILQ_FIRST(&m->fleet->daemons[index].registry.fleet.endpoints));
 }
 
 /**
@@ -166,7 +167,7 @@
 
 	for (unsigned i = 0; i < m->fleet->n; i++)
 		n += m->fleet->daemons[i].up &&
-		    model_endpoint(m, i)->limit.holds;
+		    model_endpoint(m, i)->limit.active;
 	return (n);
 }
 
@@ -193,9 +194,10 @@
 {
 	struct endpoint_limit *limit = &model_endpoint(m, index)->limit;
 
-	if (endpoint_limit_turn_ms(limit, 0, m->fleet->now_ms) > 0)
+	if (endpoint_limit_wait_ms(limit, 0, m->fleet->now_ms) > 0)
 		return (false);
-	return (!limit->holds || endpoint_limit_take(limit, m->fleet->now_ms));
+	return (!limit->active ||
+	    endpoint_limit_take_permit(limit, m->fleet->now_ms));
 }
 
 static void
@@ -207,8 +209,8 @@
 
 	/* A request is answered in the same millisecond here. */
 	changed = m->per_s < 0 ?
-	    endpoint_limit_lift(&ep->limit, now_ms) :
-	    endpoint_limit_name(&ep->limit, m->per_s, now_ms);
+	    endpoint_limit_clear(&ep->limit, now_ms) :
+	    endpoint_limit_set(&ep->limit, m->per_s, now_ms);
 	ep->limit.heard_ms = now_ms;
 	if (!changed)
 		return;
--- a/src/mesh-feed.c
+++ b/src/mesh-feed.c
@@ -165,7 +165,7 @@
 mesh_send_entries(struct mesh *mesh, uint64_t from, uint64_t end,
     const GArray *records)
 {
-	const struct dir_follow *f = &mesh->dir->endpoints;
+	const struct topic_follower *f = &mesh->registry->endpoints;
 	struct mesh_entries entries = { .from = from,
 		.returned_ms = UINT32_MAX };
 	bool repeat = mesh->last_entries != NULL &&
@@ -203,7 +203,7 @@
 static void
 feed_request_resend(struct mesh *mesh, const struct mesh_peer *peer)
 {
-	struct mesh_resend resend = { .from = mesh->dir->endpoints.next };
+	struct mesh_resend resend = { .from = mesh->registry->endpoints.next };
 	char out[MESH_NAME_MAX * 2];
 	size_t length;
 
@@ -283,8 +283,9 @@
 		feed_forward(mesh, entries, bytes, length);
 	else if (mesh->relay == NULL && !mesh_flat(mesh))
 		feed_save(mesh, entries->from, entries->end, bytes, length);
-	if (!dir_feed_endpoints(mesh->dir, entries->from, entries->end,
-		entries->records, entries->returned_ms, mesh->now_ms) &&
+	if (!registry_apply_endpoints(mesh->registry, entries->from,
+		entries->end, entries->records, entries->returned_ms,
+		mesh->now_ms) &&
 	    mesh->missing_since_ms == 0)
 		mesh->missing_since_ms = mesh->now_ms;
 }
@@ -329,14 +330,14 @@
 void
 mesh_feed_check(struct mesh *mesh, const struct mesh_peer *peer, uint64_t end)
 {
-	struct dir_follow *f = &mesh->dir->endpoints;
+	struct topic_follower *f = &mesh->registry->endpoints;
 	uint64_t gap;
 
 	if (end == MESH_NO_ENTRIES)
 		return;
 	if (mesh_peer_is_relay(mesh, peer))
 		mesh->feed_end = MAX(mesh->feed_end, end);
-	if (f->reader || !f->synced || f->seen != NULL ||
+	if (f->reader || !f->synced || f->snapshot_keys != NULL ||
 	    f->next >= mesh->feed_end) {
 		mesh->missing_since_ms = 0;
 		return;
--- a/src/mesh-limits.c
+++ b/src/mesh-limits.c
@@ -33,8 +33,8 @@
 	if (kind == MESH_REPORT)
 		return (limit->heard_ms != 0 &&
 		    now - limit->heard_ms < DIRECT_REPORT_MS);
-	return (limit->holds ||
-	    (limit->said_ms != 0 && now - limit->said_ms < REMOVAL_SEND_MS));
+	return (limit->active ||
+	    (limit->as_of_ms != 0 && now - limit->as_of_ms < REMOVAL_SEND_MS));
 }
 
 static void
@@ -44,11 +44,12 @@
 	const struct endpoint_limit *limit = &ep->limit;
 	struct mesh_limit *item = &msg->limits[msg->n_limits++];
 
-	item->id_hash = ep->key;
-	item->milli_per_s = limit->holds ?
+	item->id_hash = ep->id_hash;
+	item->milli_per_s = limit->active ?
 	    (uint32_t)lround(limit->per_s * MILLI) :
 	    MESH_NO_LIMIT;
-	item->age_ms = (uint32_t)MIN(mesh->now_ms - limit->said_ms, UINT32_MAX);
+	item->age_ms =
+	    (uint32_t)MIN(mesh->now_ms - limit->as_of_ms, UINT32_MAX);
 	item->users = limit->cell_users;
 	item->each_micro_per_s =
 	    (uint32_t)MIN(lround(limit->cell_each_per_s * MICRO), UINT32_MAX);
@@ -60,7 +61,7 @@
 {
 	const struct endpoint *ep;
 
-	TAILQ_FOREACH(ep, &mesh->dir->fleet.endpoints, entry) {
+	TAILQ_FOREACH(ep, &mesh->registry->fleet.endpoints, entry) {
 		if (msg->n_limits == MESH_LIMITS_MAX)
 			return;
 		if (limit_sendable(mesh, ep, msg->kind) &&
@@ -79,7 +80,7 @@
 	const struct endpoint *ep;
 	unsigned index = 0;
 
-	TAILQ_FOREACH(ep, &mesh->dir->fleet.endpoints, entry) {
+	TAILQ_FOREACH(ep, &mesh->registry->fleet.endpoints, entry) {
 		if (!limit_sendable(mesh, ep, msg->kind))
 			continue;
 		if (msg->n_limits == max)
@@ -119,7 +120,8 @@
     const struct mesh_limit *item)
 {
 	uint64_t now = mesh->now_ms;
-	struct endpoint *ep = fleet_find_key(&mesh->dir->fleet, item->id_hash);
+	struct endpoint *ep =
+	    fleet_find_by_hash(&mesh->registry->fleet, item->id_hash);
 	bool removed = item->milli_per_s == MESH_NO_LIMIT;
 
 	if (ep == NULL)
@@ -128,7 +130,7 @@
 		ep->limit.cell_users = item->users;
 		ep->limit.cell_each_per_s = item->each_micro_per_s / MICRO;
 	}
-	if (!endpoint_limit_told(&ep->limit,
+	if (!endpoint_limit_merge(&ep->limit,
 		removed ? INFINITY : item->milli_per_s / MILLI,
 		now - MIN(item->age_ms, now - 1), now))
 		return (false);
--- a/src/mesh-loads.c
+++ b/src/mesh-loads.c
@@ -15,7 +15,7 @@
 		const struct mesh_load *load =
 		    &g_array_index(peer->loads, struct mesh_load, i);
 		struct endpoint *ep =
-		    fleet_find_key(&mesh->dir->fleet, load->id_hash);
+		    fleet_find_by_hash(&mesh->registry->fleet, load->id_hash);
 
 		if (ep == NULL)
 			continue;
@@ -34,7 +34,8 @@
     const struct mesh_load *load)
 {
 	uint64_t now = mesh->now_ms;
-	struct endpoint *ep = fleet_find_key(&mesh->dir->fleet, load->id_hash);
+	struct endpoint *ep =
+	    fleet_find_by_hash(&mesh->registry->fleet, load->id_hash);
 
 	if (ep == NULL)
 		return;
@@ -122,7 +123,7 @@
 	uint64_t heard = ep->heard_ms;
 	double pending = ep->pending;
 
-	load->id_hash = ep->key;
+	load->id_hash = ep->id_hash;
 	load->inflight = ep->inflight;
 	if (kind == MESH_CELL_SUMMARY) {
 		load->inflight += ep->cell_inflight;
@@ -153,7 +154,7 @@
 	const struct endpoint *ep;
 
 	msg->n_loads = 0;
-	TAILQ_FOREACH(ep, &mesh->dir->fleet.endpoints, entry) {
+	TAILQ_FOREACH(ep, &mesh->registry->fleet.endpoints, entry) {
 		struct mesh_load *load = &msg->loads[msg->n_loads];
 
 		if (msg->n_loads == MESH_LOADS_MAX)
--- a/src/mesh-poison.c
+++ b/src/mesh-poison.c
@@ -1,6 +1,6 @@
 /* Exchange of requests that are suspected of crashing endpoints. */
 #include "event-log.h"
-#include "fwd-work.h"
+#include "fwd-fingerprint.h"
 #include "mesh.h"
 
 /* A change is sent in every datagram for this long, so that some may be lost. A
@@ -25,13 +25,13 @@
 /* Whether a datagram of a kind carries what is known from an origin: the
  * receivers are told of the rest by others. */
 static bool
-origin_sent(enum mesh_kind kind, enum poison_reach origin)
+origin_sent(enum mesh_kind kind, enum poison_origin origin)
 {
 	switch (kind) {
 	case MESH_REPORT:
-		return (origin == POISON_OWN);
+		return (origin == POISON_LOCAL);
 	case MESH_CELL_SUMMARY:
-		return (origin != POISON_FAR);
+		return (origin != POISON_REMOTE);
 	default:
 		return (true);
 	}
@@ -40,9 +40,9 @@
 /* Whether all that is sent of a request fits. */
 static bool
 has_room(const struct mesh_message *msg, unsigned max,
-    const struct poison_work *request)
+    const struct poison_request *request)
 {
-	return (msg->n_poison + MAX(request->n_ends, 1) <= max);
+	return (msg->n_poison + MAX(request->n_crashes, 1) <= max);
 }
 
 static struct mesh_poison *
@@ -61,25 +61,25 @@
 /* Adds the crashes of a request that a datagram of this kind carries, or that
  * the request was cleared. */
 static void
-request_fill(const struct mesh *mesh, const struct poison_work *request,
+request_fill(const struct mesh *mesh, const struct poison_request *request,
     bool all, struct mesh_message *msg)
 {
-	for (unsigned i = 0; i < request->n_ends; i++) {
-		const struct poison_end *crash = &request->ends[i];
+	for (unsigned i = 0; i < request->n_crashes; i++) {
+		const struct poison_crash *crash = &request->crashes[i];
 		struct mesh_poison *item;
 
-		if (!all && !origin_sent(msg->kind, crash->reach))
+		if (!all && !origin_sent(msg->kind, crash->origin))
 			continue;
-		item = message_add(msg, request->work,
+		item = message_add(msg, request->fingerprint,
 		    mesh->now_ms - MIN(crash->at_ms, mesh->now_ms));
-		item->id_hash = crash->key;
+		item->id_hash = crash->id_hash;
 		item->started = crash->started;
 		item->kind =
 		    crash->silent ? MESH_POISON_SILENT : MESH_POISON_BROKEN;
 	}
-	if (request->n_ends == 0 && request->cleared_ms != 0 &&
-	    origin_sent(msg->kind, request->cleared_reach))
-		message_add(msg, request->work,
+	if (request->n_crashes == 0 && request->cleared_ms != 0 &&
+	    origin_sent(msg->kind, request->cleared_origin))
+		message_add(msg, request->fingerprint,
 		    mesh->now_ms - request->cleared_ms);
 }
 
@@ -89,10 +89,10 @@
 fill_changed(const struct mesh *mesh, struct mesh_message *msg, bool all,
     unsigned min, unsigned max)
 {
-	const struct poison_work *request;
+	const struct poison_request *request;
 
-	TAILQ_FOREACH(request, &mesh->dir->poison.works, entry) {
-		if (request->n_ends < min || request->n_ends > max ||
+	TAILQ_FOREACH(request, &mesh->registry->poison.requests, entry) {
+		if (request->n_crashes < min || request->n_crashes > max ||
 		    (!all &&
 			mesh->now_ms - request->changed_ms >=
 			    change_send_ms(mesh)))
@@ -105,13 +105,13 @@
 
 /* Whether a request is still repeated although it has not changed recently. */
 static bool
-still_repeated(const struct mesh *mesh, const struct poison_work *request)
+still_repeated(const struct mesh *mesh, const struct poison_request *request)
 {
 	uint64_t since = mesh->now_ms - request->changed_ms;
 
-	if (since < change_send_ms(mesh) || request->n_ends == 0)
+	if (since < change_send_ms(mesh) || request->n_crashes == 0)
 		return (false);
-	return (request->n_ends > 1 || since < SINGLE_REPEAT_MS);
+	return (request->n_crashes > 1 || since < SINGLE_REPEAT_MS);
 }
 
 /* Adds the next few of the unchanged requests. */
@@ -120,10 +120,10 @@
 {
 	unsigned *next = &mesh->poison_next[msg->kind];
 	unsigned max = MIN(msg->n_poison + REPEAT_MAX, MESH_POISON_MAX);
-	const struct poison_work *request;
+	const struct poison_request *request;
 	unsigned index = 0;
 
-	TAILQ_FOREACH(request, &mesh->dir->poison.works, entry) {
+	TAILQ_FOREACH(request, &mesh->registry->poison.requests, entry) {
 		if (!still_repeated(mesh, request))
 			continue;
 		if (!has_room(msg, max, request))
@@ -151,7 +151,7 @@
 	bool all = mesh->newcomer_ms != 0 &&
 	    mesh->now_ms - mesh->newcomer_ms < RELAY_CHANGE_SEND_MS;
 
-	fill_changed(mesh, msg, all, 2, POISON_ENDS_MAX);
+	fill_changed(mesh, msg, all, 2, POISON_CRASHES_MAX);
 	fill_changed(mesh, msg, all, 0, 1);
 	if (all ||
 	    (*sent_ms != 0 && mesh->now_ms - *sent_ms < REPEAT_INTERVAL_MS))
@@ -164,31 +164,32 @@
 static int
 log_level(const struct poison *poison, const struct mesh_poison *item)
 {
-	const struct poison_work *request =
+	const struct poison_request *request =
 	    poison_find(poison, item->fingerprint);
 
-	return (request != NULL && request->n_ends > 1 ? LOG_INFO : LOG_DEBUG);
+	return (
+	    request != NULL && request->n_crashes > 1 ? LOG_INFO : LOG_DEBUG);
 }
 
 /* Merges what a datagram says of a suspected request; returns whether it
  * changed what is known here. */
 static bool
 apply_poison(struct mesh *mesh, const struct mesh_peer *peer,
-    enum poison_reach origin, const struct mesh_poison *item)
+    enum poison_origin origin, const struct mesh_poison *item)
 {
-	struct poison *poison = &mesh->dir->poison;
+	struct poison *poison = &mesh->registry->poison;
 	uint64_t now = mesh->now_ms, at_ms = now - MIN(item->age_ms, now - 1);
-	const struct poison_end crash = {
-		.key = item->id_hash,
+	const struct poison_crash crash = {
+		.id_hash = item->id_hash,
 		.started = item->started,
 		.at_ms = at_ms,
 		.silent = item->kind == MESH_POISON_SILENT,
-		.reach = origin,
+		.origin = origin,
 	};
 	bool cleared = item->kind == MESH_POISON_CLEARED;
 	bool changed = cleared ?
 	    poison_clear(poison, item->fingerprint, at_ms, origin, now) :
-	    poison_told(poison, item->fingerprint, &crash, now);
+	    poison_add_crash(poison, item->fingerprint, &crash, now);
 
 	/* Most requests with a single crash are bystanders, and there are many.
 	 */
@@ -196,7 +197,7 @@
 		event_log(log_level(poison, item), "work_told",
 		    "work=%08x sign=%s endpoint_hash=%08x started=%08x "
 		    "age_ms=%u peer=%s",
-		    WORK_SHORT(item->fingerprint),
+		    FINGERPRINT_SHORT(item->fingerprint),
 		    cleared	     ? "cleared" :
 			crash.silent ? "silent" :
 				       "broken",
@@ -214,8 +215,8 @@
 mesh_apply_poison(struct mesh *mesh, const struct mesh_peer *peer,
     const struct mesh_message *msg)
 {
-	enum poison_reach origin =
-	    msg->kind == MESH_REPORT ? POISON_CELL : POISON_FAR;
+	enum poison_origin origin =
+	    msg->kind == MESH_REPORT ? POISON_CELL : POISON_REMOTE;
 	bool changed = false;
 
 	for (uint32_t i = 0; i < msg->n_poison; i++)
--- a/src/mesh-role.c
+++ b/src/mesh-role.c
@@ -124,7 +124,7 @@
 static bool
 self_settled(const struct mesh *mesh)
 {
-	const struct catalog *catalog = mesh->dir->catalog;
+	const struct catalog *catalog = mesh->registry->catalog;
 
 	return (mesh->now_ms - mesh->opened_ms >= SETTLE_MS &&
 	    mesh->newest_version <= (catalog != NULL ? catalog->version : -1));
--- a/src/mesh-send.c
+++ b/src/mesh-send.c
@@ -47,7 +47,7 @@
 {
 	const struct endpoint *ep;
 
-	TAILQ_FOREACH(ep, &mesh->dir->fleet.endpoints, entry) {
+	TAILQ_FOREACH(ep, &mesh->registry->fleet.endpoints, entry) {
 		uint64_t at = ep->warned_ms;
 		uint64_t age;
 
@@ -57,7 +57,7 @@
 		if (at == 0 || age >= AVOID_SEND_MS ||
 		    msg->n_avoid == MESH_AVOID_MAX)
 			continue;
-		msg->avoid[msg->n_avoid].id_hash = ep->key;
+		msg->avoid[msg->n_avoid].id_hash = ep->id_hash;
 		msg->avoid[msg->n_avoid++].age_ms = (uint32_t)age;
 	}
 }
@@ -133,21 +133,22 @@
 static void
 fill_config(const struct mesh *mesh, struct mesh_message *msg)
 {
-	const struct dir *dir = mesh->dir;
+	const struct registry *registry = mesh->registry;
 	/* A proof received from a peer counts like one obtained here, with the
 	 * age that it has. */
-	uint64_t age = dir_config_age(dir, mesh->now_ms);
+	uint64_t age = registry_config_age(registry, mesh->now_ms);
 
 	msg->config_version = -1;
-	if (dir->catalog != NULL) {
-		msg->config_version = dir->catalog->version;
-		msg->config_offset = dir->catalog->offset;
+	if (registry->catalog != NULL) {
+		msg->config_version = registry->catalog->version;
+		msg->config_offset = registry->catalog->offset;
 	}
 	msg->config_age_ms = (uint32_t)MIN(age, MESH_NEVER);
 	/* Without a configuration all entries would be served instead of those
 	 * of endpoints that serve: megabytes with thousands of hosts. */
-	msg->entries_end = dir->endpoints.synced && dir->catalog != NULL ?
-	    dir->endpoints.next :
+	msg->entries_end =
+	    registry->endpoints.synced && registry->catalog != NULL ?
+	    registry->endpoints.next :
 	    MESH_NO_ENTRIES;
 }
 
@@ -393,7 +394,7 @@
 
 	if (mesh->self.placer)
 		return (true);
-	TAILQ_FOREACH(ep, &mesh->dir->fleet.endpoints, entry) {
+	TAILQ_FOREACH(ep, &mesh->registry->fleet.endpoints, entry) {
 		if (ep->inflight > 0)
 			return (true);
 	}
--- a/src/mesh-shares.c
+++ b/src/mesh-shares.c
@@ -135,8 +135,8 @@
 		mesh->alive_min = n_alive;
 		mesh->alive_since_ms = mesh->now_ms;
 	}
-	return (fwd_sharers_note(&mesh->alive_peak, steady, PEAK_WINDOW_MS,
-	    mesh->now_ms));
+	return (fwd_daemon_peak_update(&mesh->alive_peak, steady,
+	    PEAK_WINDOW_MS, mesh->now_ms));
 }
 
 /* Live daemons as a fraction of the recent peak. */
@@ -221,7 +221,7 @@
 	double rate = endpoint_limit_rate(limit);
 	double max_users =
 	    floor((USERS_PER_RATE * rate + USERS_BASE) * view->part);
-	unsigned users = cells_share(view, ep->key,
+	unsigned users = cells_share(view, ep->id_hash,
 	    (unsigned)CLAMP(max_users, 1, (double)view->n_alive));
 	double each = rate * view->part / users;
 
@@ -267,17 +267,19 @@
 		limit_decide(view, ep, mesh->now_ms);
 	if (mesh->records_read_ms != 0 ||
 	    mesh->now_ms - mesh->opened_ms >= STARTUP_MS)
-		share = others_before(mesh, view, ep->key) < limit->cell_users ?
+		share =
+		    others_before(mesh, view, ep->id_hash) < limit->cell_users ?
 		    limit->cell_each_per_s :
 		    0;
 	/* Starts with a fraction of a permit that depends on the names, so that
 	 * not all send at once. */
 	if (limit->share_per_s == 0 && share > 0)
-		endpoint_limit_begin(&ep->limit,
-		    pair_order(mesh->name_hash, ep->key) / (UINT32_MAX + 1.0),
+		endpoint_limit_init_permits(&ep->limit,
+		    pair_order(mesh->name_hash, ep->id_hash) /
+			(UINT32_MAX + 1.0),
 		    mesh->now_ms +
 			(limit_is_new(mesh, limit) ? 0 : TAKE_OVER_MS));
-	endpoint_limit_share(&ep->limit, share, mesh->now_ms);
+	endpoint_limit_set_share(&ep->limit, share, mesh->now_ms);
 }
 
 /**
@@ -291,8 +293,8 @@
 	struct endpoint *ep;
 
 	view_fill(mesh, &view);
-	TAILQ_FOREACH(ep, &mesh->dir->fleet.endpoints, entry) {
-		if (ep->limit.holds)
+	TAILQ_FOREACH(ep, &mesh->registry->fleet.endpoints, entry) {
+		if (ep->limit.active)
 			limit_update_share(mesh, &view, ep);
 	}
 }
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -3,7 +3,7 @@
 #ifndef BL_MESH_H
 #define BL_MESH_H
 
-#include "dir.h"
+#include "registry.h"
 #include "fwd-budget.h"
 #include "mesh-entries.h"
 #include "mesh-message.h"
@@ -139,7 +139,7 @@
  * @send_datagram: sends a datagram
  * @send_arg: argument of @send_datagram
  * @loop: event loop
- * @dir: what is known of the deployment
+ * @registry: what is known of the deployment
  * @name: name of this daemon
  * @domain: its failure domain
  * @name_hash: hash of its name
@@ -215,7 +215,7 @@
 	    size_t);
 	void *send_arg;
 	uv_loop_t *loop;
-	struct dir *dir;
+	struct registry *registry;
 	const char *name;
 	const char *domain;
 	uint32_t name_hash;
@@ -260,7 +260,7 @@
 	uint64_t behind_since_ms;
 	uint32_t cell_hashes[MESH_MEMBERS_MAX];
 	unsigned n_cell_hashes;
-	struct fwd_sharers alive_peak;
+	struct fwd_daemon_peak alive_peak;
 	unsigned alive_min;
 	uint64_t alive_since_ms;
 	uint64_t newcomer_ms;
--- a/src/poison-model.c
+++ b/src/poison-model.c
@@ -63,7 +63,7 @@
 static struct poison *
 model_poison(const struct poison_model *m, unsigned index)
 {
-	return (&m->fleet->daemons[index].dir.poison);
+	return (&m->fleet->daemons[index].registry.poison);
 }
 
 /* A daemon detects that an endpoint crashed while running a request. */
@@ -71,14 +71,14 @@
 model_observe_crash(struct poison_model *m, unsigned index,
     uint64_t fingerprint)
 {
-	const struct poison_end crash = {
-		.key = m->n_crashes,
+	const struct poison_crash crash = {
+		.id_hash = m->n_crashes,
 		.at_ms = m->fleet->now_ms,
 	};
 
 	if (m->fleet->daemons[index].up)
-		poison_suspect(model_poison(m, index), fingerprint, &crash,
-		    m->fleet->now_ms);
+		poison_observe_crash(model_poison(m, index), fingerprint,
+		    &crash, m->fleet->now_ms);
 }
 
 /* Adds the crash to the bystanders: some that met the previous one, the rest
@@ -166,11 +166,11 @@
 model_suppress_sends(struct poison_model *m)
 {
 	for (unsigned i = 0; i < m->fleet->n; i++) {
-		struct poison_work *w;
+		struct poison_request *w;
 
 		if (!m->fleet->daemons[i].up)
 			continue;
-		TAILQ_FOREACH(w, &model_poison(m, i)->works, entry)
+		TAILQ_FOREACH(w, &model_poison(m, i)->requests, entry)
 			w->changed_ms = 0;
 		m->fleet->daemons[i].mesh.newcomer_ms = 0;
 		for (unsigned k = 0; k < MESH_KINDS; k++)
@@ -258,13 +258,15 @@
 verdict_refuses(const struct poison_model *m, unsigned index,
     uint64_t fingerprint)
 {
-	const struct dir *dir = &m->fleet->daemons[index].dir;
-	const struct poison_work *w = poison_find(&dir->poison, fingerprint);
+	const struct registry *registry = &m->fleet->daemons[index].registry;
+	const struct poison_request *w =
+	    poison_find(&registry->poison, fingerprint);
 	struct poison_verdict verdict;
 
 	if (w == NULL)
 		return (false);
-	poison_judge(&dir->poison, &dir->fleet, w, m->fleet->now_ms, &verdict);
+	poison_evaluate(&registry->poison, &registry->fleet, w,
+	    m->fleet->now_ms, &verdict);
 	return (verdict.until_ms != 0);
 }
 
@@ -279,20 +281,20 @@
 static bool
 once_resends(const struct poison_model *m, unsigned index, uint64_t fingerprint)
 {
-	const struct dir *dir = &m->fleet->daemons[index].dir;
+	const struct registry *registry = &m->fleet->daemons[index].registry;
 
-	return (poison_repeatable(&dir->poison, &dir->fleet, fingerprint,
-	    m->fleet->now_ms));
+	return (poison_may_retry(&registry->poison, &registry->fleet,
+	    fingerprint, m->fleet->now_ms));
 }
 
 /* Refuses after the second crash. */
 static bool
 two_refuses(const struct poison_model *m, unsigned index, uint64_t fingerprint)
 {
-	const struct poison_work *w =
+	const struct poison_request *w =
 	    poison_find(model_poison(m, index), fingerprint);
 
-	return (w != NULL && w->n_ends >= 2);
+	return (w != NULL && w->n_crashes >= 2);
 }
 
 const struct poison_scheme poison_scheme_alone = {
