--- a/src/mesh-config.c
+++ b/src/mesh-config.c
@@ -18,6 +18,8 @@
 /* After this time the store is polled as well. */
 #define STORE_AFTER_MS 800
 
+/* Applies a fetched configuration, with the peer's proof that it was the
+ * newest. */
 static void
 on_fetched(void *arg, const struct net_answer *answer)
 {
--- a/src/mesh-limits.c
+++ b/src/mesh-limits.c
@@ -37,6 +37,7 @@
 	    (limit->as_of_ms != 0 && now - limit->as_of_ms < REMOVAL_SEND_MS));
 }
 
+/* Adds an endpoint's limit, or its removal, to a datagram. */
 static void
 limit_fill(const struct mesh *mesh, const struct endpoint *ep,
     struct mesh_message *msg)
--- a/src/mesh-loads.c
+++ b/src/mesh-loads.c
@@ -29,6 +29,7 @@
 	g_array_set_size(peer->loads, 0);
 }
 
+/* Adds one load of a daemon to the endpoint's sums. */
 static void
 add_load(struct mesh *mesh, struct mesh_peer *peer,
     const struct mesh_load *load)
--- a/src/mesh-message.c
+++ b/src/mesh-message.c
@@ -52,6 +52,7 @@
 	    xdr_flag(xdr, &placer->can_place));
 }
 
+/* Encodes or decodes the relay, whose port is sent as a 32-bit number. */
 static bool_t
 xdr_relay(XDR *xdr, struct mesh_relay *relay)
 {
--- a/src/mesh-peers.c
+++ b/src/mesh-peers.c
@@ -88,6 +88,7 @@
 	    g_hash_table_lookup(mesh->by_name_hash, GUINT_TO_POINTER(hash)));
 }
 
+/* Adds a daemon that has not been known before. */
 static struct mesh_peer *
 peer_create(struct mesh *mesh, const char *name, const char *domain,
     const struct sockaddr_in *addr)
--- a/src/mesh-poison.c
+++ b/src/mesh-poison.c
@@ -15,6 +15,7 @@
 #define REPEAT_MAX 8
 #define SINGLE_REPEAT_MS 60000
 
+/* How long a change is sent in every datagram. */
 static uint64_t
 change_send_ms(const struct mesh *mesh)
 {
@@ -45,6 +46,7 @@
 	return (msg->n_poison + MAX(request->n_crashes, 1) <= max);
 }
 
+/* Adds an item to a datagram, marked as cleared. */
 static struct mesh_poison *
 message_add(struct mesh_message *msg, uint64_t fingerprint, uint64_t age_ms)
 {
--- a/src/mesh-receive.c
+++ b/src/mesh-receive.c
@@ -96,6 +96,7 @@
 		mesh_send_to(mesh, peer, MESH_REDIRECT);
 }
 
+/* Records a report, and adds its loads if this daemon is a relay. */
 static void
 apply_report(struct mesh *mesh, struct mesh_peer *peer,
     const struct mesh_message *msg)
@@ -164,6 +165,7 @@
 	}
 }
 
+/* Adds the loads of another cell, if this daemon is a relay. */
 static void
 apply_cell_summary(struct mesh *mesh, struct mesh_peer *peer,
     const struct mesh_message *msg)
@@ -210,6 +212,8 @@
 	}
 }
 
+/* Records the members of the cell and, from this daemon's relay, the loads
+ * of all daemons. */
 static void
 apply_fleet_summary(struct mesh *mesh, struct mesh_peer *peer,
     const struct mesh_message *msg)
--- a/src/mesh-send.c
+++ b/src/mesh-send.c
@@ -62,6 +62,7 @@
 	}
 }
 
+/* Adds the daemons that report to this one. */
 static void
 fill_members(const struct mesh *mesh, struct mesh_message *msg)
 {
@@ -82,6 +83,8 @@
 	}
 }
 
+/* Fills in the holder of the placer's lease: this daemon, or the one that
+ * was heard. */
 static void
 fill_placer(const struct mesh *mesh, struct mesh_placer *placer)
 {
@@ -103,6 +106,7 @@
 	placer->age_ms = 0;
 }
 
+/* Names the daemon that this one reports to. */
 static void
 fill_relay(const struct mesh *mesh, struct mesh_relay *relay)
 {
@@ -130,6 +134,8 @@
 	return (n);
 }
 
+/* Fills in the versions of the configuration and of the entries that are
+ * known here. */
 static void
 fill_config(const struct mesh *mesh, struct mesh_message *msg)
 {
@@ -275,6 +281,7 @@
 	unsigned n;
 };
 
+/* Finds or adds the cell of a failure domain; NULL if there are too many. */
 static struct cell_seen *
 cell_find(struct cell_seen *cells, unsigned *n, const char *domain)
 {
--- a/src/mesh-serve.c
+++ b/src/mesh-serve.c
@@ -89,6 +89,7 @@
 	return (HTTP_STATUS_NOT_FOUND);
 }
 
+/* Applies fetched entries. */
 static void
 on_entries(void *arg, const struct net_answer *answer)
 {
--- a/src/mesh-shares.c
+++ b/src/mesh-shares.c
@@ -79,6 +79,7 @@
 	return (XXH32(pair, sizeof pair, 0));
 }
 
+/* Adds live daemons of a failure domain to the view. */
 static void
 view_add(struct limit_view *view, const char *domain, unsigned n_alive)
 {
@@ -152,6 +153,7 @@
 	return ((double)n_alive / MAX(peak, n_alive));
 }
 
+/* Fills in the live daemons of all failure domains, as heard or reported. */
 static void
 view_fill(struct mesh *mesh, struct limit_view *view)
 {
@@ -256,6 +258,7 @@
 	    mesh->now_ms - mesh->opened_ms >= STARTUP_MS);
 }
 
+/* Updates this daemon's share of the limit of one endpoint. */
 static void
 limit_update_share(struct mesh *mesh, struct limit_view *view,
     struct endpoint *ep)
--- a/src/poison-model.c
+++ b/src/poison-model.c
@@ -166,12 +166,12 @@
 model_suppress_sends(struct poison_model *m)
 {
 	for (unsigned i = 0; i < m->fleet->n; i++) {
-		struct poison_request *w;
+		struct poison_request *request;
 
 		if (!m->fleet->daemons[i].up)
 			continue;
-		TAILQ_FOREACH(w, &model_poison(m, i)->requests, entry)
-			w->changed_ms = 0;
+		TAILQ_FOREACH(request, &model_poison(m, i)->requests, entry)
+			request->changed_ms = 0;
 		m->fleet->daemons[i].mesh.newcomer_ms = 0;
 		for (unsigned k = 0; k < MESH_KINDS; k++)
 			m->fleet->daemons[i].mesh.poison_sent_ms[k] =
@@ -259,13 +259,13 @@
     uint64_t fingerprint)
 {
 	const struct registry *registry = &m->fleet->daemons[index].registry;
-	const struct poison_request *w =
+	const struct poison_request *request =
 	    poison_find(&registry->poison, fingerprint);
 	struct poison_verdict verdict;
 
-	if (w == NULL)
+	if (request == NULL)
 		return (false);
-	poison_evaluate(&registry->poison, &registry->fleet, w,
+	poison_evaluate(&registry->poison, &registry->fleet, request,
 	    m->fleet->now_ms, &verdict);
 	return (verdict.until_ms != 0);
 }
@@ -291,10 +291,10 @@
 static bool
 two_refuses(const struct poison_model *m, unsigned index, uint64_t fingerprint)
 {
-	const struct poison_request *w =
+	const struct poison_request *request =
 	    poison_find(model_poison(m, index), fingerprint);
 
-	return (w != NULL && w->n_crashes >= 2);
+	return (request != NULL && request->n_crashes >= 2);
 }
 
 const struct poison_scheme poison_scheme_alone = {
