--- a/src/placer.c
+++ b/src/placer.c
@@ -61,7 +61,7 @@
 	    r->name, (long long)r->epoch, r->model, r->dissolve_reason,
 	    (unsigned long long)(now_ms - r->dissolving_ms),
 	    replica_proof_name(proof), head->id, group_state_name(head->state),
-	    (unsigned long long)(now_ms - MIN(head->reported_ms, now_ms)));
+	    (unsigned long long)(now_ms - MIN(head->last_report_ms, now_ms)));
 	for (unsigned i = 0; i < r->n; i++) {
 		const struct replica_member *m = &r->members[i];
 
--- a/src/replica.h
+++ b/src/replica.h
@@ -84,7 +84,7 @@
  * @late_join_until_ms: until when an order to join may be carried out yet: it
  *had no answer, or another placer may have given it; 0 for none
  * @was_in_newer_group: it has reported a newer epoch, so it can't come back
- * @reported_ms: loop time of its newest report, by its entry or directly
+ * @last_report_ms: loop time of its newest report, by its entry or directly
  * @suspect_ms: an order to it had no answer then; 0 for never
  * @asked_ms: when it was last asked directly
  * @silent_since_ms: since when it has not answered; 0 while it does
@@ -110,7 +110,7 @@
 	uint64_t left_ms;
 	uint64_t late_join_until_ms;
 	bool was_in_newer_group;
-	uint64_t reported_ms;
+	uint64_t last_report_ms;
 	uint64_t suspect_ms;
 	uint64_t asked_ms;
 	uint64_t silent_since_ms;
