--- a/src/limit-model.h
+++ b/src/limit-model.h
@@ -1,4 +1,5 @@
-/* An endpoint that names a limit before many daemons, in virtual time. */
+/* Simulation, in virtual time, of many daemons that send to an endpoint with a
+ * rate limit. */
 #ifndef BL_LIMIT_MODEL_H
 #define BL_LIMIT_MODEL_H
 
@@ -9,9 +10,11 @@
 /**
  * struct limit_scheme - a way to share a limit among daemons.
  * @name: its name
- * @step: looks at the daemons, each millisecond; may be NULL
- * @admit: whether a daemon may send a request now; it is counted then
- * @notified: a daemon was told of the limit, or of none, by the endpoint itself
+ * @step: updates the shares, once a millisecond; may be NULL
+ * @admit: whether a daemon may send a request now; if so, the request is
+ *	counted
+ * @notified: called when the endpoint's answer told a daemon of the limit, or
+ *	that there is none
  */
 struct limit_scheme {
 	const char *name;
@@ -22,9 +25,9 @@
 
 /**
  * struct limit_daemon - one daemon, as the endpoint sees it.
- * @notified_ms: when it was first told of the limit; 0 for never
- * @permits: requests that it may send, where its way counts them here
- * @demand: moving mean of its requests a second
+ * @notified_ms: when the endpoint first told it of the limit; 0 for never
+ * @permits: requests that it may send, where the scheme counts them here
+ * @demand: moving average of its requests per second
  */
 struct limit_daemon {
 	uint64_t notified_ms;
@@ -33,21 +36,22 @@
 };
 
 /**
- * struct limit_model - the endpoint, and requests that daemons have for it.
+ * struct limit_model - the endpoint, and the daemons' requests for it.
  * @fleet: the daemons
- * @scheme: how they share
- * @daemons: of them
- * @per_s: the limit that it names; below 0 for none
- * @limit_set_ms: when it began to
- * @demand: requests a second of each daemon that has any
- * @busy: of so many daemons each one has requests
- * @arrivals: times of requests of the last 4 s by daemons that were told, in ms
- * @n_requests: requests since the limit counts
- * @n_over: of these, beyond what a window allows
- * @n_uninformed: of these, by daemons that knew of no limit
- * @owner: the daemon that hands out requests, where one does
- * @owner_since_ms: it may from then on
- * @owner_permits: requests that it may hand out
+ * @scheme: how they share the limit
+ * @daemons: the endpoint's view of each daemon
+ * @per_s: limit that it names, in requests per second; below 0 for none
+ * @limit_set_ms: when it began to name this limit
+ * @demand: requests per second of each daemon that has any
+ * @busy: one in this many daemons has requests
+ * @arrivals: arrival times in the last 4 s of requests by notified daemons, in
+ *	ms
+ * @n_requests: requests since compliance with the limit has been measured
+ * @n_over: of these, requests beyond what a window allows
+ * @n_uninformed: requests by daemons that did not know of the limit
+ * @owner: daemon that grants requests, in schemes that have one
+ * @owner_since_ms: time from which it may grant requests
+ * @owner_permits: requests that it may grant
  */
 struct limit_model {
 	struct fleet_model *fleet;
--- a/src/mesh-config.c
+++ b/src/mesh-config.c
@@ -7,16 +7,19 @@
 #include "random.h"
 
 #define FETCH_TIMEOUT_MS 600
-/* A peer of the own failure domain is waited for this long: bytes between
- * failure domains are priced, and the wait is short against the bound within
- * which a configuration must be in force. */
-#define NEAR_WAIT_MS 200
-/* At first, one hearing in so many leads to a fetch. */
+/* A newer configuration is not fetched across failure domains until this time
+ * has passed: traffic between failure domains is billed, and the wait is short
+ * against the bound within which a configuration must be in force. */
+#define OTHER_DOMAIN_WAIT_MS 200
+/* During the first SPREAD_MS, one in this many received datagrams leads to a
+ * fetch. */
 #define SPREAD_MS 400
 #define FETCH_ONE_IN 4
-/* After this the store is asked as well. */
+/* After this time the store is polled as well. */
 #define STORE_AFTER_MS 800
 
+/* Applies a fetched configuration, with the peer's proof that it was the
+ * newest. */
 static void
 on_fetched(void *arg, const struct net_answer *answer)
 {
@@ -35,15 +38,17 @@
 		topic_follower_adopt(&mesh->registry->config,
 		    mesh->fetched_offset + 1, mesh->fetched_proof_ms);
 	topic_follower_skip(&mesh->registry->config, mesh->fetched_offset + 1);
-	/* The peer may have come to a newer version since it proved its own. */
+	/* The peer may have received a newer version since it proved its own.
+	 */
 	if (mesh->registry->catalog->version >= mesh->fetched_version)
 		mesh->registry->peer_proof_ms =
 		    MAX(mesh->registry->peer_proof_ms, mesh->fetched_proof_ms);
 }
 
 /*
- * Whom to ask: the peer that was heard, or one of those of which it said that
- * they have as new a one, so that a relay does not serve its whole cell.
+ * Chooses the peer to fetch from: the one that was heard, or one of those that
+ * it lists as having the same version, so that a relay does not serve its whole
+ * cell.
  */
 static struct mesh_peer *
 config_source(const struct mesh *mesh, struct mesh_peer *peer)
@@ -62,8 +67,9 @@
 }
 
 /*
- * Whether a newer configuration is to be fetched now; a daemon that has none
- * can't serve, and a relay is what a whole cell waits for.
+ * Whether to fetch a newer configuration now. A relay fetches at once, since
+ * its whole cell waits for it. A daemon that has no configuration can't serve
+ * and fetches without asking this.
  */
 static bool
 fetch_due(const struct mesh *mesh, const struct mesh_peer *peer)
@@ -72,10 +78,11 @@
 
 	if (mesh->relay == NULL && !mesh_flat(mesh))
 		return (true);
-	if (strcmp(peer->domain, mesh->domain) != 0 && behind < NEAR_WAIT_MS)
+	if (strcmp(peer->domain, mesh->domain) != 0 &&
+	    behind < OTHER_DOMAIN_WAIT_MS)
 		return (false);
-	/* Not all at once from the one that has it first: those that fetched it
-	 * are asked by the others. */
+	/* Spread over time: daemons that have fetched it share the load of
+	 * serving it with the one that had it first. */
 	return (behind >= SPREAD_MS || random_below(FETCH_ONE_IN) == 0);
 }
 
--- a/src/poison-model.h
+++ b/src/poison-model.h
@@ -1,5 +1,5 @@
-/* Work that ends each endpoint that runs it, before many daemons, in virtual
- * time. */
+/* Simulation, in virtual time, of many daemons that receive requests which
+ * crash every endpoint that runs them. */
 #ifndef BL_POISON_MODEL_H
 #define BL_POISON_MODEL_H
 
@@ -8,11 +8,11 @@
 struct poison_model;
 
 /**
- * struct poison_scheme - a way to bound what such work does.
+ * struct poison_scheme - a way to bound the damage of such requests.
  * @name: its name
- * @refuses: whether a daemon refuses some work now
- * @resends: whether a daemon sends work again by itself whose endpoint ended
- * @shares: daemons tell each other what they suspect
+ * @refuses: whether a daemon refuses a request now
+ * @resends: whether a daemon resends a request whose endpoint crashed
+ * @shares: daemons tell each other which requests they suspect
  */
 struct poison_scheme {
 	const char *name;
@@ -22,11 +22,11 @@
 };
 
 /**
- * struct poison_attempt - one attempt, at an endpoint.
- * @fingerprint: what it asks for
- * @daemon: that has it
- * @sends: how often it was sent
- * @crash_ms: when its endpoint ends
+ * struct poison_attempt - one attempt to run a request, at an endpoint.
+ * @fingerprint: fingerprint of the request
+ * @daemon: index of the daemon that sent it
+ * @sends: how often it has been sent
+ * @crash_ms: when its endpoint crashes
  */
 struct poison_attempt {
 	uint64_t fingerprint;
@@ -36,20 +36,22 @@
 };
 
 /**
- * struct poison_model - callers of such work, and the endpoints' ends.
+ * struct poison_model - clients that send such requests, and the endpoints that
+ *crash.
  * @fleet: the daemons
- * @scheme: how they bound it
- * @per_s: attempts a second of each work, at daemons drawn at random
- * @n_requests: such works at once
- * @attempts: of struct poison_attempt
- * @bystanders: works of the others at the last end
- * @n_crashes: endpoints that ended
- * @third_crash_ms: when the third end by each work was; 0 before
- * @crashes: ends by each work
- * @n_late: sends later than the settling time after the third end
- * @over_most: the most of them by one work
- * @last_crash_ms: time of the last end
- * @next_fingerprint: the next one to be drawn
+ * @scheme: how they bound the damage
+ * @per_s: attempts per second of each request, at daemons drawn at random
+ * @n_requests: number of such requests
+ * @attempts: attempts in progress, of struct poison_attempt
+ * @bystanders: fingerprints of the other requests on the endpoint that crashed
+ *	last
+ * @n_crashes: number of crashes
+ * @third_crash_ms: time of the third crash by each request; 0 before
+ * @crashes: number of crashes by each request
+ * @n_late: sends of each request later than the settling time after its third
+ *	crash
+ * @last_crash_ms: time of the newest crash
+ * @next_fingerprint: fingerprint of the next bystander
  */
 struct poison_model {
 	struct fleet_model *fleet;
