--- a/src/replica-demand.c
+++ b/src/replica-demand.c
@@ -1,36 +1,44 @@
 /*
- * How much of the work each model of a service has, as it is seen. Pure.
+ * The share of a service's work that each model has, measured by the requests
+ * that run. Pure functions.
  *
- * Answers work whose split between the models is another than the one that was
- * configured: replicas of the large model nearly idle, those of the small one
- * full. One replica at a time is given up or regained, since each costs its
- * hosts some seconds.
+ * Corrects for work that is split between the models in another way than
+ * configured, where the replicas of the large model are nearly idle and those
+ * of the small one are full. Replicas are dissolved or formed again one at a
+ * time, since each change costs its hosts some seconds.
  */
 #include <math.h>
 #include <string.h>
 
 #include "replica-demand.h"
 
-/* Time over which the requests are averaged: bursts of some seconds pass before
- * a replica that moves for them would serve. */
-#define DEMAND_MEAN_MS 5000
-/* Requests are seen for this long before anything moves. */
-#define DEMAND_SETTLE_MS 2500
-/* Between two moves: a replica closes, its hosts join others, these open. */
-#define DEMAND_MOVE_MS 2500
-/* Part of the shares that follows the work that is seen; the rest stays as
- * configured, for the bursts that the configuration allows for. */
-#define DEMAND_SEEN 0.5
-/* The bound moves when what is wanted is this far off, in replicas; more than
- * half of one, so that it does not swing between two. */
-#define DEMAND_MARGIN 0.75
-/* The largest model keeps as many replicas as leave them this busy at most. */
-#define DEMAND_BUSY_MOST 0.4
-/* There is no bound within this much of what the configured share gives. */
-#define DEMAND_FULL 0.25
+/* Time constant of the moving average: a burst of some seconds is over before a
+ * replica that is formed for it would serve. */
+#define DEMAND_AVERAGE_MS 5000
+/* Time from the first sample until the shares and the bound may change. */
+#define DEMAND_OBSERVE_MS 2500
+/* Time between two changes of the bound, in which a replica closes, its hosts
+ * join others and these open. */
+#define DEMAND_CHANGE_INTERVAL_MS 2500
+/* Weight of the measured work in the shares; the rest stays as configured, for
+ * the bursts that the configuration allows for. */
+#define DEMAND_WEIGHT 0.5
+/* Difference between the bound and the wanted number, in replicas, from which
+ * the bound changes; it is more than one half, so that the bound does not
+ * oscillate between two values. */
+#define DEMAND_CHANGE_MIN 0.75
+/* The bound leaves the largest model enough replicas that their utilization is
+ * at most this. */
+#define DEMAND_UTILIZATION_MAX 0.4
+/* The bound is lifted within this many replicas of the number that the
+ * configured share gives. */
+#define DEMAND_LIFT_MARGIN 0.25
 
-/* Requests that would run at a model's replicas, in hosts that they fill; what
- * was seen before where all have limits, since those hide what is asked for. */
+/*
+ * The number of hosts that a model's requests fill. Replicas with a rate limit
+ * hide the demand, so they are assumed to have as many requests as those
+ * without; where all have a limit, the previous average stands.
+ */
 static double
 demand_hosts(const struct form_demand *d, const struct form_view *view,
     unsigned model, const struct form_seen *seen)
@@ -46,10 +54,10 @@
 }
 
 /**
- * form_demand_note() - note the requests that run now.
+ * form_demand_note() - add a sample of the requests that run now.
  * @d: the demand
- * @view: the service's models
- * @seen: of each model
+ * @view: the view, for the service's models
+ * @seen: a sample for each model, in the order of the profile
  * @now_ms: loop time
  */
 void
@@ -63,7 +71,7 @@
 		d->begun_ms = now_ms;
 	else
 		weight =
-		    -expm1(-(double)(now_ms - d->noted_ms) / DEMAND_MEAN_MS);
+		    -expm1(-(double)(now_ms - d->noted_ms) / DEMAND_AVERAGE_MS);
 	d->noted_ms = MAX(now_ms, 1);
 	for (unsigned i = 0; i < n; i++) {
 		double hosts = demand_hosts(d, view, i, &seen[i]);
@@ -72,44 +80,47 @@
 	}
 }
 
-/* What the largest model's replicas are bound to; all that it may have where
- * there is no bound. */
+/* The bound on replicas of the largest model; without a bound, the number that
+ * its configured share gives. */
 static unsigned
-demand_most(const struct form_demand *d, double full)
+demand_bound(const struct form_demand *d, double full)
 {
 	return (d->most != 0 ? d->most : (unsigned)floor(full + 0.5));
 }
 
-/* Moves the bound on replicas of the largest model by one, where it is due. */
+/* Changes the bound on replicas of the largest model by one where that is due.
+ */
 static void
-demand_move(struct form_demand *d, struct form_view *view, double share,
+demand_change_bound(struct form_demand *d, struct form_view *view, double share,
     uint64_t now_ms)
 {
 	double size = form_model(view, view->largest)->size;
 	double full = form_view_full(view);
 	double want = share * view->hosts->len / size;
-	double least = d->busy[view->largest] / size / DEMAND_BUSY_MOST;
-	unsigned most = demand_most(d, full);
+	double least = d->busy[view->largest] / size / DEMAND_UTILIZATION_MAX;
+	unsigned most = demand_bound(d, full);
 
-	if (now_ms - d->moved_ms < DEMAND_MOVE_MS)
+	if (now_ms - d->moved_ms < DEMAND_CHANGE_INTERVAL_MS)
 		return;
-	if (most > 1 && want < most - DEMAND_MARGIN && least <= most - 1.0)
+	if (most > 1 && want < most - DEMAND_CHANGE_MIN && least <= most - 1.0)
 		most--;
-	else if (d->most != 0 && (want > most + DEMAND_MARGIN || least > most))
+	else if (d->most != 0 &&
+	    (want > most + DEMAND_CHANGE_MIN || least > most))
 		most++;
 	else
 		return;
 	d->moved_ms = now_ms;
-	d->most = most < full - DEMAND_FULL ? most : 0;
+	d->most = most < full - DEMAND_LIFT_MARGIN ? most : 0;
 }
 
 /**
- * form_demand_apply() - derive shares and the bound on the largest model.
+ * form_demand_apply() - set a view's shares of the work and its bound on the
+ * largest model from the demand.
  * @d: the demand
- * @view: its hosts were counted; its shares of the work are set
+ * @view: the view; its hosts have been counted
  * @now_ms: loop time
  *
- * Where the configured shares fit what is seen, nothing changes.
+ * Where the measured work fits the configured shares, nothing changes.
  */
 void
 form_demand_apply(struct form_demand *d, struct form_view *view,
@@ -123,12 +134,12 @@
 	view->most = d->most;
 	for (unsigned i = 0; i < n; i++)
 		sum += d->busy[i];
-	if (sum <= 0 || now_ms - d->begun_ms < DEMAND_SETTLE_MS)
+	if (sum <= 0 || now_ms - d->begun_ms < DEMAND_OBSERVE_MS)
 		return;
 	for (unsigned i = 0; i < n; i++)
-		work[i] = (1 - DEMAND_SEEN) * view->work[i] +
-		    DEMAND_SEEN * d->busy[i] / sum;
-	demand_move(d, view, work[view->largest], now_ms);
+		work[i] = (1 - DEMAND_WEIGHT) * view->work[i] +
+		    DEMAND_WEIGHT * d->busy[i] / sum;
+	demand_change_bound(d, view, work[view->largest], now_ms);
 	view->most = d->most;
 	if (d->most != 0)
 		memcpy(view->work, work, n * sizeof work[0]);
--- a/src/replica-demand.h
+++ b/src/replica-demand.h
@@ -1,17 +1,18 @@
-/* How much of the work each model of a service has, as it is seen. Pure. */
+/* The share of a service's work that each model has, measured by the requests
+ * that run. Pure functions. */
 #ifndef BL_REPLICA_DEMAND_H
 #define BL_REPLICA_DEMAND_H
 
 #include "replica-form.h"
 
 /**
- * struct form_demand - what was seen of one service.
- * @busy: moving mean of the hosts that each model's requests would fill, in the
- *	order of the profile
- * @noted_ms: when that was last noted; 0 before the first request
- * @begun_ms: when the first request was seen
- * @most: replicas of the largest model that may stand; 0 for no bound
- * @moved_ms: when that last changed
+ * struct form_demand - measured demand for the models of one service.
+ * @busy: moving average of the number of hosts that each model's requests would
+ *	fill, in the order of the profile
+ * @noted_ms: loop time of the last sample; 0 before the first one
+ * @begun_ms: loop time of the first sample
+ * @most: maximum number of replicas of the largest model; 0 for no bound
+ * @moved_ms: loop time at which @most last changed
  */
 struct form_demand {
 	double busy[FORM_MODELS_MAX];
@@ -22,10 +23,11 @@
 };
 
 /**
- * struct form_seen - what runs at one model's replicas.
- * @running: requests at those without a limit
- * @unlimited: how many these are
- * @limited: replicas that take fewer requests a second than they could serve
+ * struct form_seen - requests that run at one model's replicas.
+ * @running: requests that run at replicas without a rate limit
+ * @unlimited: number of replicas without a rate limit
+ * @limited: number of replicas that limit their request rate below what they
+ *	could serve
  */
 struct form_seen {
 	double running;
--- a/src/replica-form.c
+++ b/src/replica-form.c
@@ -1,215 +1,231 @@
-/* Which free hosts form which new replicas. Pure. */
+/* Which hosts form new replicas and which replicas are dissolved for them. Pure
+ * functions. */
 #include <math.h>
 #include <string.h>
 
 #include "replica-form.h"
 
-/* Ways for a host to get a model, cheapest first. */
-enum load_rank {
-	LOAD_LAST,
-	LOAD_STAGED,
-	LOAD_STORE,
+/* Where a host gets a model from, cheapest first. */
+enum model_source {
+	SOURCE_MEMORY,
+	SOURCE_COPY,
+	SOURCE_STORE,
 };
 
-/* A load takes about ten times as long as a join from the host's copy. */
+/* Weight of loads against shortage in the score of a candidate. A load takes
+ * about ten times as long as a join from the host's own copy. */
 #define LOAD_WEIGHT 1.0
 
-/* A candidate: some free hosts of one fabric domain for one model. */
-struct form_try {
+/*
+ * A candidate for a new replica: free hosts of one fabric domain for one model.
+ * The index is that of the model, loads are those that the replica would need.
+ */
+struct replica_candidate {
 	const struct model_profile *model;
 	unsigned index;
-	unsigned at;
+	unsigned fabric;
 	unsigned loads;
 	double score;
 };
 
-static enum load_rank
-host_rank(const struct form_host *h, const struct model_profile *m)
+/* Where a host would get a model from. */
+static enum model_source
+host_source(const struct form_host *h, const struct model_profile *m)
 {
 	if (g_strcmp0(h->last, m->name) == 0)
-		return (LOAD_LAST);
-	return (form_host_has(h, m) ? LOAD_STAGED : LOAD_STORE);
+		return (SOURCE_MEMORY);
+	return (form_host_has(h, m) ? SOURCE_COPY : SOURCE_STORE);
 }
 
 /*
- * Whether copies of the largest model are kept for it: its replica is missing
- * in the fabric domain and can be formed from what is there.
+ * Whether a fabric domain reserves its copies of the largest model: one of that
+ * model's replicas is missing there and can be formed from the hosts that have
+ * it.
  */
 static bool
-fabric_keeps(const struct form_view *view, const struct form_fabric *f)
+fabric_reserves_copies(const struct form_view *view,
+    const struct form_fabric *f)
 {
 	return (f->held < f->cap &&
 	    f->ready >= form_model(view, view->largest)->size);
 }
 
 /*
- * Whether a free host that holds the largest model may serve a smaller one. It
- * may go back to what it served; it gives up the largest model only where
- * there are other spares for it, or for a model that is served worse.
+ * Whether a free host that has the largest model may serve a smaller one. Where
+ * the copies are reserved, only a model with a lower supply ratio gets the
+ * host. Elsewhere it may return to the model that it last served; while
+ * requests come, it gives up the largest model otherwise only where there are
+ * other spares for it, or for a model with a lower supply ratio.
  */
 static bool
-host_gives_up(const struct form_view *view, const struct form_host *h,
-    const struct form_try *try)
+host_may_switch(const struct form_view *view, const struct form_host *h,
+    const struct replica_candidate *c)
 {
 	const struct form_fabric *f = form_fabric_at(view, h->at);
 
-	if (fabric_keeps(view, f) &&
-	    form_served(view, view->largest) <= form_served(view, try->index))
+	if (fabric_reserves_copies(view, f) &&
+	    form_served(view, view->largest) <= form_served(view, c->index))
 		return (false);
-	return (g_strcmp0(h->last, try->model->name) == 0 || !view->serving ||
+	return (g_strcmp0(h->last, c->model->name) == 0 || !view->serving ||
 	    form_fabric_spares(f) ||
-	    form_served(view, try->index) < form_served(view, view->largest));
+	    form_served(view, c->index) < form_served(view, view->largest));
 }
 
 /*
- * Whether a free host may be taken for a model. While requests come, hosts
- * get their models by copies made before they join.
+ * Whether a candidate may use a host. While requests come, hosts join only with
+ * a model that was copied to them before.
  */
 static bool
-host_offered(const struct form_view *view, const struct form_host *h,
-    const struct form_try *try)
+candidate_can_use(const struct form_view *view, const struct form_host *h,
+    const struct replica_candidate *c)
 {
-	const struct model_profile *big = form_model(view, view->largest);
+	const struct model_profile *largest = form_model(view, view->largest);
 
-	if (!h->free || h->at != try->at)
+	if (!h->free || h->at != c->fabric)
 		return (false);
-	if (try->model != big && form_host_has(h, big) &&
-	    !host_gives_up(view, h, try))
+	if (c->model != largest && form_host_has(h, largest) &&
+	    !host_may_switch(view, h, c))
 		return (false);
-	if (form_host_has(h, try->model) || view->engine->models->len == 1)
+	if (form_host_has(h, c->model) || view->engine->models->len == 1)
 		return (true);
 	return (!view->serving && h->staging == NULL &&
-	    (try->model == big || !form_host_has(h, big)));
+	    (c->model == largest || !form_host_has(h, largest)));
 }
 
-/* Free hosts of a fabric domain, and how many need no load. */
+/* Counts the hosts that a candidate may use, and those that need no load. */
 static void
-fabric_count(const struct form_view *view, const struct form_try *try,
-    unsigned *free, unsigned *local)
+candidate_count_hosts(const struct form_view *view,
+    const struct replica_candidate *c, unsigned *free, unsigned *local)
 {
 	*free = 0;
 	*local = 0;
-	for (guint n = 0; n < form_fabric_at(view, try->at)->hosts; n++) {
+	for (guint n = 0; n < form_fabric_at(view, c->fabric)->hosts; n++) {
 		const struct form_host *h =
-		    form_host_at(view, form_fabric_host(view, try->at, n));
+		    form_host_at(view, form_fabric_host(view, c->fabric, n));
 
-		if (!host_offered(view, h, try))
+		if (!candidate_can_use(view, h, c))
 			continue;
 		(*free)++;
-		*local += form_host_has(h, try->model);
+		*local += form_host_has(h, c->model);
 	}
 }
 
 /*
- * A replica is worth more the further its model is below what is wanted, and
- * in the failure domain that has fewest of it; loads cost time and money.
+ * Scores a candidate: higher the further its model is below the wanted number
+ * of replicas and the fewer of them its failure domain has; loads reduce the
+ * score because they cost time and money.
  */
 static double
-try_score(const struct form_view *view, const struct form_try *try)
+candidate_score(const struct form_view *view, const struct replica_candidate *c)
 {
-	double wanted = MAX(view->wanted[try->index], 0.5);
-	double here = form_domain_held(view, try->model,
-			  form_fabric_at(view, try->at)->domain) /
+	double wanted = MAX(view->wanted[c->index], 0.5);
+	double here = form_domain_held(view, c->model,
+			  form_fabric_at(view, c->fabric)->domain) /
 	    wanted;
 
-	return (form_short(view, try->index) / wanted - here -
-	    LOAD_WEIGHT * try->loads / try->model->size);
+	return (form_short(view, c->index) / wanted - here -
+	    LOAD_WEIGHT * c->loads / c->model->size);
 }
 
-/* Whether hosts of this fabric domain may be taken for the model at all. */
+/* Whether a candidate is permitted at all. */
 static bool
-try_allowed(const struct form_view *view, const struct form_try *try)
+candidate_permitted(const struct form_view *view,
+    const struct replica_candidate *c)
 {
-	const struct form_fabric *f = form_fabric_at(view, try->at);
-	bool largest = try->index == view->largest;
+	const struct form_fabric *f = form_fabric_at(view, c->fabric);
+	bool largest = c->index == view->largest;
 
-	/* Small replicas take what large ones leave, once all hosts are there.
-	 */
+	/* Before requests come, small replicas wait until all hosts are there
+	 * and use those that large ones leave. */
 	if (!view->serving && !view->settled && !largest)
 		return (false);
 	if (largest && f->held >= f->cap)
 		return (false);
-	/* Hosts that hold the model already may as well serve it. */
-	if (try->loads == 0)
+	/* Hosts that have the model already may as well serve it. */
+	if (c->loads == 0)
 		return (true);
-	return (try->loads <= view->loads &&
-	    form_short(view, try->index) > FORM_SHORT_LEAST);
+	return (c->loads <= view->loads &&
+	    form_short(view, c->index) > FORM_SHORT_LEAST);
 }
 
-/* Weighs one fabric domain for one model. */
+/* Computes the loads and the score of a candidate. Returns false where it has
+ * too few hosts or is not permitted. */
 static bool
-try_weigh(const struct form_view *view, struct form_try *try)
+candidate_evaluate(const struct form_view *view, struct replica_candidate *c)
 {
-	unsigned free, local, size = try->model->size;
+	unsigned free, local, size = c->model->size;
 
-	fabric_count(view, try, &free, &local);
+	candidate_count_hosts(view, c, &free, &local);
 	if (free < size)
 		return (false);
-	try->loads = size - MIN(size, local);
-	if (!try_allowed(view, try))
+	c->loads = size - MIN(size, local);
+	if (!candidate_permitted(view, c))
 		return (false);
-	try->score = try_score(view, try);
+	c->score = candidate_score(view, c);
 	return (true);
 }
 
-/* Takes the members, those that need least first. */
+/* Selects the members of a candidate, those with the cheapest source first. */
 static void
-plan_take(const struct form_view *view, const struct form_try *try,
-    struct form_plan *plan)
+plan_select_members(const struct form_view *view,
+    const struct replica_candidate *c, struct form_plan *plan)
 {
-	plan->model = try->model;
-	plan->loads = try->loads;
+	plan->model = c->model;
+	plan->loads = c->loads;
 	plan->members = g_array_new(FALSE, FALSE, sizeof(guint));
-	for (int rank = LOAD_LAST; rank <= LOAD_STORE; rank++) {
-		for (guint n = 0; n < form_fabric_at(view, try->at)->hosts;
+	for (int source = SOURCE_MEMORY; source <= SOURCE_STORE; source++) {
+		for (guint n = 0; n < form_fabric_at(view, c->fabric)->hosts;
 		     n++) {
-			guint i = form_fabric_host(view, try->at, n);
+			guint i = form_fabric_host(view, c->fabric, n);
 			const struct form_host *h = form_host_at(view, i);
 
-			if (plan->members->len == try->model->size)
+			if (plan->members->len == c->model->size)
 				return;
-			if (host_offered(view, h, try) &&
-			    host_rank(h, try->model) == (enum load_rank)rank)
+			if (candidate_can_use(view, h, c) &&
+			    host_source(h, c->model) ==
+				(enum model_source)source)
 				g_array_append_val(plan->members, i);
 		}
 	}
 }
 
 /**
- * form_next() - the next replica to form.
- * @view: what is there
- * @plan: filled in; the caller frees its members
+ * form_next() - plan the next replica to form.
+ * @view: the view
+ * @plan: set to the plan; the caller frees its members
  *
- * Return: false where none should be formed now.
+ * Return: false where no replica should be formed now.
  */
 bool
 form_next(const struct form_view *view, struct form_plan *plan)
 {
-	struct form_try best = { .score = -INFINITY };
+	struct replica_candidate best = { .score = -INFINITY };
 	const GPtrArray *models = view->engine->models;
 
 	for (guint k = 0; k < models->len && k < FORM_MODELS_MAX; k++) {
-		for (guint at = 0; at < view->fabrics->len; at++) {
-			struct form_try try = { .model = models->pdata[k],
+		for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
+			struct replica_candidate c = { .model =
+							   models->pdata[k],
 				.index = k,
-				.at = at };
+				.fabric = fabric };
 
-			if (try_weigh(view, &try) && try.score > best.score)
-				best = try;
+			if (candidate_evaluate(view, &c) &&
+			    c.score > best.score)
+				best = c;
 		}
 	}
 	if (best.model == NULL)
 		return (false);
-	plan_take(view, &best, plan);
+	plan_select_members(view, &best, plan);
 	return (true);
 }
 
 /*
- * Whether a smaller model can spare a replica for the largest: it is still
- * served as well afterwards, by the models' shares of the work.
+ * Whether a smaller model can spare a replica for the largest: without it, its
+ * supply ratio is still at least that of the largest model.
  */
 static bool
-donor_spared(const struct form_view *view, const struct replica *donor)
+donor_can_be_spared(const struct form_view *view, const struct replica *donor)
 {
 	unsigned k = form_model_index(view, donor->model);
 	double after = (view->held[k] - 1.0) / MAX(view->shares[k], 0.5);
@@ -217,28 +233,31 @@
 	return (after >= form_served(view, view->largest));
 }
 
-/* The replica in a fabric domain whose hosts are wanted most; or NULL. */
+/* The first replica of a fabric domain that may donate its hosts to the largest
+ * model, or NULL. */
 static struct replica *
-fabric_donor(const struct form_view *view, unsigned at)
+fabric_donor(const struct form_view *view, unsigned fabric)
 {
-	const struct model_profile *big = form_model(view, view->largest);
+	const struct model_profile *largest = form_model(view, view->largest);
 
-	for (guint n = 0; n < form_fabric_at(view, at)->hosts; n++) {
+	for (guint n = 0; n < form_fabric_at(view, fabric)->hosts; n++) {
 		const struct form_host *h =
-		    form_host_at(view, form_fabric_host(view, at, n));
+		    form_host_at(view, form_fabric_host(view, fabric, n));
 
-		if (form_host_has(h, big) && form_host_donates(h, big) &&
-		    donor_spared(view, h->group))
+		if (form_host_has(h, largest) &&
+		    form_host_donates(h, largest) &&
+		    donor_can_be_spared(view, h->group))
 			return (h->group);
 	}
 	return (NULL);
 }
 
 /**
- * form_donor() - a replica to dissolve so that the largest model can form.
- * @view: what is there
+ * form_donor() - find a replica to dissolve so that one of the largest model
+ * can form.
+ * @view: the view
  *
- * Return: NULL where none need or could be.
+ * Return: the replica, or NULL where none is needed or none would do.
  */
 struct replica *
 form_donor(const struct form_view *view)
@@ -247,13 +266,13 @@
 
 	if (form_short(view, view->largest) < 0.5)
 		return (NULL);
-	for (guint at = 0; at < view->fabrics->len; at++) {
-		const struct form_fabric *f = form_fabric_at(view, at);
+	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
+		const struct form_fabric *f = form_fabric_at(view, fabric);
 		struct replica *donor = NULL;
 
 		if (f->held < f->cap && f->ready < size &&
 		    f->ready + f->donors >= size)
-			donor = fabric_donor(view, at);
+			donor = fabric_donor(view, fabric);
 		if (donor != NULL)
 			return (donor);
 	}
@@ -261,31 +280,31 @@
 }
 
 /**
- * form_surplus() - a replica of the largest model to dissolve, since its hosts
- * serve more requests as replicas of others.
- * @view: what is there
+ * form_surplus() - find a replica of the largest model to dissolve because its
+ * hosts serve more requests in replicas of other models.
+ * @view: the view
  *
- * Return: NULL where none should be.
+ * Return: the replica, or NULL.
  */
 struct replica *
 form_surplus(const struct form_view *view)
 {
-	const struct model_profile *big = form_model(view, view->largest);
+	const struct model_profile *largest = form_model(view, view->largest);
 
 	if (view->most == 0 || view->held[view->largest] <= view->most)
 		return (NULL);
-	for (guint at = 0; at < view->fabrics->len; at++) {
-		const struct form_fabric *f = form_fabric_at(view, at);
+	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
+		const struct form_fabric *f = form_fabric_at(view, fabric);
 
 		if (f->held <= f->cap)
 			continue;
 		for (guint n = 0; n < f->hosts; n++) {
-			const struct form_host *h =
-			    form_host_at(view, form_fabric_host(view, at, n));
+			const struct form_host *h = form_host_at(view,
+			    form_fabric_host(view, fabric, n));
 
 			if (h->group != NULL && replica_wanted(h->group) &&
 			    h->group->opened &&
-			    strcmp(h->group->model, big->name) == 0)
+			    strcmp(h->group->model, largest->name) == 0)
 				return (h->group);
 		}
 	}
--- a/src/replica-form.h
+++ b/src/replica-form.h
@@ -1,31 +1,34 @@
-/* Which free hosts form which new replicas. Pure. */
+/* The planner: decides which hosts form which replicas and which get copies of
+ * which models. Pure functions. */
 #ifndef BL_REPLICA_FORM_H
 #define BL_REPLICA_FORM_H
 
 #include "dir-catalog.h"
 #include "replica.h"
 
-/* Models of one service that are told apart. */
+/* Maximum number of models of one service that the planner distinguishes. */
 #define FORM_MODELS_MAX 16
-/* Hosts with a copy of a model kept beside its replicas in a fabric domain. */
+/* Hosts outside a model's replicas that hold a spare copy of it, for each
+ * fabric domain. */
 #define FORM_SPARES_KEPT 1
 
-/* Part of a replica that a model must be short of for loads to be spent on it;
- * what is wanted is seldom a whole number. */
+/* Smallest shortage of a model, in replicas, that justifies loads for it: the
+ * wanted number is seldom a whole one. */
 #define FORM_SHORT_LEAST 0.25
 
 /**
  * struct form_host - a host of the service.
- * @id: its id
- * @domain: failure domain
- * @fabric: fabric domain
- * @at: index of that among the view's fabric domains
- * @last: model of its last group since its start, or NULL
- * @staged: models with a copy on the host; it keeps a few, the newest
+ * @id: id of the host's incarnation
+ * @domain: its failure domain
+ * @fabric: its fabric domain; NULL where it reports none
+ * @at: index of its fabric domain in the view
+ * @last: model in its memory, which is that of its last group since it
+ *	started, or NULL
+ * @staged: models with a copy on the host, which keeps a few, the newest
  * @staging: model that is being copied to it, or NULL
- * @warming: it is taking a model into memory
+ * @warming: it is loading a model into memory without joining a replica
  * @free: it may join a new group now
- * @soon: its group is being dissolved and will let it go within about a second
+ * @soon: its group is being dissolved and will release it within about a second
  * @group: the replica that it belongs to, or NULL
  */
 struct form_host {
@@ -44,16 +47,16 @@
 
 /**
  * struct form_fabric - a fabric domain.
- * @name: its name; NULL where hosts don't say
+ * @name: its name; NULL for hosts that report none
  * @domain: failure domain of its hosts
- * @hosts: that live
- * @first: place of the first of them in the view's order
- * @held: wanted replicas of the largest model
- * @cap: most of them
- * @given: of a bound on all, those that were given to it so far
- * @ready: hosts with a copy of that model that are free now or soon
- * @donors: hosts with such a copy in smaller replicas that serve
- * @coming: hosts that are getting such a copy
+ * @hosts: number of its live hosts
+ * @first: position of its first host in the view's order
+ * @held: active replicas of the largest model in it
+ * @cap: maximum number of replicas of the largest model in it
+ * @given: its part so far of the bound on replicas of the largest model
+ * @ready: hosts that have the largest model and are free now or soon
+ * @donors: hosts that have the largest model and serve in smaller replicas
+ * @coming: hosts that are getting a copy of the largest model
  */
 struct form_fabric {
 	const char *name;
@@ -69,24 +72,25 @@
 };
 
 /**
- * struct form_view - what the decisions look at.
+ * struct form_view - the state of one service that decisions are based on.
  * @engine: the service's engine profile
- * @hosts: of struct form_host; all that live
- * @order: indexes of the hosts, those of a fabric domain together
- * @fabrics: of struct form_fabric
- * @held: wanted replicas of each model, in the order of the profile
+ * @hosts: array of struct form_host, all live hosts
+ * @order: indexes of the hosts, grouped by fabric domain
+ * @fabrics: array of struct form_fabric
+ * @held: active replicas of each model, in the order of the profile
  * @by_domain: "model failure-domain" to the number of replicas there
  * @by_fabric: "model fabric-domain" to the number of replicas there
  * @work: share of the work of each model
- * @most: replicas of the largest model that may stand; 0 for no bound
+ * @most: maximum number of replicas of the largest model; 0 for no bound
  * @wanted: replicas of each model that the hosts should form
- * @shares: replicas of each model by its share of the work alone
- * @largest: index of the model with the largest replicas
- * @cap: most replicas of that model in one fabric domain, for each 2 x its
- *	size hosts there; the rest are replicas that can donate hosts to it
- * @loads: loads from the weight store that may begin now
- * @serving: requests come; loads take their full time
- * @settled: no new hosts have appeared for a while
+ * @shares: replicas of each model that its share of the work alone would give
+ * @largest: index of the model with the most hosts in a replica
+ * @cap: maximum number of replicas of the largest model in one fabric domain
+ *	for every 2 x its size hosts there; the other hosts form replicas that
+ *	can donate hosts to it
+ * @loads: number of loads from the weight store that may begin now
+ * @serving: requests have come, so loads take their full time
+ * @settled: no new host has appeared for a while
  */
 struct form_view {
 	const struct engine_profile *engine;
@@ -108,10 +112,10 @@
 };
 
 /**
- * struct form_plan - one new replica.
- * @model: what it serves
- * @members: indexes into the view's hosts
- * @loads: members that load from the weight store
+ * struct form_plan - plan of one new replica.
+ * @model: its model
+ * @members: indexes of its members among the view's hosts
+ * @loads: number of members that load from the weight store
  */
 struct form_plan {
 	const struct model_profile *model;
@@ -123,12 +127,12 @@
 struct replica *form_donor(const struct form_view *);
 struct replica *form_surplus(const struct form_view *);
 
-/* replica-stage.c: which hosts get copies of which models. */
+/* planner-copies.c: which hosts get copies of which models. */
 const struct form_host *form_stage(const struct form_view *,
     const struct model_profile **);
 const struct form_host *form_warm(const struct form_view *);
 
-/* replica-view.c: counts that the decisions share. */
+/* planner-view.c: counts that the decisions share. */
 void form_view_init(struct form_view *, const struct engine_profile *);
 void form_view_clear(struct form_view *);
 void form_view_add_replica(struct form_view *, const struct replica *,
--- a/src/replica-member.c
+++ b/src/replica-member.c
@@ -1,12 +1,13 @@
-/* What is known of one member of a replica. Pure. */
+/* State of one member of a replica. Pure functions. */
 #include "replica.h"
 
-/* Silence to direct questions after which a member is dead, though its entry
- * still stands; its entry lapses only after three missed beats. */
+/* Time without an answer to status requests after which a member counts as
+ * silent although its entry is current: an entry lapses only after three missed
+ * heartbeats. */
 #define MEMBER_SILENT_MS 500
 
 /**
- * replica_member_report() - take in what a member says of its group.
+ * replica_member_report() - update a member from a report.
  * @r: the replica
  * @m: the member
  * @report: its report
@@ -26,10 +27,10 @@
 }
 
 /**
- * replica_member_told() - take in what was answered to a question to a member.
+ * replica_member_told() - update a member from an answer to a status request.
  * @r: the replica
  * @m: the member
- * @report: the report; it doesn't say whose it is
+ * @report: the report; it doesn't say which incarnation sent it
  * @now_ms: loop time of the report
  */
 void
@@ -42,9 +43,11 @@
 }
 
 /**
- * replica_member_out() - whether a member can't come back into its group,
- * whatever orders are still on their way to it.
+ * replica_member_out() - whether a member has left its group for good.
  * @m: the member
+ *
+ * Return: true where no order that may still be on its way to the member can
+ * take it back.
  */
 bool
 replica_member_out(const struct replica_member *m)
@@ -53,9 +56,9 @@
 	    (m->left && m->left_ms >= m->late_until_ms));
 }
 
-/* Takes in the entry of a member, which is under its own id. */
+/* Updates a member from its entry, which is stored under its own id. */
 static void
-member_entry(const struct replica *r, struct replica_member *m,
+member_set_entry(const struct replica *r, struct replica_member *m,
     const struct endpoint *ep)
 {
 	replica_member_report(r, m, &ep->report, ep->seen_ms);
@@ -63,22 +66,22 @@
 	m->joined = m->joined || m->here;
 }
 
-/* Whether the entry of a member stands. */
+/* Whether the entry of a member is current. */
 static bool
-entry_stands(const struct endpoint *ep)
+entry_current(const struct endpoint *ep)
 {
 	return (ep != NULL && ep->lapsed_ms == 0 && !ep->gone);
 }
 
 /**
- * replica_member_look() - bring a member up to what is known of its host.
+ * replica_member_look() - update a member from the endpoint of its host.
  * @r: the replica
  * @m: the member
- * @ep: its endpoint; NULL once its entry is gone and nobody holds it
+ * @ep: its endpoint; NULL once its entry is gone and nothing references it
  * @now_ms: loop time
  *
- * Without an entry, its group is what it last reported: one that was cut from
- * the store is still a member.
+ * Without an entry, the member keeps the group that it last reported: a host
+ * that has lost its connection to the store is still a member.
  */
 void
 replica_member_look(const struct replica *r, struct replica_member *m,
@@ -88,12 +91,12 @@
 		m->life = MEMBER_DEAD;
 		return;
 	}
-	if (!entry_stands(ep))
+	if (!entry_current(ep))
 		m->life = MEMBER_LAPSED;
 	else
 		m->life = ep->draining ? MEMBER_DRAINING : MEMBER_ALIVE;
 	if (m->silent_ms != 0 && now_ms - m->silent_ms >= MEMBER_SILENT_MS)
 		m->life = MEMBER_SILENT;
 	if (ep != NULL && ep->seen_ms >= m->told_ms)
-		member_entry(r, m, ep);
+		member_set_entry(r, m, ep);
 }
--- a/src/replica-stage.c
+++ b/src/replica-stage.c
@@ -1,41 +1,42 @@
-/* Which hosts get copies of which models before they are needed. Pure. */
+/* Which hosts get copies of which models before these are needed. Pure
+ * functions. */
 #include <math.h>
 #include <string.h>
 
 #include "replica-form.h"
 
-/* Whether a host could be given a copy of a model. */
+/* Whether a host lacks a model and can be given a copy of it. */
 static bool
-host_lacks(const struct form_host *h, const struct model_profile *m)
+host_needs_copy(const struct form_host *h, const struct model_profile *m)
 {
 	return (h->staging == NULL && !form_host_has(h, m));
 }
 
-/* A host of a fabric domain for a copy of the largest model; idle ones first.
- */
+/* Selects a host of a fabric domain for a copy of the largest model: a free one
+ * or else one of a possible donor. */
 static const struct form_host *
-stage_pick(const struct form_view *view, unsigned at)
+copy_select_host(const struct form_view *view, unsigned fabric)
 {
-	const struct model_profile *big = form_model(view, view->largest);
+	const struct model_profile *largest = form_model(view, view->largest);
 	const struct form_host *donor = NULL;
 
-	for (guint n = 0; n < form_fabric_at(view, at)->hosts; n++) {
+	for (guint n = 0; n < form_fabric_at(view, fabric)->hosts; n++) {
 		const struct form_host *h =
-		    form_host_at(view, form_fabric_host(view, at, n));
+		    form_host_at(view, form_fabric_host(view, fabric, n));
 
-		if (!host_lacks(h, big))
+		if (!host_needs_copy(h, largest))
 			continue;
 		if (h->free)
 			return (h);
-		if (donor == NULL && form_host_donates(h, big))
+		if (donor == NULL && form_host_donates(h, largest))
 			donor = h;
 	}
 	return (donor);
 }
 
-/* Copies of the largest model that a fabric domain lacks. */
+/* Number of copies of the largest model that a fabric domain lacks. */
 static unsigned
-fabric_lacks(const struct form_view *view, const struct form_fabric *f)
+fabric_missing_copies(const struct form_view *view, const struct form_fabric *f)
 {
 	unsigned has = f->ready + f->donors + f->coming;
 	unsigned need = f->held >= f->cap ?
@@ -46,65 +47,71 @@
 }
 
 /*
- * Copies of the largest model: all of a missing replica, the one that lacks
- * fewest first; then one beside each replica.
+ * Selects a host for a copy of the largest model, in the fabric domain that
+ * lacks fewest. Either only those whose replica is missing are considered, or
+ * only those that need a spare copy.
  */
 static const struct form_host *
-stage_largest(const struct form_view *view, bool missing)
+copy_for_largest(const struct form_view *view, bool missing)
 {
 	const struct form_host *best = NULL;
 	unsigned fewest = 0;
 
-	for (guint at = 0; at < view->fabrics->len; at++) {
-		const struct form_fabric *f = form_fabric_at(view, at);
-		unsigned lacks = fabric_lacks(view, f);
+	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
+		const struct form_fabric *f = form_fabric_at(view, fabric);
+		unsigned missing_copies = fabric_missing_copies(view, f);
 		const struct form_host *h;
 
-		if (lacks == 0 || missing != (f->held < f->cap) ||
-		    (best != NULL && lacks >= fewest))
+		if (missing_copies == 0 || missing != (f->held < f->cap) ||
+		    (best != NULL && missing_copies >= fewest))
 			continue;
-		h = stage_pick(view, at);
+		h = copy_select_host(view, fabric);
 		if (h == NULL)
 			continue;
 		best = h;
-		fewest = lacks;
+		fewest = missing_copies;
 	}
 	return (best);
 }
 
 /*
- * Whether an idle host may be given a copy of a smaller model in the place of
- * its copy of the largest: that is in its memory too, or there are others.
+ * Whether a copy of a smaller model may replace a free host's copy of the
+ * largest: the host has the largest in memory too, or there are other spares.
  */
 static bool
-host_spares(const struct form_view *view, const struct form_host *h)
+host_copy_replaceable(const struct form_view *view, const struct form_host *h)
 {
-	const struct model_profile *big = form_model(view, view->largest);
+	const struct model_profile *largest = form_model(view, view->largest);
 
-	if (!form_host_has(h, big) || g_strcmp0(h->last, big->name) == 0)
+	if (!form_host_has(h, largest) ||
+	    g_strcmp0(h->last, largest->name) == 0)
 		return (true);
 	return (form_fabric_spares(form_fabric_at(view, h->at)));
 }
 
-/* Free hosts of a fabric domain: with a model or getting it, and without. */
+/*
+ * Counts the free hosts of a fabric domain that have a model or are getting it,
+ * and those that could be given it. Returns one of the latter, or NULL.
+ */
 static const struct form_host *
-free_count(const struct form_view *view, const struct model_profile *m,
-    unsigned at, unsigned *has, unsigned *other)
+count_free_hosts(const struct form_view *view, const struct model_profile *m,
+    unsigned fabric, unsigned *has, unsigned *other)
 {
 	const struct form_host *pick = NULL;
 
 	*has = 0;
 	*other = 0;
-	for (guint n = 0; n < form_fabric_at(view, at)->hosts; n++) {
+	for (guint n = 0; n < form_fabric_at(view, fabric)->hosts; n++) {
 		const struct form_host *h =
-		    form_host_at(view, form_fabric_host(view, at, n));
+		    form_host_at(view, form_fabric_host(view, fabric, n));
 
 		if (!h->free)
 			continue;
 		if (form_host_has(h, m) ||
 		    g_strcmp0(h->staging, m->name) == 0) {
 			(*has)++;
-		} else if (h->staging == NULL && host_spares(view, h)) {
+		} else if (h->staging == NULL &&
+		    host_copy_replaceable(view, h)) {
 			(*other)++;
 			pick = h;
 		}
@@ -113,12 +120,13 @@
 }
 
 /*
- * Copies of a small model on idle hosts: as many as a replica lacks where one
- * can be made. A join with a load would bind the hosts that need none for as
- * long.
+ * Selects a free host for a copy of a small model where the free hosts are
+ * enough for a replica of it, first where most have it already. The copies are
+ * made before the join, since a load during the join would hold the hosts that
+ * need none for just as long.
  */
 static const struct form_host *
-stage_small(const struct form_view *view, unsigned index)
+copy_for_small(const struct form_view *view, unsigned index)
 {
 	const struct model_profile *m = form_model(view, index);
 	const struct form_host *best = NULL;
@@ -126,11 +134,11 @@
 
 	if (form_short(view, index) <= FORM_SHORT_LEAST)
 		return (NULL);
-	for (guint at = 0; at < view->fabrics->len; at++) {
+	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
 		const struct form_host *pick;
 		unsigned has, other;
 
-		pick = free_count(view, m, at, &has, &other);
+		pick = count_free_hosts(view, m, fabric, &has, &other);
 		if (pick == NULL || has >= m->size || has + other < m->size ||
 		    (best != NULL && has <= most))
 			continue;
@@ -140,18 +148,19 @@
 	return (best);
 }
 
-/* One copy of a small model as a spare where it serves. */
+/* Selects a free host for a spare copy of a small model in a fabric domain
+ * where that model is served. */
 static const struct form_host *
-stage_small_spare(const struct form_view *view, unsigned index)
+copy_for_small_spare(const struct form_view *view, unsigned index)
 {
 	const struct model_profile *m = form_model(view, index);
 
-	for (guint at = 0; at < view->fabrics->len; at++) {
-		const char *name = form_fabric_at(view, at)->name;
+	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
+		const char *name = form_fabric_at(view, fabric)->name;
 		const struct form_host *pick;
 		unsigned has, other;
 
-		pick = free_count(view, m, at, &has, &other);
+		pick = count_free_hosts(view, m, fabric, &has, &other);
 		if (pick != NULL && has < FORM_SPARES_KEPT &&
 		    form_fabric_held(view, m, name) > 0)
 			return (pick);
@@ -159,9 +168,9 @@
 	return (NULL);
 }
 
-/* The small model that is furthest below what is wanted. */
+/* The model with the greatest shortage among all but the largest. */
 static unsigned
-small_model(const struct form_view *view)
+shortest_small_model(const struct form_view *view)
 {
 	const GPtrArray *models = view->engine->models;
 	unsigned best = view->largest;
@@ -176,67 +185,72 @@
 }
 
 /*
- * The model of which a host should have a copy beside what it has in memory;
- * NULL where it has one. Idle hosts begin with the largest.
+ * The model of which a host should have a copy besides the one in its memory;
+ * NULL where it needs none now. A host with neither begins with the largest.
  */
 static const struct model_profile *
-host_second(const struct form_view *view, const struct form_host *h)
+host_second_model(const struct form_view *view, const struct form_host *h)
 {
-	const struct model_profile *big = form_model(view, view->largest);
-	const struct model_profile *small = form_model(view, small_model(view));
+	const struct model_profile *largest = form_model(view, view->largest);
+	const struct model_profile *small =
+	    form_model(view, shortest_small_model(view));
 
 	if (h->group != NULL && !h->group->opened)
 		return (NULL);
 	if (h->last != NULL)
-		return (strcmp(h->last, big->name) == 0 ? small : big);
-	return (h->staged->len == 0 ? big : NULL);
+		return (strcmp(h->last, largest->name) == 0 ? small : largest);
+	return (h->staged->len == 0 ? largest : NULL);
 }
 
 /*
- * Before the first request copies cost nothing, so every host gets one of a
- * model that it does not have in memory: the largest beside a small one, and a
- * small one beside the largest.
+ * Selects a host for a copy before the first request. Copies cost nothing then,
+ * so every host gets one of a model that it does not have in memory: the
+ * largest model besides a small one, and a small one besides the largest.
  */
 static const struct form_host *
-stage_early(const struct form_view *view, const struct model_profile **model)
+copy_before_requests(const struct form_view *view,
+    const struct model_profile **model)
 {
 	for (guint i = 0; i < view->hosts->len; i++) {
 		const struct form_host *h = form_host_at(view, i);
 
-		*model = host_second(view, h);
-		if (*model != NULL && host_lacks(h, *model))
+		*model = host_second_model(view, h);
+		if (*model != NULL && host_needs_copy(h, *model))
 			return (h);
 	}
 	return (NULL);
 }
 
 /**
- * form_warm() - an idle host that should take the largest model into memory.
- * @view: what is there
+ * form_warm() - find a free host that should load the largest model into
+ * memory from its own copy.
+ * @view: the view
  *
- * It joins a replica in a tenth of the time then, and its copy may make room
- * for one of another model.
+ * With the model in memory, the host joins a replica in a tenth of the time,
+ * and its copy can be replaced by one of another model.
  *
  * Return: the host, or NULL.
  */
 const struct form_host *
 form_warm(const struct form_view *view)
 {
-	const struct model_profile *big = form_model(view, view->largest);
+	const struct model_profile *largest = form_model(view, view->largest);
 
 	for (guint i = 0; i < view->hosts->len; i++) {
 		const struct form_host *h = form_host_at(view, i);
 
 		if (h->free && !h->warming && h->last == NULL &&
-		    h->staging == NULL && form_host_has(h, big))
+		    h->staging == NULL && form_host_has(h, largest))
 			return (h);
 	}
 	return (NULL);
 }
 
-/* Copies of what is missing, for the model that is served worst. */
+/* Selects a host for a copy that a missing replica needs, for the model with
+ * the lowest supply ratio. */
 static const struct form_host *
-stage_missing(const struct form_view *view, const struct model_profile **model)
+copy_for_missing(const struct form_view *view,
+    const struct model_profile **model)
 {
 	const GPtrArray *models = view->engine->models;
 	const struct form_host *best = NULL;
@@ -247,8 +261,8 @@
 
 		if (form_served(view, k) >= worst)
 			continue;
-		h = k == view->largest ? stage_largest(view, true) :
-					 stage_small(view, k);
+		h = k == view->largest ? copy_for_largest(view, true) :
+					 copy_for_small(view, k);
 		if (h == NULL)
 			continue;
 		best = h;
@@ -258,12 +272,12 @@
 	return (best);
 }
 
-/* Spare copies beside the replicas that stand. */
+/* Selects a host for a spare copy, first of the largest model. */
 static const struct form_host *
-stage_spare(const struct form_view *view, const struct model_profile **model)
+copy_for_spare(const struct form_view *view, const struct model_profile **model)
 {
 	const GPtrArray *models = view->engine->models;
-	const struct form_host *h = stage_largest(view, false);
+	const struct form_host *h = copy_for_largest(view, false);
 
 	*model = form_model(view, view->largest);
 	for (guint k = 0; h == NULL && k < models->len && k < FORM_MODELS_MAX;
@@ -271,15 +285,15 @@
 		if (k == view->largest)
 			continue;
 		*model = models->pdata[k];
-		h = stage_small_spare(view, k);
+		h = copy_for_small_spare(view, k);
 	}
 	return (h);
 }
 
 /**
- * form_stage() - a host that should get a copy of a model.
- * @view: what is there
- * @model: set to the model
+ * form_stage() - find a host that should get a copy of a model.
+ * @view: the view
+ * @model: set to the model, if a host is found
  *
  * Return: the host, or NULL.
  */
@@ -291,7 +305,8 @@
 	if (view->loads == 0 || view->engine->models->len < 2)
 		return (NULL);
 	if (!view->serving)
-		return (view->settled ? stage_early(view, model) : NULL);
-	h = stage_missing(view, model);
-	return (h != NULL ? h : stage_spare(view, model));
+		return (
+		    view->settled ? copy_before_requests(view, model) : NULL);
+	h = copy_for_missing(view, model);
+	return (h != NULL ? h : copy_for_spare(view, model));
 }
--- a/src/replica-view.c
+++ b/src/replica-view.c
@@ -1,17 +1,19 @@
-/* What placement decisions count: hosts, copies and replicas. Pure. */
+/* The planner's view of a service: its hosts, copies and replicas, counted, and
+ * how many replicas of each model there should be. Pure functions. */
 #include <math.h>
 #include <string.h>
 
 #include "replica-form.h"
 
-/* Caps are raised until the largest model gets this part of its share. */
-#define SHARE_LEAST 0.6
-#define CAP_MOST 8
+/* The cap factor is raised until the largest model gets this part of its
+ * share, up to CAP_FACTOR_MAX. */
+#define LARGEST_SHARE_MIN 0.6
+#define CAP_FACTOR_MAX 8
 
 /**
- * form_model() - a model of the view's engine.
- * @view: what is there
- * @index: in the order of the profile
+ * form_model() - get a model of the view's engine profile.
+ * @view: the view
+ * @index: its index in the profile
  */
 const struct model_profile *
 form_model(const struct form_view *view, unsigned index)
@@ -20,9 +22,9 @@
 }
 
 /**
- * form_host_at() - a host of the view.
- * @view: what is there
- * @index: of the host
+ * form_host_at() - get a host of a view.
+ * @view: the view
+ * @index: index of the host
  */
 const struct form_host *
 form_host_at(const struct form_view *view, unsigned index)
@@ -31,9 +33,9 @@
 }
 
 /**
- * form_fabric_at() - a fabric domain of the view.
- * @view: what is there
- * @index: of the fabric domain
+ * form_fabric_at() - get a fabric domain of a view.
+ * @view: the view
+ * @index: index of the fabric domain
  */
 const struct form_fabric *
 form_fabric_at(const struct form_view *view, unsigned index)
@@ -42,23 +44,23 @@
 }
 
 /**
- * form_fabric_host() - a host of a fabric domain.
- * @view: what is there
- * @at: index of the fabric domain
- * @nth: which of its hosts
+ * form_fabric_host() - get a host of a fabric domain.
+ * @view: the view
+ * @fabric: index of the fabric domain
+ * @nth: which of its hosts, from 0
  *
  * Return: the host's index in the view.
  */
 unsigned
-form_fabric_host(const struct form_view *view, unsigned at, unsigned nth)
+form_fabric_host(const struct form_view *view, unsigned fabric, unsigned nth)
 {
 	return (g_array_index(view->order, guint,
-	    form_fabric_at(view, at)->first + nth));
+	    form_fabric_at(view, fabric)->first + nth));
 }
 
 /**
- * form_view_staging() - a host is being given a copy.
- * @view: what is there; kept up
+ * form_view_staging() - record in a view that a host is getting a copy.
+ * @view: the view; its counts are updated
  * @h: the host
  * @m: the model
  */
@@ -78,8 +80,9 @@
 }
 
 /**
- * form_view_warming() - a host is being told to take a model into memory.
- * @view: what is there; kept up
+ * form_view_warming() - record in a view that a host is loading a model into
+ * memory.
+ * @view: the view
  * @h: the host
  */
 void
@@ -91,8 +94,8 @@
 }
 
 /**
- * form_fabric_spares() - whether there are more spares for the largest model
- * than are kept.
+ * form_fabric_spares() - whether a fabric domain has more spare hosts with the
+ * largest model than it keeps.
  * @f: the fabric domain
  */
 bool
@@ -119,9 +122,10 @@
 }
 
 /**
- * form_host_donates() - whether a host serves in a replica that could go.
+ * form_host_donates() - whether a host serves in a replica that may be
+ * dissolved for a larger one.
  * @h: the host
- * @m: the model that needs hosts
+ * @m: the model of the larger replica
  */
 bool
 form_host_donates(const struct form_host *h, const struct model_profile *m)
@@ -130,8 +134,9 @@
 	    h->group->opened && h->group->n < m->size);
 }
 
+/* Gets the count of a model in a failure domain or fabric domain. */
 static unsigned
-count_of(GHashTable *table, const struct model_profile *m, const char *place)
+count_get(GHashTable *table, const struct model_profile *m, const char *place)
 {
 	g_autofree char *key =
 	    g_strdup_printf("%s %s", m->name, place != NULL ? place : "-");
@@ -139,7 +144,7 @@
 	return (GPOINTER_TO_UINT(g_hash_table_lookup(table, key)));
 }
 
-/* Adds one to the count of a model in a place. */
+/* Adds one to the count of a model in a failure domain or fabric domain. */
 static void
 count_add(GHashTable *table, const char *model, const char *place)
 {
@@ -151,8 +156,8 @@
 }
 
 /**
- * form_fabric_held() - replicas of a model in a fabric domain.
- * @view: what is there
+ * form_fabric_held() - count the active replicas of a model in a fabric domain.
+ * @view: the view
  * @m: the model
  * @fabric: the fabric domain
  */
@@ -160,12 +165,13 @@
 form_fabric_held(const struct form_view *view, const struct model_profile *m,
     const char *fabric)
 {
-	return (count_of(view->by_fabric, m, fabric));
+	return (count_get(view->by_fabric, m, fabric));
 }
 
 /**
- * form_domain_held() - replicas of a model in a failure domain.
- * @view: what is there
+ * form_domain_held() - count the active replicas of a model in a failure
+ * domain.
+ * @view: the view
  * @m: the model
  * @domain: the failure domain
  */
@@ -173,13 +179,15 @@
 form_domain_held(const struct form_view *view, const struct model_profile *m,
     const char *domain)
 {
-	return (count_of(view->by_domain, m, domain));
+	return (count_get(view->by_domain, m, domain));
 }
 
 /**
- * form_short() - how short a model is of what is wanted, in replicas.
- * @view: what is there
- * @index: of the model
+ * form_short() - get the number of replicas that a model is short of.
+ * @view: the view
+ * @index: index of the model
+ *
+ * Return: the wanted number less the active ones; negative for a surplus.
  */
 double
 form_short(const struct form_view *view, unsigned index)
@@ -188,9 +196,9 @@
 }
 
 /**
- * form_served() - how well a model is served, against its share of the work.
- * @view: what is there
- * @index: of the model
+ * form_served() - get the ratio of a model's replicas to its share of the work.
+ * @view: the view
+ * @index: index of the model
  *
  * Return: 1 where it has the replicas that its share alone would give it.
  */
@@ -201,11 +209,11 @@
 }
 
 /**
- * form_model_index() - index of a model in the engine's profile.
- * @view: what is there
- * @name: of the model
+ * form_model_index() - get the index of a model in the engine profile.
+ * @view: the view
+ * @name: name of the model
  *
- * Return: the last index where it is not there.
+ * Return: the index; the last one where the profile does not have the model.
  */
 unsigned
 form_model_index(const struct form_view *view, const char *name)
@@ -218,6 +226,7 @@
 	return (i);
 }
 
+/* Index of the model with the most hosts in a replica. */
 static unsigned
 largest_model(const struct engine_profile *engine)
 {
@@ -234,7 +243,7 @@
 }
 
 /**
- * form_view_init() - a view without hosts.
+ * form_view_init() - initialize a view without hosts.
  * @view: the view
  * @engine: the service's engine profile
  */
@@ -270,7 +279,7 @@
 }
 
 /**
- * form_view_add_replica() - count a replica that is wanted.
+ * form_view_add_replica() - count an active replica.
  * @view: the view
  * @r: the replica
  * @domain: failure domain of its head, or NULL
@@ -289,9 +298,10 @@
 	count_add(view->by_fabric, r->model, fabric);
 }
 
-/* The view's fabric domain of a host; a new one where it is the first. */
+/* Index of a host's fabric domain, which is added to the view where the host is
+ * the first of it. */
 static unsigned
-fabric_of(struct form_view *view, const struct form_host *h)
+fabric_index_of(struct form_view *view, const struct form_host *h)
 {
 	struct form_fabric f = { .name = h->fabric, .domain = h->domain };
 
@@ -305,36 +315,36 @@
 
 /* Counts the hosts and copies of each fabric domain. */
 static void
-fabrics_count(struct form_view *view)
+fabrics_count_hosts(struct form_view *view)
 {
-	const struct model_profile *big = form_model(view, view->largest);
+	const struct model_profile *largest = form_model(view, view->largest);
 
 	for (guint i = 0; i < view->hosts->len; i++) {
 		struct form_host *h =
 		    &g_array_index(view->hosts, struct form_host, i);
 		struct form_fabric *f;
 
-		h->at = fabric_of(view, h);
+		h->at = fabric_index_of(view, h);
 		f = &g_array_index(view->fabrics, struct form_fabric, h->at);
 		f->hosts++;
-		if (!form_host_has(h, big))
-			f->coming += g_strcmp0(h->staging, big->name) == 0;
+		if (!form_host_has(h, largest))
+			f->coming += g_strcmp0(h->staging, largest->name) == 0;
 		else if (h->free || h->soon)
 			f->ready++;
 		else
-			f->donors += form_host_donates(h, big);
+			f->donors += form_host_donates(h, largest);
 	}
 }
 
-/* Puts the hosts of each fabric domain together, in the order they are in. */
+/* Groups the hosts by fabric domain without changing their order otherwise. */
 static void
-fabrics_order(struct form_view *view)
+fabrics_group_hosts(struct form_view *view)
 {
 	unsigned first = 0;
 
-	for (guint at = 0; at < view->fabrics->len; at++) {
+	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
 		struct form_fabric *f =
-		    &g_array_index(view->fabrics, struct form_fabric, at);
+		    &g_array_index(view->fabrics, struct form_fabric, fabric);
 
 		f->first = first;
 		first += f->hosts;
@@ -349,63 +359,68 @@
 	}
 }
 
-/* Replicas of the largest model that a fabric domain may hold. */
+/* Maximum number of replicas of the largest model in a fabric domain. */
 static unsigned
-cap_of(const struct form_view *view, unsigned hosts, unsigned cap)
+fabric_cap(const struct form_view *view, unsigned hosts, unsigned factor)
 {
 	unsigned size = form_model(view, view->largest)->size;
 	unsigned fit = hosts / size;
-	/* A domain that has lost some hosts keeps its replica. */
+	/* Fewer than size hosts may be missing: a domain that has lost some
+	 * keeps its replica. */
 	unsigned half = (hosts + size - 1) / (2 * size);
 
-	return (MIN(fit, MAX(half, 1) * cap));
+	return (MIN(fit, MAX(half, 1) * factor));
 }
 
-/* The sum of all caps, with a given factor. */
+/* The sum of that maximum over all fabric domains. */
 static unsigned
-cap_sum(const struct form_view *view, unsigned cap)
+cap_sum(const struct form_view *view, unsigned factor)
 {
 	unsigned sum = 0;
 
 	for (guint i = 0; i < view->fabrics->len; i++)
-		sum += cap_of(view, form_fabric_at(view, i)->hosts, cap);
+		sum += fabric_cap(view, form_fabric_at(view, i)->hosts, factor);
 	return (sum);
 }
 
 /**
- * form_view_full() - replicas of the largest model by its configured share.
- * @view: its hosts were counted; sets how many a fabric domain may hold
+ * form_view_full() - choose the cap factor of a view.
+ * @view: the view; its hosts have been counted
+ *
+ * The factor leaves hosts for smaller replicas in each fabric domain. These
+ * serve requests, and donate hosts when the large replica beside them loses
+ * one, which is far quicker than a load.
  *
- * It leaves hosts of smaller replicas in each fabric domain. These serve, and
- * donate hosts when the large replica beside them loses one, which is far
- * quicker than a load.
+ * Return: the number of replicas of the largest model by its configured share,
+ * at most the sum of the caps.
  */
 double
 form_view_full(struct form_view *view)
 {
 	const GPtrArray *models = view->engine->models;
-	const struct model_profile *big = form_model(view, view->largest);
-	double want = big->share * view->hosts->len / big->size;
+	const struct model_profile *largest = form_model(view, view->largest);
+	double want = largest->share * view->hosts->len / largest->size;
 
 	view->cap = 1;
-	while (view->cap < CAP_MOST &&
-	    (models->len == 1 || cap_sum(view, view->cap) < SHARE_LEAST * want))
+	while (view->cap < CAP_FACTOR_MAX &&
+	    (models->len == 1 ||
+		cap_sum(view, view->cap) < LARGEST_SHARE_MIN * want))
 		view->cap++;
 	return (MIN(want, cap_sum(view, view->cap)));
 }
 
-/* How many replicas of each model the hosts should form. */
+/* Sets how many replicas of each model the hosts should form. */
 static void
-view_targets(struct form_view *view)
+view_set_wanted(struct form_view *view)
 {
 	unsigned n = MIN(view->engine->models->len, FORM_MODELS_MAX);
-	const struct model_profile *big = form_model(view, view->largest);
+	const struct model_profile *largest = form_model(view, view->largest);
 	double hosts = view->hosts->len, rest, shares = 0;
 	double want = form_view_full(view);
 
 	if (view->most > 0)
 		want = MIN(want, view->most);
-	rest = hosts - want * big->size;
+	rest = hosts - want * largest->size;
 	for (unsigned i = 0; i < n; i++)
 		shares += i == view->largest ? 0 : view->work[i];
 	for (unsigned i = 0; i < n; i++) {
@@ -418,9 +433,10 @@
 	view->wanted[view->largest] = want;
 }
 
-/* Replicas of the largest model that a failure domain was given so far. */
+/* Number of replicas of the largest model that a failure domain has been
+ * assigned so far. */
 static unsigned
-domain_given(const struct form_view *view, const char *domain)
+domain_assigned(const struct form_view *view, const char *domain)
 {
 	unsigned sum = 0;
 
@@ -433,7 +449,8 @@
 	return (sum);
 }
 
-/* How soon a fabric domain could hold one more than it was given. */
+/* How soon a fabric domain could have one more replica of the largest model
+ * than it has been assigned; a higher value is sooner. */
 static unsigned
 fabric_readiness(const struct form_view *view, const struct form_fabric *f)
 {
@@ -446,11 +463,13 @@
 	return (f->ready + f->donors + f->coming >= size);
 }
 
-/* Whether one fabric domain comes before another for the next replica: where
- * one stands or could soon, then in the failure domain that was given fewest.
+/*
+ * Whether one fabric domain is preferred to another for the next replica: first
+ * where one exists or could form soon, then in the failure domain that has been
+ * assigned fewest.
  */
 static bool
-fabric_before(const struct form_view *view, const struct form_fabric *a,
+fabric_preferred(const struct form_view *view, const struct form_fabric *a,
     const struct form_fabric *b)
 {
 	unsigned a_ready = fabric_readiness(view, a);
@@ -458,11 +477,12 @@
 
 	if (a_ready != b_ready)
 		return (a_ready > b_ready);
-	return (domain_given(view, a->domain) < domain_given(view, b->domain));
+	return (domain_assigned(view, a->domain) <
+	    domain_assigned(view, b->domain));
 }
 
-/* The fabric domain that is given the next replica; NULL where none fits. One
- * that stands counts also where hosts have gone since. */
+/* The fabric domain to assign the next replica to, or NULL where none has room.
+ * A replica that exists counts even if hosts have left since it formed. */
 static struct form_fabric *
 fabric_next(const struct form_view *view)
 {
@@ -473,15 +493,15 @@
 		    &g_array_index(view->fabrics, struct form_fabric, i);
 
 		if (f->given < MAX(f->cap, f->held) &&
-		    (best == NULL || fabric_before(view, f, best)))
+		    (best == NULL || fabric_preferred(view, f, best)))
 			best = f;
 	}
 	return (best);
 }
 
-/* Shares the bound on replicas of the largest model among fabric domains. */
+/* Divides the bound on replicas of the largest model among fabric domains. */
 static void
-fabrics_limit(struct form_view *view)
+fabrics_divide_bound(struct form_view *view)
 {
 	struct form_fabric *f;
 
@@ -497,34 +517,34 @@
 }
 
 /**
- * form_view_count() - count the hosts of each fabric domain.
- * @view: hosts and replicas were added
+ * form_view_count() - count the hosts and copies of each fabric domain.
+ * @view: the view; its hosts and replicas have been added
  */
 void
 form_view_count(struct form_view *view)
 {
-	fabrics_count(view);
-	fabrics_order(view);
+	fabrics_count_hosts(view);
+	fabrics_group_hosts(view);
 }
 
 /**
- * form_view_finish() - derive targets.
- * @view: its hosts were counted
+ * form_view_finish() - set the wanted replicas and the caps of a view.
+ * @view: the view; its hosts have been counted
  */
 void
 form_view_finish(struct form_view *view)
 {
-	const struct model_profile *big;
+	const struct model_profile *largest;
 
-	big = form_model(view, view->largest);
-	view_targets(view);
+	largest = form_model(view, view->largest);
+	view_set_wanted(view);
 	for (guint i = 0; i < view->fabrics->len; i++) {
 		struct form_fabric *f =
 		    &g_array_index(view->fabrics, struct form_fabric, i);
 
-		f->held = form_fabric_held(view, big, f->name);
-		f->cap = cap_of(view, f->hosts, view->cap);
+		f->held = form_fabric_held(view, largest, f->name);
+		f->cap = fabric_cap(view, f->hosts, view->cap);
 	}
 	if (view->most > 0)
-		fabrics_limit(view);
+		fabrics_divide_bound(view);
 }
--- a/src/replica.c
+++ b/src/replica.c
@@ -1,14 +1,16 @@
-/* A replica: the record of a group of hosts, and what to do next for it. */
+/* Replicas: groups of hosts that serve one model, and their life cycle. */
 #include <string.h>
 
 #include "replica.h"
 
 /**
- * replica_create() - make a replica without members.
- * @name: unique for ever
- * @service: of its hosts
- * @model: what it serves
- * @epoch: grows with each group
+ * replica_create() - allocate a replica without members.
+ * @name: name of the group, never reused
+ * @service: name of the service that its hosts belong to
+ * @model: name of the model
+ * @epoch: number of the group; each new group has a higher one
+ *
+ * Return: the replica, which is freed by replica_free().
  */
 struct replica *
 replica_create(const char *name, const char *service, const char *model,
@@ -24,8 +26,8 @@
 }
 
 /**
- * replica_free() - free a replica that is in no list.
- * @r: the replica
+ * replica_free() - free a replica.
+ * @r: the replica; it is in no list
  */
 void
 replica_free(struct replica *r)
@@ -40,9 +42,11 @@
 
 /**
  * replica_add_member() - append a member.
- * @r: the replica
- * @id: the host
- * @address: where it takes orders
+ * @r: the replica; the first member is its head
+ * @id: id of the host's incarnation
+ * @address: address that takes its orders
+ *
+ * Members beyond REPLICA_SIZE_MAX are ignored.
  */
 void
 replica_add_member(struct replica *r, const char *id,
@@ -58,7 +62,7 @@
 }
 
 /**
- * replica_donate() - dissolve a replica so that its hosts can join another.
+ * replica_donate() - begin to dissolve a replica whose hosts another needs.
  * @r: the replica
  * @now_ms: loop time
  */
@@ -72,8 +76,8 @@
 }
 
 /**
- * replica_give_up() - dissolve a replica that others serve more with.
- * @r: the replica
+ * replica_give_up() - begin to dissolve a surplus replica.
+ * @r: the replica; its hosts serve more requests in replicas of other models
  * @now_ms: loop time
  */
 void
@@ -85,18 +89,19 @@
 }
 
 /**
- * replica_inherit() - take over a replica that another placer made.
- * @r: the replica, by its record
+ * replica_inherit() - take over a replica that another placer formed.
+ * @r: the replica, decoded from its record or built from reports
  * @now_ms: loop time
  *
- * Unless it had settled, orders that the other gave may be carried out yet.
+ * Unless it has settled, orders to join that the other placer sent may still
+ * be carried out.
  */
 void
 replica_inherit(struct replica *r, uint64_t now_ms)
 {
 	r->made_ms = now_ms;
 	r->recorded = true;
-	/* The placer before may have told it to. */
+	/* The previous placer may have ordered the head to open. */
 	r->open_asked = true;
 	for (unsigned i = 0; i < r->n && !r->settled; i++)
 		r->members[i].late_until_ms =
@@ -104,9 +109,12 @@
 }
 
 /**
- * replica_settles() - whether a replica has settled just now.
+ * replica_settles() - whether a replica can be recorded as settled.
  * @r: the replica
  * @now_ms: loop time
+ *
+ * Return: true where it has not settled yet, has served, is not being
+ * dissolved, and no order to join it can be carried out any more.
  */
 bool
 replica_settles(const struct replica *r, uint64_t now_ms)
@@ -121,7 +129,7 @@
 }
 
 /**
- * replica_wanted() - whether a replica serves or is to serve.
+ * replica_wanted() - whether a replica serves or is being formed.
  * @r: the replica
  */
 bool
@@ -135,7 +143,8 @@
  * @r: the replica
  * @now_ms: loop time
  *
- * Hosts whose head can't be reached leave it one by one, without a wait.
+ * If the head can't be reached, the other members leave one by one without
+ * waiting for it.
  */
 bool
 replica_ends_soon(const struct replica *r, uint64_t now_ms)
@@ -148,11 +157,11 @@
 }
 
 /*
- * Whether it is known by now that a member has been in the group. What is read
- * when a replica is taken over may lag.
+ * Whether a member is known to have been in the group. Just after a replica is
+ * taken over, what was read of its members may be out of date.
  */
 static bool
-member_known(const struct replica *r, const struct replica_member *m,
+member_was_in_group(const struct replica *r, const struct replica_member *m,
     uint64_t now_ms)
 {
 	return (r->opened ||
@@ -161,11 +170,11 @@
 }
 
 /**
- * replica_judge() - whether a replica must be dissolved.
+ * replica_judge() - check whether a replica must be dissolved.
  * @r: the replica
  * @now_ms: loop time
  *
- * Return: why, or NULL.
+ * Return: the reason, as it is logged, or NULL.
  */
 const char *
 replica_judge(const struct replica *r, uint64_t now_ms)
@@ -177,8 +186,8 @@
 			return ("member_dead");
 		if (m->life == MEMBER_SILENT)
 			return ("member_silent");
-		/* Requests reach the head only, so any other member may be cut
-		 * from the store as long as it answers. */
+		/* Requests go to the head only, so any other member may lose
+		 * its connection to the store as long as it answers. */
 		if (m->life == MEMBER_LAPSED && i == 0)
 			return ("head_lapsed");
 		if (m->life == MEMBER_DRAINING)
@@ -187,8 +196,8 @@
 			return ("member_elsewhere");
 		if (m->refused && !m->here)
 			return ("join_fenced");
-		/* A whole group loses a member only by a stray order. */
-		if (!m->here && member_known(r, m, now_ms))
+		/* A complete group loses a member only by a stray order. */
+		if (!m->here && member_was_in_group(r, m, now_ms))
 			return ("member_left");
 	}
 	if (r->members[0].here && r->members[0].state == GROUP_BROKEN)
@@ -199,7 +208,7 @@
 }
 
 /**
- * replica_proof_name() - name of a proof, for logs.
+ * replica_proof_name() - get the name of a proof for the log.
  * @proof: the proof
  */
 const char *
@@ -211,13 +220,15 @@
 	return (names[proof]);
 }
 
+/* Sets a step to the removal of the replica. */
 static void
-step_gone(struct replica_step *step, enum replica_proof proof)
+step_remove(struct replica_step *step, enum replica_proof proof)
 {
 	step->act = REPLICA_GONE;
 	step->proof = proof;
 }
 
+/* Sets a step to an order to a member. */
 static void
 step_order(struct replica_step *step, unsigned member, enum order_kind order)
 {
@@ -226,18 +237,18 @@
 	step->order = order;
 }
 
-/* Whether an order may be given, again or for the first time. */
+/* Whether an order may be sent to a member, for the first time or again. */
 static bool
-member_due(const struct replica_member *m, enum order_kind order,
-    uint64_t now_ms, uint64_t again_ms)
+member_order_due(const struct replica_member *m, enum order_kind order,
+    uint64_t now_ms, uint64_t retry_ms)
 {
 	if (m->busy)
 		return (false);
 	return (m->ordered_ms == 0 || m->order != order ||
-	    now_ms - m->ordered_ms >= again_ms);
+	    now_ms - m->ordered_ms >= retry_ms);
 }
 
-/* Whether a member has reported itself loaded for this group. */
+/* Whether a member itself has reported that it is loaded for this group. */
 static bool
 member_ready(const struct replica *r, const struct replica_member *m)
 {
@@ -245,8 +256,11 @@
 	    (m->state == GROUP_READY || m->state == GROUP_OPEN));
 }
 
-/* Whether an order to join is due. One that is answered proves a member that
- * is known by an answer without a name only. */
+/*
+ * Whether an order to join is due. A member whose only report came from an
+ * answer without a name is ordered to join as well: the order names it, so
+ * accepting it verifies the member.
+ */
 static bool
 member_join_due(const struct replica *r, const struct replica_member *m,
     uint64_t now_ms)
@@ -254,15 +268,16 @@
 	if (r->settled)
 		return (false);
 	if (!m->here)
-		return (
-		    member_due(m, ORDER_JOIN, now_ms, REPLICA_JOIN_SHOWS_MS));
+		return (member_order_due(m, ORDER_JOIN, now_ms,
+		    REPLICA_JOIN_SHOWS_MS));
 	return (m->unproven &&
-	    member_due(m, ORDER_JOIN, now_ms, REPLICA_ORDER_AGAIN_MS));
+	    member_order_due(m, ORDER_JOIN, now_ms, REPLICA_ORDER_AGAIN_MS));
 }
 
-/* Joins, then, once every member itself says that it is ready, opens. */
+/* The next step to form a group: all members join, and the head opens once
+ * every member itself has reported that it is ready. */
 static void
-next_forming(struct replica *r, uint64_t now_ms, struct replica_step *step)
+step_form(struct replica *r, uint64_t now_ms, struct replica_step *step)
 {
 	bool all = true;
 
@@ -280,7 +295,7 @@
 		return;
 	if (r->members[0].state == GROUP_OPEN)
 		r->opened = true;
-	else if (member_due(&r->members[0], ORDER_OPEN, now_ms,
+	else if (member_order_due(&r->members[0], ORDER_OPEN, now_ms,
 		     REPLICA_ORDER_AGAIN_MS)) {
 		r->open_asked = true;
 		step_order(step, 0, ORDER_OPEN);
@@ -288,128 +303,133 @@
 }
 
 /*
- * Whether a member that has left must do so again: it was taken back, or it
- * left before the last order to join could still be carried out.
+ * Whether a member that has left must leave again: an order to join took it
+ * back, or it left at a time when such an order could still be carried out and
+ * that time is over.
  */
 static bool
-member_leaves_again(const struct replica_member *m, uint64_t now_ms)
+member_must_leave_again(const struct replica_member *m, uint64_t now_ms)
 {
 	return ((m->here && m->told_ms >= m->left_ms + REPLICA_BACK_MS) ||
 	    now_ms >= m->late_until_ms);
 }
 
 /*
- * The next order that takes a member out of the group for good. It leaves; if
- * an order to join may still take it back, that is waited for, and it leaves
- * again.
+ * Orders a member to leave the group for good. While an order to join may
+ * still take it back, waits until that is over and has it leave again. Returns
+ * whether an order is due.
  */
 static bool
-member_out_step(struct replica *r, unsigned i, uint64_t now_ms,
+step_leave(struct replica *r, unsigned i, uint64_t now_ms,
     struct replica_step *step)
 {
 	struct replica_member *m = &r->members[i];
 
-	if (m->left && member_leaves_again(m, now_ms))
+	if (m->left && member_must_leave_again(m, now_ms))
 		m->left = false;
 	if (m->left ||
-	    !member_due(m, ORDER_LEAVE, now_ms, REPLICA_ORDER_AGAIN_MS))
+	    !member_order_due(m, ORDER_LEAVE, now_ms, REPLICA_ORDER_AGAIN_MS))
 		return (false);
 	step_order(step, i, ORDER_LEAVE);
 	return (true);
 }
 
 /*
- * The head can't be reached, so it can't be closed, and others may still reach
- * it; it may even be opened yet, by an order that it carries out late. So each
- * member leaves by itself, and is free once it has said so. One that can't be
- * reached either is kept until the head must be broken: it stands still from
- * the loss of a member on or, if it opens later, from then.
+ * The next step for a group whose head can't be reached. The head can't be
+ * closed, clients may still reach it, and an order that it carries out late may
+ * even open it. So each member is ordered to leave and is free once it has
+ * answered that it left. A member that can't be reached either is kept until
+ * the platform must have broken the group: the head makes no progress from the
+ * loss of a member on or, if it opens later, from then on.
  */
 static void
-next_split(struct replica *r, uint64_t now_ms, uint64_t stall_ms,
+step_without_head(struct replica *r, uint64_t now_ms, uint64_t stall_ms,
     struct replica_step *step)
 {
 	bool all = true;
 
 	for (unsigned i = 1; i < r->n; i++) {
 		struct replica_member *m = &r->members[i];
-		bool out = replica_member_out(m);
+		bool released = replica_member_out(m);
 
-		if (r->split_ms == 0 && (out || m->left))
+		if (r->split_ms == 0 && (released || m->left))
 			r->split_ms = now_ms;
-		all = all && out;
-		if (!out && m->life != MEMBER_SILENT &&
-		    member_out_step(r, i, now_ms, step))
+		all = all && released;
+		if (!released && m->life != MEMBER_SILENT &&
+		    step_leave(r, i, now_ms, step))
 			return;
 	}
 	if (r->split_ms == 0)
 		return;
 	if (all)
-		step_gone(step, PROOF_MEMBERS);
+		step_remove(step, PROOF_MEMBERS);
 	else if (now_ms - r->split_ms >= stall_ms + REPLICA_LATE_MS)
-		step_gone(step, PROOF_STALLED);
+		step_remove(step, PROOF_STALLED);
 }
 
 /*
- * Closes the head, then has it leave: only then can no late order open it
- * again, and only then may its members join another group. A late order to
- * join would take it back, so it is out only once there can be none.
+ * The next step to dissolve a group: the head is closed and then leaves. Only
+ * then can no late order open it again, and only then may the members join
+ * another group. A late order to join would take the head back, so it is
+ * released only once no such order can be carried out any more.
  */
 static void
-next_doomed(struct replica *r, uint64_t now_ms, uint64_t stall_ms,
+step_dissolve(struct replica *r, uint64_t now_ms, uint64_t stall_ms,
     struct replica_step *step)
 {
 	struct replica_member *head = &r->members[0];
-	bool gentle = now_ms - r->doomed_ms < r->finish_ms;
-	enum order_kind close = gentle ? ORDER_CLOSE : ORDER_CANCEL;
+	bool graceful = now_ms - r->doomed_ms < r->finish_ms;
+	enum order_kind close = graceful ? ORDER_CLOSE : ORDER_CANCEL;
 
-	/* One that nobody told to open can't serve: its hosts are free, and the
-	 * epochs of newer groups keep late joins of it out. */
+	/* A head that was never ordered to open can't serve, so the hosts are
+	 * free at once; they refuse late orders to join this group because the
+	 * epochs of newer groups are higher. */
 	if (!r->open_asked) {
-		step_gone(step, PROOF_UNASKED);
+		step_remove(step, PROOF_UNASKED);
 		return;
 	}
 	if (head->elsewhere) {
-		step_gone(step, PROOF_ELSEWHERE);
+		step_remove(step, PROOF_ELSEWHERE);
 		return;
 	}
 	if (head->life == MEMBER_DEAD) {
-		step_gone(step, PROOF_DEAD);
+		step_remove(step, PROOF_DEAD);
 		return;
 	}
 	if (replica_member_out(head)) {
-		step_gone(step, PROOF_LEFT);
+		step_remove(step, PROOF_LEFT);
 		return;
 	}
 	if (head->life == MEMBER_SILENT) {
-		next_split(r, now_ms, stall_ms, step);
+		step_without_head(r, now_ms, stall_ms, step);
 		return;
 	}
 	r->split_ms = 0;
 	if (head->left) {
-		member_out_step(r, 0, now_ms, step);
+		step_leave(r, 0, now_ms, step);
 		return;
 	}
-	if (gentle && now_ms - r->doomed_ms < REPLICA_WARN_MS)
+	if (graceful && now_ms - r->doomed_ms < REPLICA_WARN_MS)
 		return;
 	if (!r->head_closed) {
-		if (member_due(head, close, now_ms, REPLICA_ORDER_AGAIN_MS))
+		if (member_order_due(head, close, now_ms,
+			REPLICA_ORDER_AGAIN_MS))
 			step_order(step, 0, close);
 		return;
 	}
-	/* A gentle close runs on until the head says that it is done. */
-	if (gentle && head->here &&
+	/* A graceful close lasts until the head reports that it is done. */
+	if (graceful && head->here &&
 	    (head->state == GROUP_OPEN || head->state == GROUP_CLOSING))
 		return;
-	member_out_step(r, 0, now_ms, step);
+	step_leave(r, 0, now_ms, step);
 }
 
 /*
- * Whether nothing was done yet to dissolve it: what was cut off whole and
- * comes back whole goes on.
+ * Whether nothing irreversible was done yet to dissolve a replica. A group that
+ * was cut off and comes back complete goes on serving.
  */
 static bool
-replica_undone(const struct replica *r)
+replica_can_recover(const struct replica *r)
 {
 	for (unsigned i = 0; i < r->n; i++) {
 		if (r->members[i].left || r->members[i].elsewhere)
@@ -420,29 +440,31 @@
 }
 
 /**
- * replica_next() - the next step for a replica.
- * @r: the replica; notes that it has opened or is doomed
+ * replica_next() - determine the next step for a replica.
+ * @r: the replica; it is marked as opened, or as being dissolved, where that
+ *	is found
  * @now_ms: loop time
- * @stall_ms: after which the platform breaks a group that stands still
- * @step: filled in
+ * @stall_ms: time after which the platform breaks a group that makes no
+ *	progress, in ms
+ * @step: set to the step
  */
 void
 replica_next(struct replica *r, uint64_t now_ms, uint64_t stall_ms,
     struct replica_step *step)
 {
 	memset(step, 0, sizeof *step);
-	const char *judged = replica_judge(r, now_ms);
+	const char *reason = replica_judge(r, now_ms);
 
-	if (r->doomed == NULL && judged != NULL) {
+	if (r->doomed == NULL && reason != NULL) {
 		r->doomed_ms = now_ms;
-		r->finish_ms = strcmp(judged, "member_drains") == 0 ?
+		r->finish_ms = strcmp(reason, "member_drains") == 0 ?
 		    REPLICA_FINISH_MS :
 		    0;
 	}
-	if (r->doomed == NULL || replica_undone(r))
-		r->doomed = judged;
+	if (r->doomed == NULL || replica_can_recover(r))
+		r->doomed = reason;
 	if (r->doomed != NULL)
-		next_doomed(r, now_ms, stall_ms, step);
+		step_dissolve(r, now_ms, stall_ms, step);
 	else if (r->recorded)
-		next_forming(r, now_ms, step);
+		step_form(r, now_ms, step);
 }
--- a/src/replica.h
+++ b/src/replica.h
@@ -1,4 +1,4 @@
-/* A replica: the record of a group of hosts, and what to do next for it. */
+/* Replicas: groups of hosts that serve one model, and their life cycle. */
 #ifndef BL_REPLICA_H
 #define BL_REPLICA_H
 
@@ -11,47 +11,52 @@
 #include "dir-fleet.h"
 #include "order-ops.h"
 
-/* Most hosts of a replica. */
+/* Maximum number of hosts in a replica. */
 #define REPLICA_SIZE_MAX 64
 
-/* An order without an answer, or without its effect, is given again after
- * this; well above the time of an answer, well below that of a load. */
+/* An order that had no answer or no visible effect is repeated after this
+ * time; it is well above the time of an answer and well below that of a load.
+ */
 #define REPLICA_ORDER_AGAIN_MS 1200
-/* A join that was taken shows in the host's report within this. */
+/* An accepted join appears in the host's report within this time; after that,
+ * the order is repeated. */
 #define REPLICA_JOIN_SHOWS_MS 3000
-/* A group that is not whole after this is given up; twice the longest load
- * with others beside it. */
+/* A group that is not complete after this time is dissolved. It is twice the
+ * longest load time while other loads run. */
 #define REPLICA_FORM_MOST_MS 60000
-/* Time that a leaving member's group may take to finish its work: the
- * platform keeps the member as long, with a margin. */
+/* Time for the group of a leaving member to finish its requests: the platform
+ * keeps the member that long, plus a margin. */
 #define REPLICA_FINISH_MS 8000
-/* Time that a replica may take whose hosts another needs. Its streams can go
- * on elsewhere, and a large replica that is missing costs more. */
+/* Time for a replica to finish its requests when another replica needs its
+ * hosts. Its streams can continue on other replicas, and a missing large
+ * replica costs more than moving them. */
 #define REPLICA_DONATE_MS 700
-/* Time that a replica may take that is not missed: its streams end first. */
+/* Time for a surplus replica to finish its requests: nothing waits for its
+ * hosts, so its streams may end first. */
 #define REPLICA_SURPLUS_MS 3000
-/* An order that had no answer is carried out within this, if at all: endpoints
- * were seen to take 2 to 12 s. */
+/* An order that had no answer is carried out within this time, if at all:
+ * endpoints have been observed to take 2 to 12 s. */
 #define REPLICA_LATE_MS 12500
-/* Orders go out only while the placer's lease was checked this lately; one that
- * has been outdone may give some for as long. */
+/* Orders are sent only if the placer's lease was verified within this time, so
+ * a placer that has lost the lease may still send orders for this long. */
 #define REPLICA_OUTDONE_MS 1500
-/* What is reported this long after a change is newer than it: well above the
- * lag of reports. */
+/* A report that is read at least this long after a change was made after it:
+ * this is well above the lag of reports. */
 #define REPLICA_BACK_MS 1000
-/* A replica that is dissolved within this ends soon: about as long as another
- * takes to donate hosts in its place. */
+/* A replica that will be dissolved within this time counts as ending soon:
+ * about the time that another replica takes to donate hosts instead. */
 #define REPLICA_SOON_MS 1000
-/* Between the warning that a head is closed and the order: the time that the
- * warning takes to the other daemons. */
+/* Time between the notice that a head is about to close and the order to close
+ * it: the notice takes this long to reach the other daemons. */
 #define REPLICA_WARN_MS 150
 
 /**
- * enum member_life - what is known of a member.
- * @MEMBER_ALIVE: it writes to the store
- * @MEMBER_DRAINING: it will leave
+ * enum member_life - liveness of a member.
+ * @MEMBER_ALIVE: its entry in the store is current
+ * @MEMBER_DRAINING: it has announced that it is leaving
  * @MEMBER_LAPSED: its entry is gone; it may still serve and answer
- * @MEMBER_SILENT: it does not answer either; it may still serve others
+ * @MEMBER_SILENT: it does not answer status requests either; it may still
+ *	serve clients that can reach it
  * @MEMBER_DEAD: its incarnation has ended
  */
 enum member_life {
@@ -64,34 +69,36 @@
 
 /**
  * struct replica_member - one host of a group.
- * @id: of its incarnation
- * @address: where it takes orders
- * @life: what is known of it
+ * @id: id of the host's incarnation
+ * @address: address that takes its orders
+ * @life: its liveness
  * @here: it reports this group and epoch
- * @elsewhere: it reports a higher epoch
- * @state: of the group, as it reports it
- * @ordered_ms: when the last order was sent to it; 0 for never
- * @order: that order
- * @busy: an order is on its way
- * @left: it said that it is not, or no longer, in this group
- * @joined: its entry named the group, or an order to join that named it was
- *	answered
- * @unproven: what is known of it was told by whoever has its address, before
- *	it had @joined; that may be another incarnation, since a question does
- *	not name whom it is meant for
- * @refused: it refused to join for a newer epoch that it has seen
- * @left_ms: when it last said so
- * @late_until_ms: until when an order to join may be carried out yet: it had no
- *	answer, or another placer may have given it; 0 for none
- * @fenced: it has reported a newer epoch, so it can't come back
- * @told_ms: loop time of its newest report, by its entry or directly
- * @suspect_ms: an order to it had no answer then; 0 for never
- * @asked_ms: when it was last asked directly
- * @silent_ms: since when it has not answered; 0 while it does
- * @asking: a question is on its way
+ * @elsewhere: it reports a group with a higher epoch
+ * @state: state of the group as it reports it
+ * @ordered_ms: loop time at which the last order was sent to it; 0 for never
+ * @order: the last order sent to it
+ * @busy: an order to it has not ended yet
+ * @left: it has answered that it is not in this group, or no longer
+ * @joined: its entry named the group, or it has accepted an order to join that
+ *	named this member
+ * @unproven: its report came from whoever holds its address, before it had
+ *	@joined; that may be another incarnation, since a status request does
+ *	not name its addressee
+ * @refused: it refused to join because it has seen a newer epoch
+ * @left_ms: loop time of the answer that set @left
+ * @late_until_ms: loop time until which an order to join may still be carried
+ *	out, because it had no answer or another placer may have sent it; 0 for
+ *	none
+ * @fenced: it has once reported a newer epoch, so it can't rejoin this group
+ * @told_ms: loop time of its newest report, from its entry or a direct answer
+ * @suspect_ms: loop time at which an order to it had no answer; 0 for never
+ * @asked_ms: loop time of the last status request to it
+ * @silent_ms: loop time since which it has not answered; 0 while it answers
+ * @asking: a status request to it has not ended yet
  * @absent: another incarnation has its address
- * @doubt_ms: when an order to it last ended without an answer; 0 for never
- * @doubt: that order; it may be carried out yet
+ * @doubt_ms: loop time at which an order to it last ended without an answer; 0
+ *	for never
+ * @doubt: that order; it may still be carried out
  */
 struct replica_member {
 	char *id;
@@ -121,28 +128,31 @@
 };
 
 /**
- * struct replica - one group.
- * @name: unique for ever
- * @service: of its hosts
- * @model: what it serves
- * @epoch: grows with each group
+ * struct replica - one group of hosts that serves a model.
+ * @name: name of the group, never reused
+ * @service: name of the service that its hosts belong to
+ * @model: name of the model
+ * @epoch: number of the group; each new group has a higher one
  * @made_ms: loop time at which this daemon first knew of it
  * @recorded: its record is in the store
  * @settled: its record says that it has served and that no order to join it is
- *	in doubt; nobody is told to join it again
- * @doomed: why it is being dissolved; NULL while it is wanted
- * @doomed_ms: since when
- * @finish_ms: how long it may finish its work first; 0 to end at once
- * @open_asked: its head may have been told to open
- * @opened: it was seen to serve
- * @head_closed: the head took the order to serve no more
- * @split_ms: since when a member has left a head that can't be reached
- * @donates: its hosts are wanted by another
- * @adopted: found serving without a record; it is dissolved
- * @suspect_ms: its streams fell silent then; 0 for never
- * @n: hosts
- * @members: the head first
- * @entry: in the keeper's list
+ *	outstanding; no host is ordered to join it again
+ * @doomed: reason for which it is being dissolved; NULL while it is active
+ * @doomed_ms: loop time at which that began
+ * @finish_ms: time in ms that it has to finish its requests before it is
+ *	cancelled; 0 to cancel at once
+ * @open_asked: its head may have been ordered to open
+ * @opened: it has been seen to serve
+ * @head_closed: the head has answered an order to close or to cancel; it takes
+ *	no new requests
+ * @split_ms: loop time since which a member has left while the head can't be
+ *	reached; 0 for none
+ * @donates: it is being dissolved so that other replicas get its hosts
+ * @adopted: it was found serving without a record and is being dissolved
+ * @suspect_ms: loop time at which its streams fell silent; 0 for never
+ * @n: number of members
+ * @members: its members, the head first
+ * @entry: in the placer's list of replicas
  */
 struct replica {
 	char *name;
@@ -171,10 +181,10 @@
 
 /**
  * enum replica_act - what to do next for a replica.
- * @REPLICA_NOTHING: wait
- * @REPLICA_ORDER: give an order to a member
- * @REPLICA_ASK: ask a member directly
- * @REPLICA_GONE: no host of it serves; its hosts are free
+ * @REPLICA_NOTHING: nothing now
+ * @REPLICA_ORDER: send an order to a member
+ * @REPLICA_ASK: send a status request to a member
+ * @REPLICA_GONE: remove it: no host serves in it and its hosts are free
  */
 enum replica_act {
 	REPLICA_NOTHING,
@@ -185,13 +195,13 @@
 
 /**
  * enum replica_proof - why no host of a dissolved group can serve in it.
- * @PROOF_UNASKED: nobody told the head to open
- * @PROOF_LEFT: the head has left the group and can't come back
- * @PROOF_MEMBERS: all others have left and can't come back
+ * @PROOF_UNASKED: the head was never ordered to open
+ * @PROOF_LEFT: the head has left the group and can't rejoin it
+ * @PROOF_MEMBERS: all other members have left and can't rejoin
  * @PROOF_ELSEWHERE: the head is in a newer group
  * @PROOF_DEAD: the head's incarnation has ended
- * @PROOF_STALLED: a member left so long ago that the head must be broken,
- *	whatever order it carried out since
+ * @PROOF_STALLED: a member left so long ago that the platform must have broken
+ *	the group, whatever order the head has carried out since
  */
 enum replica_proof {
 	PROOF_UNASKED,
@@ -203,11 +213,11 @@
 };
 
 /**
- * struct replica_step - the next step.
+ * struct replica_step - the next step for a replica.
  * @act: what to do
- * @member: index of the member
- * @order: REPLICA_ORDER: which
- * @proof: REPLICA_GONE: why the hosts are free
+ * @member: index of the member that the step is for
+ * @order: the order, for REPLICA_ORDER
+ * @proof: why the hosts are free, for REPLICA_GONE
  */
 struct replica_step {
 	enum replica_act act;
@@ -231,7 +241,7 @@
 bool replica_ends_soon(const struct replica *, uint64_t);
 const char *replica_proof_name(enum replica_proof);
 
-/* replica-member.c: what is known of one member. */
+/* replica-member.c: state of one member. */
 bool replica_member_out(const struct replica_member *);
 void replica_member_told(const struct replica *, struct replica_member *,
     const struct endpoint_report *, uint64_t);
