--- a/tests/test-form.c
+++ b/tests/test-form.c
@@ -1,4 +1,5 @@
-/* Scripts over which hosts form which replicas. */
+/* Scripted tests of the planner: which hosts form which replicas, which get
+ * copies, and how the bound on the largest model changes. */
 #include <string.h>
 
 #include "replica-demand.h"
@@ -39,14 +40,14 @@
 	engine = catalog_add_engine(catalog_add_service(catalog, "s"));
 }
 
-/* reset: begin anew within a script */
+/* reset: start over with no models, hosts or replicas */
 static void
 exec_reset(const char *rest, GString *out)
 {
 	reset();
 }
 
-/* model NAME size=N share=PERCENT */
+/* model NAME size=N share=PERCENT: the engine profile has this model */
 static void
 exec_model(const char *rest, GString *out)
 {
@@ -58,7 +59,8 @@
 	g_ptr_array_add(engine->models, m);
 }
 
-/* hosts N domain=D fabric=F [last=M] [staged=M]: N free hosts */
+/* hosts N domain=D fabric=F [last=M] [staged=M]: N free hosts, with these
+ * models in memory and as a copy */
 static void
 exec_hosts(const char *rest, GString *out)
 {
@@ -81,6 +83,7 @@
 	}
 }
 
+/* Builds the planner's view of all hosts and replicas. */
 static void
 view_make(struct form_view *view)
 {
@@ -108,7 +111,7 @@
 	form_view_clear(view);
 }
 
-/* A host has a model in memory, from its last group. */
+/* Sets the model that a host has in memory. */
 static void
 host_set_last(struct form_host *h, const char *model)
 {
@@ -116,7 +119,7 @@
 	h->last = g_strdup(model);
 }
 
-/* memory hN MODEL: it took the model into its memory */
+/* memory hN MODEL: the host has loaded the model into memory */
 static void
 exec_memory(const char *rest, GString *out)
 {
@@ -125,7 +128,7 @@
 	host_set_last(&hosts[g_ascii_strtoull(w[0] + 1, NULL, 10)], w[1]);
 }
 
-/* warm: an idle host that should take the largest model into memory */
+/* warm: prints the free host that should load the largest model into memory */
 static void
 exec_warm(const char *rest, GString *out)
 {
@@ -138,7 +141,7 @@
 	view_free(&view);
 }
 
-/* group MODEL hosts=FIRST-LAST: an open replica of these hosts */
+/* group MODEL first=N last=N: an open replica of these hosts */
 static void
 exec_group(const char *rest, GString *out)
 {
@@ -158,7 +161,7 @@
 	replicas[n_replicas++] = r;
 }
 
-/* copy hN MODEL: the host got a copy; it keeps one */
+/* copy hN MODEL: the host has got a copy, which replaces its previous one */
 static void
 exec_copy(const char *rest, GString *out)
 {
@@ -170,14 +173,14 @@
 	g_ptr_array_add(copies, g_strdup(w[1]));
 }
 
-/* lost N: the host is no longer there */
+/* lost N: the host is not free any more */
 static void
 exec_lost(const char *rest, GString *out)
 {
 	hosts[g_ascii_strtoull(rest, NULL, 10)].free = false;
 }
 
-/* set [loads=N] [serving=0|1] [settled=0|1] */
+/* set [loads=N] [serving=0|1] [settled=0|1]: properties of the view */
 static void
 exec_set(const char *rest, GString *out)
 {
@@ -186,7 +189,7 @@
 	settled = script_number(rest, "settled", settled);
 }
 
-/* form [times=N]: the next replicas, which then stand */
+/* form [times=N]: plans and forms the next replicas, which open at once */
 static void
 exec_form(const char *rest, GString *out)
 {
@@ -226,7 +229,7 @@
 	}
 }
 
-/* donor: the replica to dissolve */
+/* donor: prints the head of the replica to dissolve for the largest model */
 static void
 exec_donor(const char *rest, GString *out)
 {
@@ -240,7 +243,7 @@
 	view_free(&view);
 }
 
-/* surplus: the replica to dissolve since others serve more with its hosts */
+/* surplus: prints the head of the surplus replica to dissolve */
 static void
 exec_surplus(const char *rest, GString *out)
 {
@@ -254,7 +257,7 @@
 	view_free(&view);
 }
 
-/* end hN: the replica of which this is the head is dissolved */
+/* end hN: the replica with this head is dissolved */
 static void
 exec_end(const char *rest, GString *out)
 {
@@ -271,13 +274,13 @@
 }
 
 /*
- * seen big=N small=N from=MS to=MS [unlimited=N limited=N]: requests of the
- * first two models that run meanwhile, those of the first at so many of its
- * replicas that have no limit, and so many that have one; says how the bound on
- * the largest model moves
+ * sample big=N small=N from=MS to=MS [unlimited=N limited=N]: requests of the
+ * first two models that run during this time; those of the first run at its
+ * replicas without a rate limit, and others of its replicas have one. Prints
+ * each change of the bound on the largest model.
  */
 static void
-exec_seen(const char *rest, GString *out)
+exec_sample(const char *rest, GString *out)
 {
 	struct form_seen seen[FORM_MODELS_MAX] = { 0 };
 
@@ -296,12 +299,12 @@
 		form_demand_apply(&demand, &view, at);
 		view_free(&view);
 		if (demand.most != most)
-			g_string_append_printf(out, "at %u most %u\n",
+			g_string_append_printf(out, "at %u bound %u\n",
 			    (unsigned)at, demand.most);
 	}
 }
 
-/* stage: the host to copy the largest model to */
+/* stage: prints the next host that should get a copy, and of which model */
 static void
 exec_stage(const char *rest, GString *out)
 {
@@ -330,7 +333,7 @@
 	{ "donor", exec_donor },
 	{ "surplus", exec_surplus },
 	{ "end", exec_end },
-	{ "seen", exec_seen },
+	{ "sample", exec_sample },
 	{ "stage", exec_stage },
 	{ "memory", exec_memory },
 	{ "warm", exec_warm },
@@ -340,7 +343,7 @@
 int
 main(void)
 {
-	int rc = script_main("form", commands, reset);
+	int rc = script_main("planner", commands, reset);
 
 	reset();
 	g_clear_pointer(&catalog, catalog_unref);
--- a/tests/test-replica.c
+++ b/tests/test-replica.c
@@ -1,4 +1,5 @@
-/* Scripts over the life of a replica: joins, opening, loss, dissolution. */
+/* Scripted tests of a replica's life cycle: joins, opening, loss of members,
+ * dissolution. */
 #include <string.h>
 
 #include "replica.h"
@@ -14,7 +15,10 @@
 	g_clear_pointer(&r, replica_free);
 }
 
-/* new hosts=N [asked=0]: a recorded replica of h0, h1, ...; not told to open */
+/*
+ * new hosts=N [recorded=0] [asked=0] [settled=1]: a replica of h0, h1, ...;
+ * without its record, its head never ordered to open, or settled
+ */
 static void
 exec_new(const char *rest, GString *out)
 {
@@ -39,7 +43,8 @@
 	return (&r->members[script_number(rest, "h", 0)]);
 }
 
-/* report h=N state=WORD: what the member reports of this group; "none" */
+/* report h=N state=WORD: the member reports this group in that state; "none"
+ * for no group */
 static void
 exec_report(const char *rest, GString *out)
 {
@@ -55,17 +60,20 @@
 	m->here = m->state != GROUP_NONE;
 }
 
-/* What a script says of a host's group; none without a word. */
+/* Reads a host's report from a command; without "group", it is in no group. */
 static void
-host_report(const char *rest, struct endpoint_report *report)
+read_report(const char *rest, struct endpoint_report *report)
 {
 	report->group = script_word(rest, "group");
 	report->epoch = (int64_t)script_number(rest, "epoch", 1);
 	report->state = GROUP_READY;
 }
 
-/* entry h=N [group=G] [epoch=N] [lapsed=MS] at=MS; or at=MS none=1: what the
- * fleet knows of a host; nothing once its entry is gone and nobody holds it */
+/*
+ * entry h=N [group=G] [epoch=N] [lapsed=MS] at=MS: the endpoint that the fleet
+ * has of a host; with none=1 it has none, as once the entry is gone and nothing
+ * references the endpoint
+ */
 static void
 exec_entry(const char *rest, GString *out)
 {
@@ -74,26 +82,27 @@
 		.lapsed_ms = script_number(rest, "lapsed", 0) };
 	bool none = script_number(rest, "none", 0) != 0;
 
-	host_report(rest, &ep.report);
+	read_report(rest, &ep.report);
 	replica_member_look(r, member(rest), none ? NULL : &ep, at);
 	g_free(ep.report.group);
 }
 
-/* told h=N [group=G] [epoch=N] at=MS: it answered a question with its report */
+/* answered h=N [group=G] [epoch=N] at=MS: the member answered a status request
+ * with this report */
 static void
-exec_told(const char *rest, GString *out)
+exec_answered(const char *rest, GString *out)
 {
 	struct endpoint_report report = { 0 };
 
-	host_report(rest, &report);
+	read_report(rest, &report);
 	replica_member_told(r, member(rest), &report,
 	    script_number(rest, "at", 0));
 	g_free(report.group);
 }
 
-/* life h=N is=WORD */
+/* liveness h=N is=WORD */
 static void
-exec_life(const char *rest, GString *out)
+exec_liveness(const char *rest, GString *out)
 {
 	static const char *const names[] = { "alive", "draining", "lapsed",
 		"silent", "dead" };
@@ -105,15 +114,15 @@
 	}
 }
 
-/* elsewhere h=N: it reports a higher epoch */
+/* newer-group h=N: the member reports a group with a higher epoch */
 static void
-exec_elsewhere(const char *rest, GString *out)
+exec_newer_group(const char *rest, GString *out)
 {
 	member(rest)->here = false;
 	member(rest)->elsewhere = true;
 }
 
-/* left h=N [at=MS]: it said that it is in no group; closed: the head said so */
+/* left h=N [at=MS]: the member answered that it is in no group */
 static void
 exec_left(const char *rest, GString *out)
 {
@@ -121,21 +130,21 @@
 	member(rest)->left_ms = script_number(rest, "at", 0);
 }
 
-/* late h=N until=MS: an order to join may be carried out until then */
+/* late-join h=N until=MS: an order to join may be carried out until then */
 static void
-exec_late(const char *rest, GString *out)
+exec_late_join(const char *rest, GString *out)
 {
 	member(rest)->late_until_ms = script_number(rest, "until", 0);
 }
 
-/* inherit now=MS: another placer made the replica */
+/* inherit now=MS: the replica is taken over from another placer */
 static void
 exec_inherit(const char *rest, GString *out)
 {
 	replica_inherit(r, script_number(rest, "now", 0));
 }
 
-/* joined h=N, refused h=N: what it answered to an order to join */
+/* joined h=N: the member accepted an order to join */
 static void
 exec_joined(const char *rest, GString *out)
 {
@@ -143,28 +152,31 @@
 	member(rest)->unproven = false;
 }
 
+/* join-fenced h=N: the member refused to join because of a newer epoch */
 static void
-exec_refused(const char *rest, GString *out)
+exec_join_fenced(const char *rest, GString *out)
 {
 	member(rest)->refused = true;
 }
 
+/* closed: the head answered an order to close */
 static void
 exec_closed(const char *rest, GString *out)
 {
 	r->head_closed = true;
 }
 
-/* donate now=MS */
+/* donate now=MS: the replica's hosts are needed by another */
 static void
 exec_donate(const char *rest, GString *out)
 {
 	replica_donate(r, script_number(rest, "now", 0));
 }
 
-/* look now=MS: the steps until there is nothing more to do now */
+/* step now=MS: the orders until nothing more is to be done now, then the state
+ * of the replica or the reason for which it is dissolved */
 static void
-exec_look(const char *rest, GString *out)
+exec_step(const char *rest, GString *out)
 {
 	guint64 now = script_number(rest, "now", 0);
 	struct replica_step step;
@@ -179,7 +191,7 @@
 		r->members[step.member].ordered_ms = now;
 	}
 	if (step.act == REPLICA_GONE)
-		g_string_append(out, "gone\n");
+		g_string_append(out, "dissolved\n");
 	g_string_append_printf(out, "%s\n",
 	    r->doomed != NULL ? r->doomed :
 		r->opened     ? "serves" :
@@ -190,17 +202,17 @@
 	{ "new", exec_new },
 	{ "report", exec_report },
 	{ "entry", exec_entry },
-	{ "told", exec_told },
-	{ "life", exec_life },
-	{ "elsewhere", exec_elsewhere },
+	{ "answered", exec_answered },
+	{ "liveness", exec_liveness },
+	{ "newer-group", exec_newer_group },
 	{ "left", exec_left },
 	{ "closed", exec_closed },
-	{ "late", exec_late },
+	{ "late-join", exec_late_join },
 	{ "inherit", exec_inherit },
 	{ "joined", exec_joined },
-	{ "refused", exec_refused },
+	{ "join-fenced", exec_join_fenced },
 	{ "donate", exec_donate },
-	{ "look", exec_look },
+	{ "step", exec_step },
 	{ NULL, NULL },
 };
 
--- a/tests/test-stage.c
+++ b/tests/test-stage.c
@@ -1,4 +1,5 @@
-/* Scripts over copies that are being made: orders, answers, loads. */
+/* Scripted tests of copies of models that are being made: orders, answers,
+ * loads. */
 #include <string.h>
 
 #include "keeper.h"
@@ -14,15 +15,15 @@
 
 static GHashTable *pending;
 
-/* An order that the script has yet to answer. */
+/* An order that the script has not answered yet. */
 struct fake_order {
 	order_fn *done;
 	void *arg;
 };
 
-/* Notes an order that the placer gives; the script answers it. */
+/* Records an order that the placer sends; the script answers it. */
 static bool
-fake_send(struct net_pool *pool, const char *id, const struct order *order,
+record_order(struct net_pool *pool, const char *id, const struct order *order,
     unsigned timeout_ms, order_fn *done, void *arg)
 {
 	const struct fake_order fake = { done, arg };
@@ -33,9 +34,9 @@
 	return (true);
 }
 
-/* Answers the order that a host was given last. */
+/* Answers the last order to a host. */
 static gboolean
-fake_answer(gpointer id, gpointer data, gpointer result)
+answer_order(gpointer id, gpointer data, gpointer result)
 {
 	const struct fake_order *fake = data;
 
@@ -43,15 +44,15 @@
 	return (TRUE);
 }
 
-/* Orders that were not answered end with their answer lost. */
+/* Ends the orders that were not answered as if their answers were lost. */
 static void
-pending_end(void)
+pending_lose(void)
 {
-	g_hash_table_foreach_remove(pending, fake_answer,
+	g_hash_table_foreach_remove(pending, answer_order,
 	    GINT_TO_POINTER(ORDER_UNKNOWN));
 }
 
-static const struct order_ops fake_orders = { .send = fake_send };
+static const struct order_ops fake_orders = { .send = record_order };
 
 static void
 reset(void)
@@ -59,7 +60,7 @@
 	if (pending == NULL)
 		pending = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 		    g_free);
-	pending_end();
+	pending_lose();
 	if (dir.fleet.by_id != NULL)
 		fleet_clear(&dir.fleet);
 	fleet_init(&dir.fleet, &loop);
@@ -85,7 +86,7 @@
 	offset = 0;
 }
 
-/* Prints the orders given since. */
+/* Prints the orders sent since the last call. */
 static void
 show_sent(GString *out)
 {
@@ -118,7 +119,8 @@
 	fleet_lapse(&dir.fleet, id, script_number(rest, "at", 0), false);
 }
 
-/* begin ID at=MS: it is to copy the model, in 1,000 ms */
+/* begin ID at=MS: the host is ordered to copy the model, which takes 1,000 ms
+ */
 static void
 exec_begin(const char *rest, GString *out)
 {
@@ -129,7 +131,7 @@
 	show_sent(out);
 }
 
-/* answer ID RESULT: what the host said to the order */
+/* answer ID RESULT: the host's answer to the order */
 static void
 exec_answer(const char *rest, GString *out)
 {
@@ -137,15 +139,16 @@
 
 	for (int r = ORDER_TAKEN; r <= ORDER_UNKNOWN; r++) {
 		if (strcmp(order_result_name((enum order_result)r), w[1]) == 0)
-			fake_answer(w[0], g_hash_table_lookup(pending, w[0]),
+			answer_order(w[0], g_hash_table_lookup(pending, w[0]),
 			    GINT_TO_POINTER(r));
 	}
 	g_hash_table_remove(pending, w[0]);
 }
 
-/* look at=MS: orders that are given again, and loads that may begin */
+/* update at=MS: prints the orders that are repeated and the number of loads
+ * that may begin */
 static void
-exec_look(const char *rest, GString *out)
+exec_update(const char *rest, GString *out)
 {
 	uint64_t now = script_number(rest, "at", 0);
 
@@ -155,7 +158,7 @@
 	    keeper_loads_free(&keeper, engine, now));
 }
 
-/* gone ID: whether the host counts as gone */
+/* gone ID: prints whether the host's incarnation counts as ended */
 static void
 exec_gone(const char *rest, GString *out)
 {
@@ -169,7 +172,7 @@
 	{ "begin", exec_begin },
 	{ "answer", exec_answer },
 	{ "gone", exec_gone },
-	{ "look", exec_look },
+	{ "update", exec_update },
 	{ NULL, NULL },
 };
 
@@ -180,7 +183,7 @@
 
 	uv_loop_init(&loop);
 	rc = script_main("stage", commands, reset);
-	pending_end();
+	pending_lose();
 	g_hash_table_destroy(pending);
 	fleet_clear(&dir.fleet);
 	catalog_unref(catalog);
