--- a/src/keeper-adopt.c
+++ b/src/keeper-adopt.c
@@ -48,8 +48,8 @@
 	}
 	replica_inherit(r, now_ms);
 	r->adopted = true;
-	r->doomed = "no_record";
-	r->doomed_ms = now_ms;
+	r->dissolve_reason = "no_record";
+	r->dissolving_ms = now_ms;
 	event_log(LOG_NOTICE, "group_adopted",
 	    "group=%s epoch=%lld head=%s state=%s hosts=%u", r->name,
 	    (long long)r->epoch, head->report.id,
--- a/src/keeper-call.c
+++ b/src/keeper-call.c
@@ -108,13 +108,13 @@
     uint64_t now_ms)
 {
 	if (result == ORDER_UNKNOWN)
-		m->late_until_ms = now_ms + REPLICA_LATE_MS;
+		m->late_join_until_ms = now_ms + REPLICA_LATE_ORDER_MS;
 	if (result == ORDER_FENCED)
-		m->refused = true;
+		m->join_fenced = true;
 	if (result != ORDER_TAKEN)
 		return;
 	m->joined = true;
-	m->unproven = false;
+	m->unverified = false;
 }
 
 /* What the end of an order tells of the member. */
@@ -141,8 +141,8 @@
 member_doubt(struct replica_member *m, enum order_kind order, uint64_t now_ms)
 {
 	m->suspect_ms = now_ms;
-	m->doubt_ms = now_ms;
-	m->doubt = order;
+	m->unanswered_ms = now_ms;
+	m->unanswered_order = order;
 }
 
 static void
@@ -162,12 +162,12 @@
 	if (result == ORDER_OTHER)
 		host_ended(k, call->id);
 	if (m != NULL) {
-		m->busy = false;
+		m->order_pending = false;
 		if (result == ORDER_UNKNOWN)
 			member_doubt(m, call->order, clock_loop_ms(k->loop));
 		member_learn(r, m, call->order, result, clock_loop_ms(k->loop));
 		if (result == ORDER_OTHER)
-			m->life = MEMBER_DEAD;
+			m->liveness = MEMBER_DEAD;
 		if (result == ORDER_FENCED && call->order != ORDER_JOIN)
 			keeper_lose(k, "fenced");
 	}
@@ -234,16 +234,16 @@
 		order.members = ids;
 	}
 	call->order = kind;
-	m->order = kind;
+	m->last_order = kind;
 	m->ordered_ms = clock_loop_ms(k->loop);
 	/* A placer that ends leaves no line on the orders' ends. */
 	event_log(LOG_INFO, "order_given",
 	    "group=%s member=%s rank=%u order=%s epoch=%lld term=%lld", r->name,
 	    m->id, index, order_kind_name(kind), (long long)r->epoch,
 	    (long long)k->term);
-	m->busy = k->orders->send(member_pool(k, m), m->id, &order,
+	m->order_pending = k->orders->send(member_pool(k, m), m->id, &order,
 	    ORDER_TIMEOUT_MS, on_ordered, call);
-	if (!m->busy)
+	if (!m->order_pending)
 		call_free(call);
 }
 
@@ -252,13 +252,13 @@
 member_log_told(const struct replica *r, const struct replica_member *m,
     const struct replica_member *was, const struct endpoint_report *report)
 {
-	if (m->here == was->here && m->state == was->state &&
-	    m->elsewhere == was->elsewhere)
+	if (m->in_group == was->in_group && m->state == was->state &&
+	    m->in_newer_group == was->in_newer_group)
 		return;
 	event_log(LOG_INFO, "member_told",
 	    "group=%s member=%s here=%d state=%s said_group=%s said_epoch=%lld "
 	    "sequence=%lld started_ms=%lld",
-	    r->name, m->id, m->here, group_state_name(m->state),
+	    r->name, m->id, m->in_group, group_state_name(m->state),
 	    report->group != NULL ? report->group : "-",
 	    (long long)report->epoch, (long long)report->sequence,
 	    (long long)report->started_ms);
@@ -271,7 +271,7 @@
 {
 	struct replica_member was = *m;
 
-	replica_member_told(r, m, report, now_ms);
+	replica_member_set_answer(r, m, report, now_ms);
 	member_log_told(r, m, &was, report);
 }
 
@@ -286,17 +286,17 @@
 	if (answer == ANSWER_ABSENT)
 		host_ended(call->keeper, call->id);
 	if (m != NULL) {
-		m->asking = false;
+		m->ask_pending = false;
 		if (answer == ANSWER_REPORT)
 			member_take(r, m, report, now);
-		else if (m->silent_ms == 0)
-			m->silent_ms = call->sent_ms;
-		m->absent = answer == ANSWER_ABSENT;
+		else if (m->silent_since_ms == 0)
+			m->silent_since_ms = call->sent_ms;
+		m->address_reused = answer == ANSWER_ABSENT;
 		if (answer != ANSWER_REPORT)
 			event_log(LOG_INFO, "member_silent",
 			    "group=%s member=%s absent=%d silent_ms=%llu",
 			    call->group, call->id, answer == ANSWER_ABSENT,
-			    (unsigned long long)(now - m->silent_ms));
+			    (unsigned long long)(now - m->silent_since_ms));
 	}
 	call_free(call);
 }
@@ -314,14 +314,14 @@
 	uint64_t now = clock_loop_ms(k->loop);
 	struct keeper_call *call;
 
-	if (m->asking || !keeper_calls_free(k) ||
+	if (m->ask_pending || !keeper_calls_free(k) ||
 	    (m->asked_ms != 0 && now - m->asked_ms < ASK_AGAIN_MS))
 		return;
 	call = call_new(k, r, index);
 	m->asked_ms = now;
-	m->asking = k->orders->ask(member_pool(k, m), m->id, ASK_TIMEOUT_MS,
-	    on_reported, call);
-	if (!m->asking)
+	m->ask_pending = k->orders->ask(member_pool(k, m), m->id,
+	    ASK_TIMEOUT_MS, on_reported, call);
+	if (!m->ask_pending)
 		call_free(call);
 }
 
--- a/src/keeper-idle.h
+++ b/src/keeper-idle.h
@@ -2,7 +2,7 @@
 #ifndef BL_KEEPER_IDLE_H
 #define BL_KEEPER_IDLE_H
 
-#include "replica-form.h"
+#include "planner.h"
 
 /**
  * struct idle_watch - what was last said of the idle hosts of a service.
@@ -14,7 +14,8 @@
 
 void idle_watch_init(struct idle_watch *);
 void idle_watch_clear(struct idle_watch *);
-const char *idle_reason(const struct form_view *, const struct form_host *);
-void idle_watch_look(struct idle_watch *, const struct form_view *);
+const char *idle_reason(const struct planner_view *,
+    const struct planner_host *);
+void idle_watch_look(struct idle_watch *, const struct planner_view *);
 
 #endif
--- a/src/keeper-lease.c
+++ b/src/keeper-lease.c
@@ -114,7 +114,7 @@
 	    g_strndup((const char *)record->value, record->length);
 	const char *service = record->key + strlen(BOUND_PREFIX);
 
-	keeper_usage(k, service)->demand.most =
+	keeper_usage(k, service)->demand.largest_max =
 	    (unsigned)g_ascii_strtoull(text, NULL, 10);
 }
 
@@ -395,7 +395,7 @@
 {
 	if (k->state != KEEPER_HOLDING)
 		return (false);
-	if (now_ms - k->verified_ms < REPLICA_OUTDONE_MS)
+	if (now_ms - k->verified_ms < REPLICA_LEASE_FRESH_MS)
 		return (true);
 	if (!k->writing)
 		k->writing = k->store->ops->read(k->store, TOPIC_PLACEMENT,
--- a/src/keeper-usage.h
+++ b/src/keeper-usage.h
@@ -3,7 +3,7 @@
 #define BL_KEEPER_USAGE_H
 
 #include "keeper-idle.h"
-#include "replica-demand.h"
+#include "planner-demand.h"
 
 /**
  * struct model_usage - one model of one service.
@@ -40,17 +40,17 @@
 	unsigned hosts;
 	unsigned free;
 	double stranded_ms;
-	char *names[FORM_MODELS_MAX];
-	struct model_usage models[FORM_MODELS_MAX];
+	char *names[PLANNER_MODELS_MAX];
+	struct model_usage models[PLANNER_MODELS_MAX];
 	unsigned n_models;
 	struct idle_watch idle;
-	struct form_demand demand;
+	struct planner_demand demand;
 };
 
 struct service_usage *service_usage_create(void);
 void service_usage_free(void *);
 void service_usage_count(struct service_usage *, const char *,
-    const struct form_view *, const struct replica_list *, uint64_t);
+    const struct planner_view *, const struct replica_list *, uint64_t);
 void service_usage_print(const struct service_usage *, const char *, GString *);
 
 #endif
--- a/src/keeper.c
+++ b/src/keeper.c
@@ -39,10 +39,10 @@
 
 	for (unsigned i = 0; i < r->n; i++) {
 		const struct replica_member *m = &r->members[i];
-		bool unlisted =
-		    m->life == MEMBER_LAPSED || m->life == MEMBER_SILENT;
+		bool unlisted = m->liveness == MEMBER_LAPSED ||
+		    m->liveness == MEMBER_SILENT;
 
-		if (m->life != MEMBER_DEAD &&
+		if (m->liveness != MEMBER_DEAD &&
 		    (suspect || unlisted || suspect_at(m->suspect_ms, now_ms)))
 			keeper_ask(k, r, i);
 	}
@@ -58,18 +58,19 @@
 	event_log(LOG_NOTICE, "group_dissolved",
 	    "group=%s epoch=%lld model=%s reason=%s ms=%llu proof=%s head=%s "
 	    "head_state=%s told_ms_ago=%llu",
-	    r->name, (long long)r->epoch, r->model, r->doomed,
-	    (unsigned long long)(now_ms - r->doomed_ms),
+	    r->name, (long long)r->epoch, r->model, r->dissolve_reason,
+	    (unsigned long long)(now_ms - r->dissolving_ms),
 	    replica_proof_name(proof), head->id, group_state_name(head->state),
-	    (unsigned long long)(now_ms - MIN(head->told_ms, now_ms)));
+	    (unsigned long long)(now_ms - MIN(head->reported_ms, now_ms)));
 	for (unsigned i = 0; i < r->n; i++) {
 		const struct replica_member *m = &r->members[i];
 
-		if (m->doubt_ms != 0)
+		if (m->unanswered_ms != 0)
 			event_log(LOG_NOTICE, "order_in_doubt",
 			    "group=%s member=%s rank=%u order=%s ms_ago=%llu",
-			    r->name, m->id, i, order_kind_name(m->doubt),
-			    (unsigned long long)(now_ms - m->doubt_ms));
+			    r->name, m->id, i,
+			    order_kind_name(m->unanswered_order),
+			    (unsigned long long)(now_ms - m->unanswered_ms));
 	}
 }
 
@@ -80,7 +81,8 @@
 {
 	struct endpoint *head = fleet_find(&k->dir->fleet, r->members[0].id);
 
-	if (head != NULL && proof != PROOF_MEMBERS && proof != PROOF_STALLED)
+	if (head != NULL && proof != PROOF_MEMBERS_LEFT &&
+	    proof != PROOF_STALLED)
 		head->out_epoch = MAX(head->out_epoch, r->epoch);
 }
 
@@ -93,7 +95,7 @@
 		    fleet_find(&k->dir->fleet, r->members[i].id);
 
 		/* A dead host is no spare until its entry says otherwise. */
-		if (ep != NULL && r->members[i].life >= MEMBER_SILENT)
+		if (ep != NULL && r->members[i].liveness >= MEMBER_SILENT)
 			ep->unfit_until_ms = now_ms + SUSPECT_MS;
 	}
 	g_hash_table_replace(k->ended, g_strdup(r->name),
@@ -118,7 +120,7 @@
 
 	event_log(LOG_NOTICE, "group_doomed",
 	    "group=%s epoch=%lld model=%s reason=%s", r->name,
-	    (long long)r->epoch, r->model, r->doomed);
+	    (long long)r->epoch, r->model, r->dissolve_reason);
 	if (head == NULL)
 		return;
 	head->warned_ms = now_ms;
@@ -131,22 +133,22 @@
 static void
 replica_look(struct keeper *k, struct replica *r, uint64_t now_ms)
 {
-	bool was_open = r->opened, was_doomed = r->doomed != NULL;
+	bool was_open = r->opened, was_doomed = r->dissolve_reason != NULL;
 	struct replica_step step;
 
 	for (unsigned i = 0; i < r->n; i++)
-		replica_member_look(r, &r->members[i],
+		replica_member_refresh(r, &r->members[i],
 		    fleet_find(&k->dir->fleet, r->members[i].id), now_ms);
 	replica_ask(k, r, now_ms);
 	for (unsigned turn = 0; turn < r->n; turn++) {
-		replica_next(r, now_ms, k->stall_ms, &step);
-		if (step.act == REPLICA_GONE) {
+		replica_next_step(r, now_ms, k->stall_ms, &step);
+		if (step.action == REPLICA_DISSOLVED) {
 			replica_log_end(r, step.proof, now_ms);
 			replica_note_out(k, r, step.proof);
 			replica_end(k, r, now_ms);
 			return;
 		}
-		if (step.act != REPLICA_ORDER || !keeper_calls_free(k))
+		if (step.action != REPLICA_ORDER || !keeper_calls_free(k))
 			break;
 		keeper_order(k, r, step.member, step.order);
 	}
@@ -154,10 +156,10 @@
 		event_log(LOG_NOTICE, "group_serves",
 		    "group=%s epoch=%lld model=%s ms=%llu", r->name,
 		    (long long)r->epoch, r->model,
-		    (unsigned long long)(now_ms - r->made_ms));
-	if (!was_doomed && r->doomed != NULL)
+		    (unsigned long long)(now_ms - r->known_ms));
+	if (!was_doomed && r->dissolve_reason != NULL)
 		keeper_doomed(k, r, now_ms);
-	if (replica_settles(r, now_ms)) {
+	if (replica_can_settle(r, now_ms)) {
 		r->settled = true;
 		keeper_record_replica(k, r, false);
 	}
@@ -170,7 +172,8 @@
 	const struct replica *r;
 
 	TAILQ_FOREACH(r, &k->replicas, entry) {
-		if (!r->opened || r->doomed != NULL || r->suspect_ms != 0)
+		if (!r->opened || r->dissolve_reason != NULL ||
+		    r->suspect_ms != 0)
 			return (true);
 	}
 	return (k->records->len > 0 || k->more);
--- a/src/replica-stage.c
+++ b/src/planner-copies.c
@@ -3,32 +3,33 @@
 #include <math.h>
 #include <string.h>
 
-#include "replica-form.h"
+#include "planner.h"
 
 /* Whether a host lacks a model and can be given a copy of it. */
 static bool
-host_needs_copy(const struct form_host *h, const struct model_profile *m)
+host_needs_copy(const struct planner_host *h, const struct model_profile *m)
 {
-	return (h->staging == NULL && !form_host_has(h, m));
+	return (h->copying == NULL && !planner_host_has_model(h, m));
 }
 
 /* Selects a host of a fabric domain for a copy of the largest model: a free one
  * or else one of a possible donor. */
-static const struct form_host *
-copy_select_host(const struct form_view *view, unsigned fabric)
+static const struct planner_host *
+copy_select_host(const struct planner_view *view, unsigned fabric)
 {
-	const struct model_profile *largest = form_model(view, view->largest);
-	const struct form_host *donor = NULL;
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
+	const struct planner_host *donor = NULL;
 
-	for (guint n = 0; n < form_fabric_at(view, fabric)->hosts; n++) {
-		const struct form_host *h =
-		    form_host_at(view, form_fabric_host(view, fabric, n));
+	for (guint n = 0; n < planner_fabric_at(view, fabric)->hosts; n++) {
+		const struct planner_host *h =
+		    planner_host_at(view, planner_fabric_host(view, fabric, n));
 
 		if (!host_needs_copy(h, largest))
 			continue;
 		if (h->free)
 			return (h);
-		if (donor == NULL && form_host_donates(h, largest))
+		if (donor == NULL && planner_host_can_donate(h, largest))
 			donor = h;
 	}
 	return (donor);
@@ -36,14 +37,15 @@
 
 /* Number of copies of the largest model that a fabric domain lacks. */
 static unsigned
-fabric_missing_copies(const struct form_view *view, const struct form_fabric *f)
+fabric_missing_copies(const struct planner_view *view,
+    const struct planner_fabric *f)
 {
-	unsigned has = f->ready + f->donors + f->coming;
-	unsigned need = f->held >= f->cap ?
-	    FORM_SPARES_KEPT :
-	    form_model(view, view->largest)->size;
+	unsigned has = f->ready + f->donors + f->copying;
+	unsigned need = f->replicas >= f->max_replicas ?
+	    PLANNER_SPARE_COPIES :
+	    planner_model(view, view->largest)->size;
 
-	return (f->cap > 0 && has < need ? need - has : 0);
+	return (f->max_replicas > 0 && has < need ? need - has : 0);
 }
 
 /*
@@ -51,18 +53,20 @@
  * lacks fewest. Either only those whose replica is missing are considered, or
  * only those that need a spare copy.
  */
-static const struct form_host *
-copy_for_largest(const struct form_view *view, bool missing)
+static const struct planner_host *
+copy_for_largest(const struct planner_view *view, bool missing)
 {
-	const struct form_host *best = NULL;
+	const struct planner_host *best = NULL;
 	unsigned fewest = 0;
 
 	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
-		const struct form_fabric *f = form_fabric_at(view, fabric);
+		const struct planner_fabric *f =
+		    planner_fabric_at(view, fabric);
 		unsigned missing_copies = fabric_missing_copies(view, f);
-		const struct form_host *h;
+		const struct planner_host *h;
 
-		if (missing_copies == 0 || missing != (f->held < f->cap) ||
+		if (missing_copies == 0 ||
+		    missing != (f->replicas < f->max_replicas) ||
 		    (best != NULL && missing_copies >= fewest))
 			continue;
 		h = copy_select_host(view, fabric);
@@ -79,38 +83,41 @@
  * largest: the host has the largest in memory too, or there are other spares.
  */
 static bool
-host_copy_replaceable(const struct form_view *view, const struct form_host *h)
+host_copy_replaceable(const struct planner_view *view,
+    const struct planner_host *h)
 {
-	const struct model_profile *largest = form_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 
-	if (!form_host_has(h, largest) ||
-	    g_strcmp0(h->last, largest->name) == 0)
+	if (!planner_host_has_model(h, largest) ||
+	    g_strcmp0(h->loaded_model, largest->name) == 0)
 		return (true);
-	return (form_fabric_spares(form_fabric_at(view, h->at)));
+	return (planner_fabric_has_spares(
+	    planner_fabric_at(view, h->fabric_index)));
 }
 
 /*
  * Counts the free hosts of a fabric domain that have a model or are getting it,
  * and those that could be given it. Returns one of the latter, or NULL.
  */
-static const struct form_host *
-count_free_hosts(const struct form_view *view, const struct model_profile *m,
+static const struct planner_host *
+count_free_hosts(const struct planner_view *view, const struct model_profile *m,
     unsigned fabric, unsigned *has, unsigned *other)
 {
-	const struct form_host *pick = NULL;
+	const struct planner_host *pick = NULL;
 
 	*has = 0;
 	*other = 0;
-	for (guint n = 0; n < form_fabric_at(view, fabric)->hosts; n++) {
-		const struct form_host *h =
-		    form_host_at(view, form_fabric_host(view, fabric, n));
+	for (guint n = 0; n < planner_fabric_at(view, fabric)->hosts; n++) {
+		const struct planner_host *h =
+		    planner_host_at(view, planner_fabric_host(view, fabric, n));
 
 		if (!h->free)
 			continue;
-		if (form_host_has(h, m) ||
-		    g_strcmp0(h->staging, m->name) == 0) {
+		if (planner_host_has_model(h, m) ||
+		    g_strcmp0(h->copying, m->name) == 0) {
 			(*has)++;
-		} else if (h->staging == NULL &&
+		} else if (h->copying == NULL &&
 		    host_copy_replaceable(view, h)) {
 			(*other)++;
 			pick = h;
@@ -125,17 +132,17 @@
  * made before the join, since a load during the join would hold the hosts that
  * need none for just as long.
  */
-static const struct form_host *
-copy_for_small(const struct form_view *view, unsigned index)
+static const struct planner_host *
+copy_for_small(const struct planner_view *view, unsigned index)
 {
-	const struct model_profile *m = form_model(view, index);
-	const struct form_host *best = NULL;
+	const struct model_profile *m = planner_model(view, index);
+	const struct planner_host *best = NULL;
 	unsigned most = 0;
 
-	if (form_short(view, index) <= FORM_SHORT_LEAST)
+	if (planner_shortage(view, index) <= PLANNER_SHORTAGE_MIN)
 		return (NULL);
 	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
-		const struct form_host *pick;
+		const struct planner_host *pick;
 		unsigned has, other;
 
 		pick = count_free_hosts(view, m, fabric, &has, &other);
@@ -150,19 +157,19 @@
 
 /* Selects a free host for a spare copy of a small model in a fabric domain
  * where that model is served. */
-static const struct form_host *
-copy_for_small_spare(const struct form_view *view, unsigned index)
+static const struct planner_host *
+copy_for_small_spare(const struct planner_view *view, unsigned index)
 {
-	const struct model_profile *m = form_model(view, index);
+	const struct model_profile *m = planner_model(view, index);
 
 	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
-		const char *name = form_fabric_at(view, fabric)->name;
-		const struct form_host *pick;
+		const char *name = planner_fabric_at(view, fabric)->name;
+		const struct planner_host *pick;
 		unsigned has, other;
 
 		pick = count_free_hosts(view, m, fabric, &has, &other);
-		if (pick != NULL && has < FORM_SPARES_KEPT &&
-		    form_fabric_held(view, m, name) > 0)
+		if (pick != NULL && has < PLANNER_SPARE_COPIES &&
+		    planner_fabric_replicas(view, m, name) > 0)
 			return (pick);
 	}
 	return (NULL);
@@ -170,15 +177,16 @@
 
 /* The model with the greatest shortage among all but the largest. */
 static unsigned
-shortest_small_model(const struct form_view *view)
+shortest_small_model(const struct planner_view *view)
 {
 	const GPtrArray *models = view->engine->models;
 	unsigned best = view->largest;
 
-	for (guint k = 0; k < models->len && k < FORM_MODELS_MAX; k++) {
+	for (guint k = 0; k < models->len && k < PLANNER_MODELS_MAX; k++) {
 		if (k != view->largest &&
 		    (best == view->largest ||
-			form_short(view, k) > form_short(view, best)))
+			planner_shortage(view, k) >
+			    planner_shortage(view, best)))
 			best = k;
 	}
 	return (best);
@@ -189,16 +197,18 @@
  * NULL where it needs none now. A host with neither begins with the largest.
  */
 static const struct model_profile *
-host_second_model(const struct form_view *view, const struct form_host *h)
+host_second_model(const struct planner_view *view, const struct planner_host *h)
 {
-	const struct model_profile *largest = form_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 	const struct model_profile *small =
-	    form_model(view, shortest_small_model(view));
+	    planner_model(view, shortest_small_model(view));
 
 	if (h->group != NULL && !h->group->opened)
 		return (NULL);
-	if (h->last != NULL)
-		return (strcmp(h->last, largest->name) == 0 ? small : largest);
+	if (h->loaded_model != NULL)
+		return (strcmp(h->loaded_model, largest->name) == 0 ? small :
+								      largest);
 	return (h->staged->len == 0 ? largest : NULL);
 }
 
@@ -207,12 +217,12 @@
  * so every host gets one of a model that it does not have in memory: the
  * largest model besides a small one, and a small one besides the largest.
  */
-static const struct form_host *
-copy_before_requests(const struct form_view *view,
+static const struct planner_host *
+copy_before_requests(const struct planner_view *view,
     const struct model_profile **model)
 {
 	for (guint i = 0; i < view->hosts->len; i++) {
-		const struct form_host *h = form_host_at(view, i);
+		const struct planner_host *h = planner_host_at(view, i);
 
 		*model = host_second_model(view, h);
 		if (*model != NULL && host_needs_copy(h, *model))
@@ -222,8 +232,8 @@
 }
 
 /**
- * form_warm() - find a free host that should load the largest model into
- * memory from its own copy.
+ * planner_plan_warming() - find a free host that should load the largest model
+ * into memory from its own copy.
  * @view: the view
  *
  * With the model in memory, the host joins a replica in a tenth of the time,
@@ -231,16 +241,17 @@
  *
  * Return: the host, or NULL.
  */
-const struct form_host *
-form_warm(const struct form_view *view)
+const struct planner_host *
+planner_plan_warming(const struct planner_view *view)
 {
-	const struct model_profile *largest = form_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 
 	for (guint i = 0; i < view->hosts->len; i++) {
-		const struct form_host *h = form_host_at(view, i);
+		const struct planner_host *h = planner_host_at(view, i);
 
-		if (h->free && !h->warming && h->last == NULL &&
-		    h->staging == NULL && form_host_has(h, largest))
+		if (h->free && !h->warming && h->loaded_model == NULL &&
+		    h->copying == NULL && planner_host_has_model(h, largest))
 			return (h);
 	}
 	return (NULL);
@@ -248,40 +259,41 @@
 
 /* Selects a host for a copy that a missing replica needs, for the model with
  * the lowest supply ratio. */
-static const struct form_host *
-copy_for_missing(const struct form_view *view,
+static const struct planner_host *
+copy_for_missing(const struct planner_view *view,
     const struct model_profile **model)
 {
 	const GPtrArray *models = view->engine->models;
-	const struct form_host *best = NULL;
+	const struct planner_host *best = NULL;
 	double worst = INFINITY;
 
-	for (guint k = 0; k < models->len && k < FORM_MODELS_MAX; k++) {
-		const struct form_host *h;
+	for (guint k = 0; k < models->len && k < PLANNER_MODELS_MAX; k++) {
+		const struct planner_host *h;
 
-		if (form_served(view, k) >= worst)
+		if (planner_supply_ratio(view, k) >= worst)
 			continue;
 		h = k == view->largest ? copy_for_largest(view, true) :
 					 copy_for_small(view, k);
 		if (h == NULL)
 			continue;
 		best = h;
-		worst = form_served(view, k);
+		worst = planner_supply_ratio(view, k);
 		*model = models->pdata[k];
 	}
 	return (best);
 }
 
 /* Selects a host for a spare copy, first of the largest model. */
-static const struct form_host *
-copy_for_spare(const struct form_view *view, const struct model_profile **model)
+static const struct planner_host *
+copy_for_spare(const struct planner_view *view,
+    const struct model_profile **model)
 {
 	const GPtrArray *models = view->engine->models;
-	const struct form_host *h = copy_for_largest(view, false);
+	const struct planner_host *h = copy_for_largest(view, false);
 
-	*model = form_model(view, view->largest);
-	for (guint k = 0; h == NULL && k < models->len && k < FORM_MODELS_MAX;
-	     k++) {
+	*model = planner_model(view, view->largest);
+	for (guint k = 0;
+	     h == NULL && k < models->len && k < PLANNER_MODELS_MAX; k++) {
 		if (k == view->largest)
 			continue;
 		*model = models->pdata[k];
@@ -291,22 +303,23 @@
 }
 
 /**
- * form_stage() - find a host that should get a copy of a model.
+ * planner_plan_copy() - find a host that should get a copy of a model.
  * @view: the view
  * @model: set to the model, if a host is found
  *
  * Return: the host, or NULL.
  */
-const struct form_host *
-form_stage(const struct form_view *view, const struct model_profile **model)
+const struct planner_host *
+planner_plan_copy(const struct planner_view *view,
+    const struct model_profile **model)
 {
-	const struct form_host *h;
+	const struct planner_host *h;
 
-	if (view->loads == 0 || view->engine->models->len < 2)
+	if (view->loads_free == 0 || view->engine->models->len < 2)
 		return (NULL);
 	if (!view->serving)
-		return (
-		    view->settled ? copy_before_requests(view, model) : NULL);
+		return (view->hosts_stable ? copy_before_requests(view, model) :
+					     NULL);
 	h = copy_for_missing(view, model);
 	return (h != NULL ? h : copy_for_spare(view, model));
 }
--- a/src/replica-demand.c
+++ b/src/planner-demand.c
@@ -10,7 +10,7 @@
 #include <math.h>
 #include <string.h>
 
-#include "replica-demand.h"
+#include "planner-demand.h"
 
 /* Time constant of the moving average: a burst of some seconds is over before a
  * replica that is formed for it would serve. */
@@ -40,81 +40,83 @@
  * without; where all have a limit, the previous average stands.
  */
 static double
-demand_hosts(const struct form_demand *d, const struct form_view *view,
-    unsigned model, const struct form_seen *seen)
+demand_hosts(const struct planner_demand *d, const struct planner_view *view,
+    unsigned model, const struct demand_sample *seen)
 {
 	double slots = MAX(view->engine->slots, 1);
 	double running = seen->running;
 
 	if (seen->limited > 0 && seen->unlimited == 0)
-		return (d->busy[model]);
+		return (d->busy_hosts[model]);
 	if (seen->limited > 0)
 		running *= 1 + (double)seen->limited / seen->unlimited;
-	return (running / slots * form_model(view, model)->size);
+	return (running / slots * planner_model(view, model)->size);
 }
 
 /**
- * form_demand_note() - add a sample of the requests that run now.
+ * planner_demand_update() - add a sample of the requests that run now.
  * @d: the demand
  * @view: the view, for the service's models
  * @seen: a sample for each model, in the order of the profile
  * @now_ms: loop time
  */
 void
-form_demand_note(struct form_demand *d, const struct form_view *view,
-    const struct form_seen *seen, uint64_t now_ms)
+planner_demand_update(struct planner_demand *d, const struct planner_view *view,
+    const struct demand_sample *seen, uint64_t now_ms)
 {
-	unsigned n = MIN(view->engine->models->len, FORM_MODELS_MAX);
+	unsigned n = MIN(view->engine->models->len, PLANNER_MODELS_MAX);
 	double weight = 1.0;
 
-	if (d->noted_ms == 0)
-		d->begun_ms = now_ms;
+	if (d->updated_ms == 0)
+		d->first_ms = now_ms;
 	else
-		weight =
-		    -expm1(-(double)(now_ms - d->noted_ms) / DEMAND_AVERAGE_MS);
-	d->noted_ms = MAX(now_ms, 1);
+		weight = -expm1(
+		    -(double)(now_ms - d->updated_ms) / DEMAND_AVERAGE_MS);
+	d->updated_ms = MAX(now_ms, 1);
 	for (unsigned i = 0; i < n; i++) {
 		double hosts = demand_hosts(d, view, i, &seen[i]);
 
-		d->busy[i] += weight * (hosts - d->busy[i]);
+		d->busy_hosts[i] += weight * (hosts - d->busy_hosts[i]);
 	}
 }
 
 /* The bound on replicas of the largest model; without a bound, the number that
  * its configured share gives. */
 static unsigned
-demand_bound(const struct form_demand *d, double full)
+demand_bound(const struct planner_demand *d, double full)
 {
-	return (d->most != 0 ? d->most : (unsigned)floor(full + 0.5));
+	return (
+	    d->largest_max != 0 ? d->largest_max : (unsigned)floor(full + 0.5));
 }
 
 /* Changes the bound on replicas of the largest model by one where that is due.
  */
 static void
-demand_change_bound(struct form_demand *d, struct form_view *view, double share,
-    uint64_t now_ms)
+demand_change_bound(struct planner_demand *d, struct planner_view *view,
+    double share, uint64_t now_ms)
 {
-	double size = form_model(view, view->largest)->size;
-	double full = form_view_full(view);
+	double size = planner_model(view, view->largest)->size;
+	double full = planner_view_choose_cap(view);
 	double want = share * view->hosts->len / size;
-	double least = d->busy[view->largest] / size / DEMAND_UTILIZATION_MAX;
+	double least =
+	    d->busy_hosts[view->largest] / size / DEMAND_UTILIZATION_MAX;
 	unsigned most = demand_bound(d, full);
 
-	if (now_ms - d->moved_ms < DEMAND_CHANGE_INTERVAL_MS)
+	if (now_ms - d->bound_changed_ms < DEMAND_CHANGE_INTERVAL_MS)
 		return;
 	if (most > 1 && want < most - DEMAND_CHANGE_MIN && least <= most - 1.0)
 		most--;
-	else if (d->most != 0 &&
+	else if (d->largest_max != 0 &&
 	    (want > most + DEMAND_CHANGE_MIN || least > most))
 		most++;
 	else
 		return;
-	d->moved_ms = now_ms;
-	d->most = most < full - DEMAND_LIFT_MARGIN ? most : 0;
+	d->bound_changed_ms = now_ms;
+	d->largest_max = most < full - DEMAND_LIFT_MARGIN ? most : 0;
 }
 
 /**
- * form_demand_apply() - set a view's shares of the work and its bound on the
+ * planner_demand_apply() - set a view's shares of the work and its bound on the
  * largest model from the demand.
  * @d: the demand
  * @view: the view; its hosts have been counted
@@ -123,24 +125,24 @@
  * Where the measured work fits the configured shares, nothing changes.
  */
 void
-form_demand_apply(struct form_demand *d, struct form_view *view,
+planner_demand_apply(struct planner_demand *d, struct planner_view *view,
     uint64_t now_ms)
 {
-	unsigned n = MIN(view->engine->models->len, FORM_MODELS_MAX);
-	double work[FORM_MODELS_MAX], sum = 0;
+	unsigned n = MIN(view->engine->models->len, PLANNER_MODELS_MAX);
+	double work[PLANNER_MODELS_MAX], sum = 0;
 
-	if (n < 2 || d->noted_ms == 0)
+	if (n < 2 || d->updated_ms == 0)
 		return;
-	view->most = d->most;
+	view->largest_max = d->largest_max;
 	for (unsigned i = 0; i < n; i++)
-		sum += d->busy[i];
-	if (sum <= 0 || now_ms - d->begun_ms < DEMAND_OBSERVE_MS)
+		sum += d->busy_hosts[i];
+	if (sum <= 0 || now_ms - d->first_ms < DEMAND_OBSERVE_MS)
 		return;
 	for (unsigned i = 0; i < n; i++)
-		work[i] = (1 - DEMAND_WEIGHT) * view->work[i] +
-		    DEMAND_WEIGHT * d->busy[i] / sum;
+		work[i] = (1 - DEMAND_WEIGHT) * view->work_share[i] +
+		    DEMAND_WEIGHT * d->busy_hosts[i] / sum;
 	demand_change_bound(d, view, work[view->largest], now_ms);
-	view->most = d->most;
-	if (d->most != 0)
-		memcpy(view->work, work, n * sizeof work[0]);
+	view->largest_max = d->largest_max;
+	if (d->largest_max != 0)
+		memcpy(view->work_share, work, n * sizeof work[0]);
 }
--- a/src/replica-form.c
+++ b/src/planner-replicas.c
@@ -3,7 +3,7 @@
 #include <math.h>
 #include <string.h>
 
-#include "replica-form.h"
+#include "planner.h"
 
 /* Where a host gets a model from, cheapest first. */
 enum model_source {
@@ -30,11 +30,11 @@
 
 /* Where a host would get a model from. */
 static enum model_source
-host_source(const struct form_host *h, const struct model_profile *m)
+host_source(const struct planner_host *h, const struct model_profile *m)
 {
-	if (g_strcmp0(h->last, m->name) == 0)
+	if (g_strcmp0(h->loaded_model, m->name) == 0)
 		return (SOURCE_MEMORY);
-	return (form_host_has(h, m) ? SOURCE_COPY : SOURCE_STORE);
+	return (planner_host_has_model(h, m) ? SOURCE_COPY : SOURCE_STORE);
 }
 
 /*
@@ -43,11 +43,11 @@
  * it.
  */
 static bool
-fabric_reserves_copies(const struct form_view *view,
-    const struct form_fabric *f)
+fabric_reserves_copies(const struct planner_view *view,
+    const struct planner_fabric *f)
 {
-	return (f->held < f->cap &&
-	    f->ready >= form_model(view, view->largest)->size);
+	return (f->replicas < f->max_replicas &&
+	    f->ready >= planner_model(view, view->largest)->size);
 }
 
 /*
@@ -58,17 +58,20 @@
  * other spares for it, or for a model with a lower supply ratio.
  */
 static bool
-host_may_switch(const struct form_view *view, const struct form_host *h,
+host_may_switch(const struct planner_view *view, const struct planner_host *h,
     const struct replica_candidate *c)
 {
-	const struct form_fabric *f = form_fabric_at(view, h->at);
+	const struct planner_fabric *f =
+	    planner_fabric_at(view, h->fabric_index);
 
 	if (fabric_reserves_copies(view, f) &&
-	    form_served(view, view->largest) <= form_served(view, c->index))
+	    planner_supply_ratio(view, view->largest) <=
+		planner_supply_ratio(view, c->index))
 		return (false);
-	return (g_strcmp0(h->last, c->model->name) == 0 || !view->serving ||
-	    form_fabric_spares(f) ||
-	    form_served(view, c->index) < form_served(view, view->largest));
+	return (g_strcmp0(h->loaded_model, c->model->name) == 0 ||
+	    !view->serving || planner_fabric_has_spares(f) ||
+	    planner_supply_ratio(view, c->index) <
+		planner_supply_ratio(view, view->largest));
 }
 
 /*
@@ -76,37 +79,39 @@
  * a model that was copied to them before.
  */
 static bool
-candidate_can_use(const struct form_view *view, const struct form_host *h,
+candidate_can_use(const struct planner_view *view, const struct planner_host *h,
     const struct replica_candidate *c)
 {
-	const struct model_profile *largest = form_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 
-	if (!h->free || h->at != c->fabric)
+	if (!h->free || h->fabric_index != c->fabric)
 		return (false);
-	if (c->model != largest && form_host_has(h, largest) &&
+	if (c->model != largest && planner_host_has_model(h, largest) &&
 	    !host_may_switch(view, h, c))
 		return (false);
-	if (form_host_has(h, c->model) || view->engine->models->len == 1)
+	if (planner_host_has_model(h, c->model) ||
+	    view->engine->models->len == 1)
 		return (true);
-	return (!view->serving && h->staging == NULL &&
-	    (c->model == largest || !form_host_has(h, largest)));
+	return (!view->serving && h->copying == NULL &&
+	    (c->model == largest || !planner_host_has_model(h, largest)));
 }
 
 /* Counts the hosts that a candidate may use, and those that need no load. */
 static void
-candidate_count_hosts(const struct form_view *view,
+candidate_count_hosts(const struct planner_view *view,
     const struct replica_candidate *c, unsigned *free, unsigned *local)
 {
 	*free = 0;
 	*local = 0;
-	for (guint n = 0; n < form_fabric_at(view, c->fabric)->hosts; n++) {
-		const struct form_host *h =
-		    form_host_at(view, form_fabric_host(view, c->fabric, n));
+	for (guint n = 0; n < planner_fabric_at(view, c->fabric)->hosts; n++) {
+		const struct planner_host *h = planner_host_at(view,
+		    planner_fabric_host(view, c->fabric, n));
 
 		if (!candidate_can_use(view, h, c))
 			continue;
 		(*free)++;
-		*local += form_host_has(h, c->model);
+		*local += planner_host_has_model(h, c->model);
 	}
 }
 
@@ -116,42 +121,43 @@
  * score because they cost time and money.
  */
 static double
-candidate_score(const struct form_view *view, const struct replica_candidate *c)
+candidate_score(const struct planner_view *view,
+    const struct replica_candidate *c)
 {
 	double wanted = MAX(view->wanted[c->index], 0.5);
-	double here = form_domain_held(view, c->model,
-			  form_fabric_at(view, c->fabric)->domain) /
+	double here = planner_domain_replicas(view, c->model,
+			  planner_fabric_at(view, c->fabric)->domain) /
 	    wanted;
 
-	return (form_short(view, c->index) / wanted - here -
+	return (planner_shortage(view, c->index) / wanted - here -
 	    LOAD_WEIGHT * c->loads / c->model->size);
 }
 
 /* Whether a candidate is permitted at all. */
 static bool
-candidate_permitted(const struct form_view *view,
+candidate_permitted(const struct planner_view *view,
     const struct replica_candidate *c)
 {
-	const struct form_fabric *f = form_fabric_at(view, c->fabric);
+	const struct planner_fabric *f = planner_fabric_at(view, c->fabric);
 	bool largest = c->index == view->largest;
 
 	/* Before requests come, small replicas wait until all hosts are there
 	 * and use those that large ones leave. */
-	if (!view->serving && !view->settled && !largest)
+	if (!view->serving && !view->hosts_stable && !largest)
 		return (false);
-	if (largest && f->held >= f->cap)
+	if (largest && f->replicas >= f->max_replicas)
 		return (false);
 	/* Hosts that have the model already may as well serve it. */
 	if (c->loads == 0)
 		return (true);
-	return (c->loads <= view->loads &&
-	    form_short(view, c->index) > FORM_SHORT_LEAST);
+	return (c->loads <= view->loads_free &&
+	    planner_shortage(view, c->index) > PLANNER_SHORTAGE_MIN);
 }
 
 /* Computes the loads and the score of a candidate. Returns false where it has
  * too few hosts or is not permitted. */
 static bool
-candidate_evaluate(const struct form_view *view, struct replica_candidate *c)
+candidate_evaluate(const struct planner_view *view, struct replica_candidate *c)
 {
 	unsigned free, local, size = c->model->size;
 
@@ -167,17 +173,17 @@
 
 /* Selects the members of a candidate, those with the cheapest source first. */
 static void
-plan_select_members(const struct form_view *view,
-    const struct replica_candidate *c, struct form_plan *plan)
+plan_select_members(const struct planner_view *view,
+    const struct replica_candidate *c, struct replica_plan *plan)
 {
 	plan->model = c->model;
 	plan->loads = c->loads;
 	plan->members = g_array_new(FALSE, FALSE, sizeof(guint));
 	for (int source = SOURCE_MEMORY; source <= SOURCE_STORE; source++) {
-		for (guint n = 0; n < form_fabric_at(view, c->fabric)->hosts;
+		for (guint n = 0; n < planner_fabric_at(view, c->fabric)->hosts;
 		     n++) {
-			guint i = form_fabric_host(view, c->fabric, n);
-			const struct form_host *h = form_host_at(view, i);
+			guint i = planner_fabric_host(view, c->fabric, n);
+			const struct planner_host *h = planner_host_at(view, i);
 
 			if (plan->members->len == c->model->size)
 				return;
@@ -190,19 +196,19 @@
 }
 
 /**
- * form_next() - plan the next replica to form.
+ * planner_plan_replica() - plan the next replica to form.
  * @view: the view
  * @plan: set to the plan; the caller frees its members
  *
  * Return: false where no replica should be formed now.
  */
 bool
-form_next(const struct form_view *view, struct form_plan *plan)
+planner_plan_replica(const struct planner_view *view, struct replica_plan *plan)
 {
 	struct replica_candidate best = { .score = -INFINITY };
 	const GPtrArray *models = view->engine->models;
 
-	for (guint k = 0; k < models->len && k < FORM_MODELS_MAX; k++) {
+	for (guint k = 0; k < models->len && k < PLANNER_MODELS_MAX; k++) {
 		for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
 			struct replica_candidate c = { .model =
 							   models->pdata[k],
@@ -225,27 +231,30 @@
  * supply ratio is still at least that of the largest model.
  */
 static bool
-donor_can_be_spared(const struct form_view *view, const struct replica *donor)
+donor_can_be_spared(const struct planner_view *view,
+    const struct replica *donor)
 {
-	unsigned k = form_model_index(view, donor->model);
-	double after = (view->held[k] - 1.0) / MAX(view->shares[k], 0.5);
+	unsigned k = planner_model_index(view, donor->model);
+	double after =
+	    (view->replicas[k] - 1.0) / MAX(view->share_replicas[k], 0.5);
 
-	return (after >= form_served(view, view->largest));
+	return (after >= planner_supply_ratio(view, view->largest));
 }
 
 /* The first replica of a fabric domain that may donate its hosts to the largest
  * model, or NULL. */
 static struct replica *
-fabric_donor(const struct form_view *view, unsigned fabric)
+fabric_donor(const struct planner_view *view, unsigned fabric)
 {
-	const struct model_profile *largest = form_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 
-	for (guint n = 0; n < form_fabric_at(view, fabric)->hosts; n++) {
-		const struct form_host *h =
-		    form_host_at(view, form_fabric_host(view, fabric, n));
+	for (guint n = 0; n < planner_fabric_at(view, fabric)->hosts; n++) {
+		const struct planner_host *h =
+		    planner_host_at(view, planner_fabric_host(view, fabric, n));
 
-		if (form_host_has(h, largest) &&
-		    form_host_donates(h, largest) &&
+		if (planner_host_has_model(h, largest) &&
+		    planner_host_can_donate(h, largest) &&
 		    donor_can_be_spared(view, h->group))
 			return (h->group);
 	}
@@ -253,24 +262,25 @@
 }
 
 /**
- * form_donor() - find a replica to dissolve so that one of the largest model
- * can form.
+ * planner_find_donor() - find a replica to dissolve so that one of the largest
+ * model can form.
  * @view: the view
  *
  * Return: the replica, or NULL where none is needed or none would do.
  */
 struct replica *
-form_donor(const struct form_view *view)
+planner_find_donor(const struct planner_view *view)
 {
-	unsigned size = form_model(view, view->largest)->size;
+	unsigned size = planner_model(view, view->largest)->size;
 
-	if (form_short(view, view->largest) < 0.5)
+	if (planner_shortage(view, view->largest) < 0.5)
 		return (NULL);
 	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
-		const struct form_fabric *f = form_fabric_at(view, fabric);
+		const struct planner_fabric *f =
+		    planner_fabric_at(view, fabric);
 		struct replica *donor = NULL;
 
-		if (f->held < f->cap && f->ready < size &&
+		if (f->replicas < f->max_replicas && f->ready < size &&
 		    f->ready + f->donors >= size)
 			donor = fabric_donor(view, fabric);
 		if (donor != NULL)
@@ -280,29 +290,32 @@
 }
 
 /**
- * form_surplus() - find a replica of the largest model to dissolve because its
- * hosts serve more requests in replicas of other models.
+ * planner_find_surplus() - find a replica of the largest model to dissolve
+ * because its hosts serve more requests in replicas of other models.
  * @view: the view
  *
  * Return: the replica, or NULL.
  */
 struct replica *
-form_surplus(const struct form_view *view)
+planner_find_surplus(const struct planner_view *view)
 {
-	const struct model_profile *largest = form_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 
-	if (view->most == 0 || view->held[view->largest] <= view->most)
+	if (view->largest_max == 0 ||
+	    view->replicas[view->largest] <= view->largest_max)
 		return (NULL);
 	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
-		const struct form_fabric *f = form_fabric_at(view, fabric);
+		const struct planner_fabric *f =
+		    planner_fabric_at(view, fabric);
 
-		if (f->held <= f->cap)
+		if (f->replicas <= f->max_replicas)
 			continue;
 		for (guint n = 0; n < f->hosts; n++) {
-			const struct form_host *h = form_host_at(view,
-			    form_fabric_host(view, fabric, n));
+			const struct planner_host *h = planner_host_at(view,
+			    planner_fabric_host(view, fabric, n));
 
-			if (h->group != NULL && replica_wanted(h->group) &&
+			if (h->group != NULL && replica_active(h->group) &&
 			    h->group->opened &&
 			    strcmp(h->group->model, largest->name) == 0)
 				return (h->group);
--- a/src/replica-member.c
+++ b/src/replica-member.c
@@ -7,53 +7,55 @@
 #define MEMBER_SILENT_MS 500
 
 /**
- * replica_member_report() - update a member from a report.
+ * replica_member_set_report() - update a member from a report.
  * @r: the replica
  * @m: the member
  * @report: its report
  * @now_ms: loop time of the report
  */
 void
-replica_member_report(const struct replica *r, struct replica_member *m,
+replica_member_set_report(const struct replica *r, struct replica_member *m,
     const struct endpoint_report *report, uint64_t now_ms)
 {
-	m->told_ms = now_ms;
-	m->here =
+	m->reported_ms = now_ms;
+	m->in_group =
 	    g_strcmp0(report->group, r->name) == 0 && report->epoch == r->epoch;
-	m->elsewhere =
-	    !m->here && report->group != NULL && report->epoch > r->epoch;
-	m->state = m->here ? report->state : GROUP_NONE;
-	m->fenced = m->fenced || m->elsewhere;
+	m->in_newer_group =
+	    !m->in_group && report->group != NULL && report->epoch > r->epoch;
+	m->state = m->in_group ? report->state : GROUP_NONE;
+	m->was_in_newer_group = m->was_in_newer_group || m->in_newer_group;
 }
 
 /**
- * replica_member_told() - update a member from an answer to a status request.
+ * replica_member_set_answer() - update a member from an answer to a status
+ * request.
  * @r: the replica
  * @m: the member
  * @report: the report; it doesn't say which incarnation sent it
  * @now_ms: loop time of the report
  */
 void
-replica_member_told(const struct replica *r, struct replica_member *m,
+replica_member_set_answer(const struct replica *r, struct replica_member *m,
     const struct endpoint_report *report, uint64_t now_ms)
 {
-	replica_member_report(r, m, report, now_ms);
-	m->unproven = !m->joined;
-	m->silent_ms = 0;
+	replica_member_set_report(r, m, report, now_ms);
+	m->unverified = !m->joined;
+	m->silent_since_ms = 0;
 }
 
 /**
- * replica_member_out() - whether a member has left its group for good.
+ * replica_member_released() - whether a member has left its group for good.
  * @m: the member
  *
  * Return: true where no order that may still be on its way to the member can
  * take it back.
  */
 bool
-replica_member_out(const struct replica_member *m)
+replica_member_released(const struct replica_member *m)
 {
-	return (m->life == MEMBER_DEAD || m->elsewhere || m->fenced ||
-	    (m->left && m->left_ms >= m->late_until_ms));
+	return (m->liveness == MEMBER_DEAD || m->in_newer_group ||
+	    m->was_in_newer_group ||
+	    (m->left && m->left_ms >= m->late_join_until_ms));
 }
 
 /* Updates a member from its entry, which is stored under its own id. */
@@ -61,9 +63,9 @@
 member_set_entry(const struct replica *r, struct replica_member *m,
     const struct endpoint *ep)
 {
-	replica_member_report(r, m, &ep->report, ep->seen_ms);
-	m->unproven = false;
-	m->joined = m->joined || m->here;
+	replica_member_set_report(r, m, &ep->report, ep->seen_ms);
+	m->unverified = false;
+	m->joined = m->joined || m->in_group;
 }
 
 /* Whether the entry of a member is current. */
@@ -74,7 +76,7 @@
 }
 
 /**
- * replica_member_look() - update a member from the endpoint of its host.
+ * replica_member_refresh() - update a member from the endpoint of its host.
  * @r: the replica
  * @m: the member
  * @ep: its endpoint; NULL once its entry is gone and nothing references it
@@ -84,19 +86,20 @@
  * that has lost its connection to the store is still a member.
  */
 void
-replica_member_look(const struct replica *r, struct replica_member *m,
+replica_member_refresh(const struct replica *r, struct replica_member *m,
     const struct endpoint *ep, uint64_t now_ms)
 {
-	if (m->absent || m->life == MEMBER_DEAD) {
-		m->life = MEMBER_DEAD;
+	if (m->address_reused || m->liveness == MEMBER_DEAD) {
+		m->liveness = MEMBER_DEAD;
 		return;
 	}
 	if (!entry_current(ep))
-		m->life = MEMBER_LAPSED;
+		m->liveness = MEMBER_LAPSED;
 	else
-		m->life = ep->draining ? MEMBER_DRAINING : MEMBER_ALIVE;
-	if (m->silent_ms != 0 && now_ms - m->silent_ms >= MEMBER_SILENT_MS)
-		m->life = MEMBER_SILENT;
-	if (ep != NULL && ep->seen_ms >= m->told_ms)
+		m->liveness = ep->draining ? MEMBER_DRAINING : MEMBER_ALIVE;
+	if (m->silent_since_ms != 0 &&
+	    now_ms - m->silent_since_ms >= MEMBER_SILENT_MS)
+		m->liveness = MEMBER_SILENT;
+	if (ep != NULL && ep->seen_ms >= m->reported_ms)
 		member_set_entry(r, m, ep);
 }
--- a/src/replica.h
+++ b/src/replica.h
@@ -17,41 +17,41 @@
 /* An order that had no answer or no visible effect is repeated after this
  * time; it is well above the time of an answer and well below that of a load.
  */
-#define REPLICA_ORDER_AGAIN_MS 1200
+#define REPLICA_ORDER_RETRY_MS 1200
 /* An accepted join appears in the host's report within this time; after that,
  * the order is repeated. */
-#define REPLICA_JOIN_SHOWS_MS 3000
+#define REPLICA_JOIN_RETRY_MS 3000
 /* A group that is not complete after this time is dissolved. It is twice the
  * longest load time while other loads run. */
-#define REPLICA_FORM_MOST_MS 60000
+#define REPLICA_FORM_TIMEOUT_MS 60000
 /* Time for the group of a leaving member to finish its requests: the platform
  * keeps the member that long, plus a margin. */
-#define REPLICA_FINISH_MS 8000
+#define REPLICA_LEAVE_DRAIN_MS 8000
 /* Time for a replica to finish its requests when another replica needs its
  * hosts. Its streams can continue on other replicas, and a missing large
  * replica costs more than moving them. */
-#define REPLICA_DONATE_MS 700
+#define REPLICA_DONOR_DRAIN_MS 700
 /* Time for a surplus replica to finish its requests: nothing waits for its
  * hosts, so its streams may end first. */
-#define REPLICA_SURPLUS_MS 3000
+#define REPLICA_SURPLUS_DRAIN_MS 3000
 /* An order that had no answer is carried out within this time, if at all:
  * endpoints have been observed to take 2 to 12 s. */
-#define REPLICA_LATE_MS 12500
+#define REPLICA_LATE_ORDER_MS 12500
 /* Orders are sent only if the placer's lease was verified within this time, so
  * a placer that has lost the lease may still send orders for this long. */
-#define REPLICA_OUTDONE_MS 1500
+#define REPLICA_LEASE_FRESH_MS 1500
 /* A report that is read at least this long after a change was made after it:
  * this is well above the lag of reports. */
-#define REPLICA_BACK_MS 1000
+#define REPLICA_REPORT_LAG_MS 1000
 /* A replica that will be dissolved within this time counts as ending soon:
  * about the time that another replica takes to donate hosts instead. */
-#define REPLICA_SOON_MS 1000
+#define REPLICA_ENDS_SOON_MS 1000
 /* Time between the notice that a head is about to close and the order to close
  * it: the notice takes this long to reach the other daemons. */
-#define REPLICA_WARN_MS 150
+#define REPLICA_CLOSE_NOTICE_MS 150
 
 /**
- * enum member_life - liveness of a member.
+ * enum member_liveness - liveness of a member.
  * @MEMBER_ALIVE: its entry in the store is current
  * @MEMBER_DRAINING: it has announced that it is leaving
  * @MEMBER_LAPSED: its entry is gone; it may still serve and answer
@@ -59,7 +59,7 @@
  *	serve clients that can reach it
  * @MEMBER_DEAD: its incarnation has ended
  */
-enum member_life {
+enum member_liveness {
 	MEMBER_ALIVE,
 	MEMBER_DRAINING,
 	MEMBER_LAPSED,
@@ -71,60 +71,63 @@
  * struct replica_member - one host of a group.
  * @id: id of the host's incarnation
  * @address: address that takes its orders
- * @life: its liveness
- * @here: it reports this group and epoch
- * @elsewhere: it reports a group with a higher epoch
+ * @liveness: its liveness
+ * @in_group: it reports this group and epoch
+ * @in_newer_group: it reports a group with a higher epoch
  * @state: state of the group as it reports it
  * @ordered_ms: loop time at which the last order was sent to it; 0 for never
- * @order: the last order sent to it
- * @busy: an order to it has not ended yet
+ * @last_order: the last order sent to it
+ * @order_pending: an order to it has not ended yet
  * @left: it has answered that it is not in this group, or no longer
  * @joined: its entry named the group, or it has accepted an order to join that
  *	named this member
- * @unproven: its report came from whoever holds its address, before it had
+ * @unverified: its report came from whoever holds its address, before it had
  *	@joined; that may be another incarnation, since a status request does
  *	not name its addressee
- * @refused: it refused to join because it has seen a newer epoch
+ * @join_fenced: it refused to join because it has seen a newer epoch
  * @left_ms: loop time of the answer that set @left
- * @late_until_ms: loop time until which an order to join may still be carried
- *	out, because it had no answer or another placer may have sent it; 0 for
- *	none
- * @fenced: it has once reported a newer epoch, so it can't rejoin this group
- * @told_ms: loop time of its newest report, from its entry or a direct answer
+ * @late_join_until_ms: loop time until which an order to join may still be
+ *carried out, because it had no answer or another placer may have sent it; 0
+ *for none
+ * @was_in_newer_group: it has once reported a newer epoch, so it can't rejoin
+ *this group
+ * @reported_ms: loop time of its newest report, from its entry or a direct
+ *answer
  * @suspect_ms: loop time at which an order to it had no answer; 0 for never
  * @asked_ms: loop time of the last status request to it
- * @silent_ms: loop time since which it has not answered; 0 while it answers
- * @asking: a status request to it has not ended yet
- * @absent: another incarnation has its address
- * @doubt_ms: loop time at which an order to it last ended without an answer; 0
- *	for never
- * @doubt: that order; it may still be carried out
+ * @silent_since_ms: loop time since which it has not answered; 0 while it
+ *answers
+ * @ask_pending: a status request to it has not ended yet
+ * @address_reused: another incarnation has its address
+ * @unanswered_ms: loop time at which an order to it last ended without an
+ *answer; 0 for never
+ * @unanswered_order: that order; it may still be carried out
  */
 struct replica_member {
 	char *id;
 	struct sockaddr_in address;
-	enum member_life life;
-	bool here;
-	bool elsewhere;
+	enum member_liveness liveness;
+	bool in_group;
+	bool in_newer_group;
 	enum group_state state;
 	uint64_t ordered_ms;
-	enum order_kind order;
-	bool busy;
+	enum order_kind last_order;
+	bool order_pending;
 	bool left;
 	bool joined;
-	bool unproven;
-	bool refused;
+	bool unverified;
+	bool join_fenced;
 	uint64_t left_ms;
-	uint64_t late_until_ms;
-	bool fenced;
-	uint64_t told_ms;
+	uint64_t late_join_until_ms;
+	bool was_in_newer_group;
+	uint64_t reported_ms;
 	uint64_t suspect_ms;
 	uint64_t asked_ms;
-	uint64_t silent_ms;
-	bool asking;
-	bool absent;
-	uint64_t doubt_ms;
-	enum order_kind doubt;
+	uint64_t silent_since_ms;
+	bool ask_pending;
+	bool address_reused;
+	uint64_t unanswered_ms;
+	enum order_kind unanswered_order;
 };
 
 /**
@@ -133,21 +136,22 @@
  * @service: name of the service that its hosts belong to
  * @model: name of the model
  * @epoch: number of the group; each new group has a higher one
- * @made_ms: loop time at which this daemon first knew of it
+ * @known_ms: loop time at which this daemon first knew of it
  * @recorded: its record is in the store
  * @settled: its record says that it has served and that no order to join it is
  *	outstanding; no host is ordered to join it again
- * @doomed: reason for which it is being dissolved; NULL while it is active
- * @doomed_ms: loop time at which that began
- * @finish_ms: time in ms that it has to finish its requests before it is
+ * @dissolve_reason: reason for which it is being dissolved; NULL while it is
+ *active
+ * @dissolving_ms: loop time at which that began
+ * @drain_ms: time in ms that it has to finish its requests before it is
  *	cancelled; 0 to cancel at once
- * @open_asked: its head may have been ordered to open
+ * @open_ordered: its head may have been ordered to open
  * @opened: it has been seen to serve
  * @head_closed: the head has answered an order to close or to cancel; it takes
  *	no new requests
- * @split_ms: loop time since which a member has left while the head can't be
- *	reached; 0 for none
- * @donates: it is being dissolved so that other replicas get its hosts
+ * @member_left_ms: loop time since which a member has left while the head can't
+ *be reached; 0 for none
+ * @donor: it is being dissolved so that other replicas get its hosts
  * @adopted: it was found serving without a record and is being dissolved
  * @suspect_ms: loop time at which its streams fell silent; 0 for never
  * @n: number of members
@@ -159,17 +163,17 @@
 	char *service;
 	char *model;
 	int64_t epoch;
-	uint64_t made_ms;
+	uint64_t known_ms;
 	bool recorded;
 	bool settled;
-	const char *doomed;
-	uint64_t doomed_ms;
-	uint64_t finish_ms;
-	bool open_asked;
+	const char *dissolve_reason;
+	uint64_t dissolving_ms;
+	uint64_t drain_ms;
+	bool open_ordered;
 	bool opened;
 	bool head_closed;
-	uint64_t split_ms;
-	bool donates;
+	uint64_t member_left_ms;
+	bool donor;
 	bool adopted;
 	uint64_t suspect_ms;
 	unsigned n;
@@ -180,47 +184,47 @@
 TAILQ_HEAD(replica_list, replica);
 
 /**
- * enum replica_act - what to do next for a replica.
- * @REPLICA_NOTHING: nothing now
+ * enum replica_action - what to do next for a replica.
+ * @REPLICA_WAIT: nothing now
  * @REPLICA_ORDER: send an order to a member
  * @REPLICA_ASK: send a status request to a member
- * @REPLICA_GONE: remove it: no host serves in it and its hosts are free
+ * @REPLICA_DISSOLVED: remove it: no host serves in it and its hosts are free
  */
-enum replica_act {
-	REPLICA_NOTHING,
+enum replica_action {
+	REPLICA_WAIT,
 	REPLICA_ORDER,
 	REPLICA_ASK,
-	REPLICA_GONE,
+	REPLICA_DISSOLVED,
 };
 
 /**
  * enum replica_proof - why no host of a dissolved group can serve in it.
- * @PROOF_UNASKED: the head was never ordered to open
- * @PROOF_LEFT: the head has left the group and can't rejoin it
- * @PROOF_MEMBERS: all other members have left and can't rejoin
- * @PROOF_ELSEWHERE: the head is in a newer group
- * @PROOF_DEAD: the head's incarnation has ended
+ * @PROOF_NEVER_OPENED: the head was never ordered to open
+ * @PROOF_HEAD_LEFT: the head has left the group and can't rejoin it
+ * @PROOF_MEMBERS_LEFT: all other members have left and can't rejoin
+ * @PROOF_HEAD_IN_NEWER_GROUP: the head is in a newer group
+ * @PROOF_HEAD_DEAD: the head's incarnation has ended
  * @PROOF_STALLED: a member left so long ago that the platform must have broken
  *	the group, whatever order the head has carried out since
  */
 enum replica_proof {
-	PROOF_UNASKED,
-	PROOF_LEFT,
-	PROOF_MEMBERS,
-	PROOF_ELSEWHERE,
-	PROOF_DEAD,
+	PROOF_NEVER_OPENED,
+	PROOF_HEAD_LEFT,
+	PROOF_MEMBERS_LEFT,
+	PROOF_HEAD_IN_NEWER_GROUP,
+	PROOF_HEAD_DEAD,
 	PROOF_STALLED,
 };
 
 /**
  * struct replica_step - the next step for a replica.
- * @act: what to do
+ * @action: what to do
  * @member: index of the member that the step is for
  * @order: the order, for REPLICA_ORDER
  * @proof: why the hosts are free, for REPLICA_GONE
  */
 struct replica_step {
-	enum replica_act act;
+	enum replica_action action;
 	unsigned member;
 	enum order_kind order;
 	enum replica_proof proof;
@@ -231,23 +235,24 @@
 void replica_free(struct replica *);
 void replica_add_member(struct replica *, const char *,
     const struct sockaddr_in *);
-const char *replica_judge(const struct replica *, uint64_t);
-void replica_next(struct replica *, uint64_t, uint64_t, struct replica_step *);
-bool replica_wanted(const struct replica *);
+const char *replica_check(const struct replica *, uint64_t);
+void replica_next_step(struct replica *, uint64_t, uint64_t,
+    struct replica_step *);
+bool replica_active(const struct replica *);
 void replica_donate(struct replica *, uint64_t);
-void replica_give_up(struct replica *, uint64_t);
+void replica_retire(struct replica *, uint64_t);
 void replica_inherit(struct replica *, uint64_t);
-bool replica_settles(const struct replica *, uint64_t);
+bool replica_can_settle(const struct replica *, uint64_t);
 bool replica_ends_soon(const struct replica *, uint64_t);
 const char *replica_proof_name(enum replica_proof);
 
 /* replica-member.c: state of one member. */
-bool replica_member_out(const struct replica_member *);
-void replica_member_told(const struct replica *, struct replica_member *,
+bool replica_member_released(const struct replica_member *);
+void replica_member_set_answer(const struct replica *, struct replica_member *,
     const struct endpoint_report *, uint64_t);
-void replica_member_report(const struct replica *, struct replica_member *,
+void replica_member_set_report(const struct replica *, struct replica_member *,
     const struct endpoint_report *, uint64_t);
-void replica_member_look(const struct replica *, struct replica_member *,
+void replica_member_refresh(const struct replica *, struct replica_member *,
     const struct endpoint *, uint64_t);
 
 #endif
--- a/tests/test-replica.c
+++ b/tests/test-replica.c
@@ -33,7 +33,7 @@
 		replica_add_member(r, id, &any);
 	}
 	r->recorded = script_number(rest, "recorded", 1) != 0;
-	r->open_asked = script_number(rest, "asked", 1) != 0;
+	r->open_ordered = script_number(rest, "asked", 1) != 0;
 	r->settled = script_number(rest, "settled", 0) != 0;
 }
 
@@ -57,7 +57,7 @@
 		if (strcmp(names[i], state) == 0)
 			m->state = (enum group_state)i;
 	}
-	m->here = m->state != GROUP_NONE;
+	m->in_group = m->state != GROUP_NONE;
 }
 
 /* Reads a host's report from a command; without "group", it is in no group. */
@@ -83,7 +83,7 @@
 	bool none = script_number(rest, "none", 0) != 0;
 
 	read_report(rest, &ep.report);
-	replica_member_look(r, member(rest), none ? NULL : &ep, at);
+	replica_member_refresh(r, member(rest), none ? NULL : &ep, at);
 	g_free(ep.report.group);
 }
 
@@ -95,7 +95,7 @@
 	struct endpoint_report report = { 0 };
 
 	read_report(rest, &report);
-	replica_member_told(r, member(rest), &report,
+	replica_member_set_answer(r, member(rest), &report,
 	    script_number(rest, "at", 0));
 	g_free(report.group);
 }
@@ -110,7 +110,7 @@
 
 	for (int i = 0; i < (int)G_N_ELEMENTS(names); i++) {
 		if (strcmp(names[i], is) == 0)
-			member(rest)->life = (enum member_life)i;
+			member(rest)->liveness = (enum member_liveness)i;
 	}
 }
 
@@ -118,8 +118,8 @@
 static void
 exec_newer_group(const char *rest, GString *out)
 {
-	member(rest)->here = false;
-	member(rest)->elsewhere = true;
+	member(rest)->in_group = false;
+	member(rest)->in_newer_group = true;
 }
 
 /* left h=N [at=MS]: the member answered that it is in no group */
@@ -134,7 +134,7 @@
 static void
 exec_late_join(const char *rest, GString *out)
 {
-	member(rest)->late_until_ms = script_number(rest, "until", 0);
+	member(rest)->late_join_until_ms = script_number(rest, "until", 0);
 }
 
 /* inherit now=MS: the replica is taken over from another placer */
@@ -149,14 +149,14 @@
 exec_joined(const char *rest, GString *out)
 {
 	member(rest)->joined = true;
-	member(rest)->unproven = false;
+	member(rest)->unverified = false;
 }
 
 /* join-fenced h=N: the member refused to join because of a newer epoch */
 static void
 exec_join_fenced(const char *rest, GString *out)
 {
-	member(rest)->refused = true;
+	member(rest)->join_fenced = true;
 }
 
 /* closed: the head answered an order to close */
@@ -182,20 +182,20 @@
 	struct replica_step step;
 
 	for (unsigned turn = 0; turn <= r->n; turn++) {
-		replica_next(r, now, STALL_MS, &step);
-		if (step.act != REPLICA_ORDER)
+		replica_next_step(r, now, STALL_MS, &step);
+		if (step.action != REPLICA_ORDER)
 			break;
 		g_string_append_printf(out, "%s h%u\n",
 		    order_kind_name(step.order), step.member);
-		r->members[step.member].order = step.order;
+		r->members[step.member].last_order = step.order;
 		r->members[step.member].ordered_ms = now;
 	}
-	if (step.act == REPLICA_GONE)
+	if (step.action == REPLICA_DISSOLVED)
 		g_string_append(out, "dissolved\n");
 	g_string_append_printf(out, "%s\n",
-	    r->doomed != NULL ? r->doomed :
-		r->opened     ? "serves" :
-				"forms");
+	    r->dissolve_reason != NULL ? r->dissolve_reason :
+		r->opened	       ? "serves" :
+					 "forms");
 }
 
 static const struct script_command commands[] = {
