--- a/src/planner-copies.c
+++ b/src/planner-copies.c
@@ -15,15 +15,16 @@
 /* Selects a host of a fabric domain for a copy of the largest model: a free one
  * or else one of a possible donor. */
 static const struct planner_host *
-copy_select_host(const struct planner_view *view, unsigned fabric)
+copy_select_host(const struct planner_view *view, unsigned fabric_index)
 {
 	const struct model_profile *largest =
 	    planner_model(view, view->largest);
 	const struct planner_host *donor = NULL;
 
-	for (guint n = 0; n < planner_fabric_at(view, fabric)->hosts; n++) {
-		const struct planner_host *h =
-		    planner_host_at(view, planner_fabric_host(view, fabric, n));
+	for (guint n = 0; n < planner_fabric_at(view, fabric_index)->hosts;
+	     n++) {
+		const struct planner_host *h = planner_host_at(view,
+		    planner_fabric_host(view, fabric_index, n));
 
 		if (!host_needs_copy(h, largest))
 			continue;
@@ -40,12 +41,12 @@
 fabric_missing_copies(const struct planner_view *view,
     const struct planner_fabric *f)
 {
-	unsigned has = f->ready + f->donors + f->copying;
+	unsigned have = f->ready + f->donors + f->copying;
 	unsigned need = f->replicas >= f->max_replicas ?
 	    PLANNER_SPARE_COPIES :
 	    planner_model(view, view->largest)->size;
 
-	return (f->max_replicas > 0 && has < need ? need - has : 0);
+	return (f->max_replicas > 0 && have < need ? need - have : 0);
 }
 
 /*
@@ -59,9 +60,8 @@
 	const struct planner_host *best = NULL;
 	unsigned fewest = 0;
 
-	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
-		const struct planner_fabric *f =
-		    planner_fabric_at(view, fabric);
+	for (guint i = 0; i < view->fabrics->len; i++) {
+		const struct planner_fabric *f = planner_fabric_at(view, i);
 		unsigned missing_copies = fabric_missing_copies(view, f);
 		const struct planner_host *h;
 
@@ -69,7 +69,7 @@
 		    missing != (f->replicas < f->max_replicas) ||
 		    (best != NULL && missing_copies >= fewest))
 			continue;
-		h = copy_select_host(view, fabric);
+		h = copy_select_host(view, i);
 		if (h == NULL)
 			continue;
 		best = h;
@@ -102,24 +102,25 @@
  */
 static const struct planner_host *
 count_free_hosts(const struct planner_view *view, const struct model_profile *m,
-    unsigned fabric, unsigned *has, unsigned *other)
+    unsigned fabric_index, unsigned *have, unsigned *could_get)
 {
 	const struct planner_host *pick = NULL;
 
-	*has = 0;
-	*other = 0;
-	for (guint n = 0; n < planner_fabric_at(view, fabric)->hosts; n++) {
-		const struct planner_host *h =
-		    planner_host_at(view, planner_fabric_host(view, fabric, n));
+	*have = 0;
+	*could_get = 0;
+	for (guint n = 0; n < planner_fabric_at(view, fabric_index)->hosts;
+	     n++) {
+		const struct planner_host *h = planner_host_at(view,
+		    planner_fabric_host(view, fabric_index, n));
 
 		if (!h->free)
 			continue;
 		if (planner_host_has_model(h, m) ||
 		    g_strcmp0(h->copying, m->name) == 0) {
-			(*has)++;
+			(*have)++;
 		} else if (h->copying == NULL &&
 		    host_copy_replaceable(view, h)) {
-			(*other)++;
+			(*could_get)++;
 			pick = h;
 		}
 	}
@@ -141,16 +142,17 @@
 
 	if (planner_shortage(view, index) <= PLANNER_SHORTAGE_MIN)
 		return (NULL);
-	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
+	for (guint i = 0; i < view->fabrics->len; i++) {
 		const struct planner_host *pick;
-		unsigned has, other;
+		unsigned have, could_get;
 
-		pick = count_free_hosts(view, m, fabric, &has, &other);
-		if (pick == NULL || has >= m->size || has + other < m->size ||
-		    (best != NULL && has <= most))
+		pick = count_free_hosts(view, m, i, &have, &could_get);
+		if (pick == NULL || have >= m->size ||
+		    have + could_get < m->size ||
+		    (best != NULL && have <= most))
 			continue;
 		best = pick;
-		most = has;
+		most = have;
 	}
 	return (best);
 }
@@ -162,13 +164,13 @@
 {
 	const struct model_profile *m = planner_model(view, index);
 
-	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
-		const char *name = planner_fabric_at(view, fabric)->name;
+	for (guint i = 0; i < view->fabrics->len; i++) {
+		const char *name = planner_fabric_at(view, i)->name;
 		const struct planner_host *pick;
-		unsigned has, other;
+		unsigned have, could_get;
 
-		pick = count_free_hosts(view, m, fabric, &has, &other);
-		if (pick != NULL && has < PLANNER_SPARE_COPIES &&
+		pick = count_free_hosts(view, m, i, &have, &could_get);
+		if (pick != NULL && have < PLANNER_SPARE_COPIES &&
 		    planner_fabric_replicas(view, m, name) > 0)
 			return (pick);
 	}
@@ -177,7 +179,7 @@
 
 /* The model with the greatest shortage among all but the largest. */
 static unsigned
-shortest_small_model(const struct planner_view *view)
+scarcest_small_model(const struct planner_view *view)
 {
 	const GPtrArray *models = view->engine->models;
 	unsigned best = view->largest;
@@ -202,7 +204,7 @@
 	const struct model_profile *largest =
 	    planner_model(view, view->largest);
 	const struct model_profile *small =
-	    planner_model(view, shortest_small_model(view));
+	    planner_model(view, scarcest_small_model(view));
 
 	if (h->group != NULL && !h->group->opened)
 		return (NULL);
--- a/src/planner-demand.c
+++ b/src/planner-demand.c
@@ -41,15 +41,15 @@
  */
 static double
 demand_hosts(const struct planner_demand *d, const struct planner_view *view,
-    unsigned model, const struct demand_sample *seen)
+    unsigned model, const struct demand_sample *sample)
 {
 	double slots = MAX(view->engine->slots, 1);
-	double running = seen->running;
+	double running = sample->running;
 
-	if (seen->limited > 0 && seen->unlimited == 0)
+	if (sample->limited > 0 && sample->unlimited == 0)
 		return (d->busy_hosts[model]);
-	if (seen->limited > 0)
-		running *= 1 + (double)seen->limited / seen->unlimited;
+	if (sample->limited > 0)
+		running *= 1 + (double)sample->limited / sample->unlimited;
 	return (running / slots * planner_model(view, model)->size);
 }
 
@@ -57,12 +57,12 @@
  * planner_demand_update() - add a sample of the requests that run now.
  * @d: the demand
  * @view: the view, for the service's models
- * @seen: a sample for each model, in the order of the profile
+ * @samples: a sample for each model, in the order of the profile
  * @now_ms: loop time
  */
 void
 planner_demand_update(struct planner_demand *d, const struct planner_view *view,
-    const struct demand_sample *seen, uint64_t now_ms)
+    const struct demand_sample *samples, uint64_t now_ms)
 {
 	unsigned n = MIN(view->engine->models->len, PLANNER_MODELS_MAX);
 	double weight = 1.0;
@@ -74,7 +74,7 @@
 		    -(double)(now_ms - d->updated_ms) / DEMAND_AVERAGE_MS);
 	d->updated_ms = MAX(now_ms, 1);
 	for (unsigned i = 0; i < n; i++) {
-		double hosts = demand_hosts(d, view, i, &seen[i]);
+		double hosts = demand_hosts(d, view, i, &samples[i]);
 
 		d->busy_hosts[i] += weight * (hosts - d->busy_hosts[i]);
 	}
@@ -83,10 +83,10 @@
 /* The bound on replicas of the largest model; without a bound, the number that
  * its configured share gives. */
 static unsigned
-demand_bound(const struct planner_demand *d, double full)
+demand_bound(const struct planner_demand *d, double by_share)
 {
-	return (
-	    d->largest_max != 0 ? d->largest_max : (unsigned)floor(full + 0.5));
+	return (d->largest_max != 0 ? d->largest_max :
+				      (unsigned)floor(by_share + 0.5));
 }
 
 /* Changes the bound on replicas of the largest model by one where that is due.
@@ -96,23 +96,24 @@
     double share, uint64_t now_ms)
 {
 	double size = planner_model(view, view->largest)->size;
-	double full = planner_view_choose_cap(view);
-	double want = share * view->hosts->len / size;
-	double least =
+	double by_share = planner_view_choose_cap(view);
+	double wanted = share * view->hosts->len / size;
+	double needed =
 	    d->busy_hosts[view->largest] / size / DEMAND_UTILIZATION_MAX;
-	unsigned most = demand_bound(d, full);
+	unsigned bound = demand_bound(d, by_share);
 
 	if (now_ms - d->bound_changed_ms < DEMAND_CHANGE_INTERVAL_MS)
 		return;
-	if (most > 1 && want < most - DEMAND_CHANGE_MIN && least <= most - 1.0)
-		most--;
+	if (bound > 1 && wanted < bound - DEMAND_CHANGE_MIN &&
+	    needed <= bound - 1.0)
+		bound--;
 	else if (d->largest_max != 0 &&
-	    (want > most + DEMAND_CHANGE_MIN || least > most))
-		most++;
+	    (wanted > bound + DEMAND_CHANGE_MIN || needed > bound))
+		bound++;
 	else
 		return;
 	d->bound_changed_ms = now_ms;
-	d->largest_max = most < full - DEMAND_LIFT_MARGIN ? most : 0;
+	d->largest_max = bound < by_share - DEMAND_LIFT_MARGIN ? bound : 0;
 }
 
 /**
--- a/src/planner-demand.h
+++ b/src/planner-demand.h
@@ -8,7 +8,7 @@
 /**
  * struct planner_demand - measured demand for the models of one service.
  * @busy_hosts: moving average of the number of hosts that each model's requests
- *would fill, in the order of the profile
+ *	would fill, in the order of the profile
  * @updated_ms: loop time of the last sample; 0 before the first one
  * @first_ms: loop time of the first sample
  * @largest_max: maximum number of replicas of the largest model; 0 for no bound
--- a/src/planner-replicas.c
+++ b/src/planner-replicas.c
@@ -18,12 +18,12 @@
 
 /*
  * A candidate for a new replica: free hosts of one fabric domain for one model.
- * The index is that of the model, loads are those that the replica would need.
+ * The loads are those from the weight store that the replica would need.
  */
 struct replica_candidate {
 	const struct model_profile *model;
-	unsigned index;
-	unsigned fabric;
+	unsigned model_index;
+	unsigned fabric_index;
 	unsigned loads;
 	double score;
 };
@@ -66,11 +66,11 @@
 
 	if (fabric_reserves_copies(view, f) &&
 	    planner_supply_ratio(view, view->largest) <=
-		planner_supply_ratio(view, c->index))
+		planner_supply_ratio(view, c->model_index))
 		return (false);
 	return (g_strcmp0(h->loaded_model, c->model->name) == 0 ||
 	    !view->serving || planner_fabric_has_spares(f) ||
-	    planner_supply_ratio(view, c->index) <
+	    planner_supply_ratio(view, c->model_index) <
 		planner_supply_ratio(view, view->largest));
 }
 
@@ -85,7 +85,7 @@
 	const struct model_profile *largest =
 	    planner_model(view, view->largest);
 
-	if (!h->free || h->fabric_index != c->fabric)
+	if (!h->free || h->fabric_index != c->fabric_index)
 		return (false);
 	if (c->model != largest && planner_host_has_model(h, largest) &&
 	    !host_may_switch(view, h, c))
@@ -100,18 +100,19 @@
 /* Counts the hosts that a candidate may use, and those that need no load. */
 static void
 candidate_count_hosts(const struct planner_view *view,
-    const struct replica_candidate *c, unsigned *free, unsigned *local)
+    const struct replica_candidate *c, unsigned *free, unsigned *with_model)
 {
 	*free = 0;
-	*local = 0;
-	for (guint n = 0; n < planner_fabric_at(view, c->fabric)->hosts; n++) {
+	*with_model = 0;
+	for (guint n = 0; n < planner_fabric_at(view, c->fabric_index)->hosts;
+	     n++) {
 		const struct planner_host *h = planner_host_at(view,
-		    planner_fabric_host(view, c->fabric, n));
+		    planner_fabric_host(view, c->fabric_index, n));
 
 		if (!candidate_can_use(view, h, c))
 			continue;
 		(*free)++;
-		*local += planner_host_has_model(h, c->model);
+		*with_model += planner_host_has_model(h, c->model);
 	}
 }
 
@@ -124,12 +125,13 @@
 candidate_score(const struct planner_view *view,
     const struct replica_candidate *c)
 {
-	double wanted = MAX(view->wanted[c->index], 0.5);
-	double here = planner_domain_replicas(view, c->model,
-			  planner_fabric_at(view, c->fabric)->domain) /
+	double wanted = MAX(view->wanted[c->model_index], 0.5);
+	double in_domain =
+	    planner_domain_replicas(view, c->model,
+		planner_fabric_at(view, c->fabric_index)->domain) /
 	    wanted;
 
-	return (planner_shortage(view, c->index) / wanted - here -
+	return (planner_shortage(view, c->model_index) / wanted - in_domain -
 	    LOAD_WEIGHT * c->loads / c->model->size);
 }
 
@@ -138,8 +140,9 @@
 candidate_permitted(const struct planner_view *view,
     const struct replica_candidate *c)
 {
-	const struct planner_fabric *f = planner_fabric_at(view, c->fabric);
-	bool largest = c->index == view->largest;
+	const struct planner_fabric *f =
+	    planner_fabric_at(view, c->fabric_index);
+	bool largest = c->model_index == view->largest;
 
 	/* Before requests come, small replicas wait until all hosts are there
 	 * and use those that large ones leave. */
@@ -151,7 +154,7 @@
 	if (c->loads == 0)
 		return (true);
 	return (c->loads <= view->loads_free &&
-	    planner_shortage(view, c->index) > PLANNER_SHORTAGE_MIN);
+	    planner_shortage(view, c->model_index) > PLANNER_SHORTAGE_MIN);
 }
 
 /* Computes the loads and the score of a candidate. Returns false where it has
@@ -159,12 +162,12 @@
 static bool
 candidate_evaluate(const struct planner_view *view, struct replica_candidate *c)
 {
-	unsigned free, local, size = c->model->size;
+	unsigned free, with_model, size = c->model->size;
 
-	candidate_count_hosts(view, c, &free, &local);
+	candidate_count_hosts(view, c, &free, &with_model);
 	if (free < size)
 		return (false);
-	c->loads = size - MIN(size, local);
+	c->loads = size - MIN(size, with_model);
 	if (!candidate_permitted(view, c))
 		return (false);
 	c->score = candidate_score(view, c);
@@ -180,9 +183,9 @@
 	plan->loads = c->loads;
 	plan->members = g_array_new(FALSE, FALSE, sizeof(guint));
 	for (int source = SOURCE_MEMORY; source <= SOURCE_STORE; source++) {
-		for (guint n = 0; n < planner_fabric_at(view, c->fabric)->hosts;
-		     n++) {
-			guint i = planner_fabric_host(view, c->fabric, n);
+		for (guint n = 0;
+		     n < planner_fabric_at(view, c->fabric_index)->hosts; n++) {
+			guint i = planner_fabric_host(view, c->fabric_index, n);
 			const struct planner_host *h = planner_host_at(view, i);
 
 			if (plan->members->len == c->model->size)
@@ -209,11 +212,11 @@
 	const GPtrArray *models = view->engine->models;
 
 	for (guint k = 0; k < models->len && k < PLANNER_MODELS_MAX; k++) {
-		for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
+		for (guint i = 0; i < view->fabrics->len; i++) {
 			struct replica_candidate c = { .model =
 							   models->pdata[k],
-				.index = k,
-				.fabric = fabric };
+				.model_index = k,
+				.fabric_index = i };
 
 			if (candidate_evaluate(view, &c) &&
 			    c.score > best.score)
@@ -244,14 +247,15 @@
 /* The first replica of a fabric domain that may donate its hosts to the largest
  * model, or NULL. */
 static struct replica *
-fabric_donor(const struct planner_view *view, unsigned fabric)
+fabric_donor(const struct planner_view *view, unsigned fabric_index)
 {
 	const struct model_profile *largest =
 	    planner_model(view, view->largest);
 
-	for (guint n = 0; n < planner_fabric_at(view, fabric)->hosts; n++) {
-		const struct planner_host *h =
-		    planner_host_at(view, planner_fabric_host(view, fabric, n));
+	for (guint n = 0; n < planner_fabric_at(view, fabric_index)->hosts;
+	     n++) {
+		const struct planner_host *h = planner_host_at(view,
+		    planner_fabric_host(view, fabric_index, n));
 
 		if (planner_host_has_model(h, largest) &&
 		    planner_host_can_donate(h, largest) &&
@@ -275,14 +279,13 @@
 
 	if (planner_shortage(view, view->largest) < 0.5)
 		return (NULL);
-	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
-		const struct planner_fabric *f =
-		    planner_fabric_at(view, fabric);
+	for (guint i = 0; i < view->fabrics->len; i++) {
+		const struct planner_fabric *f = planner_fabric_at(view, i);
 		struct replica *donor = NULL;
 
 		if (f->replicas < f->max_replicas && f->ready < size &&
 		    f->ready + f->donors >= size)
-			donor = fabric_donor(view, fabric);
+			donor = fabric_donor(view, i);
 		if (donor != NULL)
 			return (donor);
 	}
@@ -305,15 +308,14 @@
 	if (view->largest_max == 0 ||
 	    view->replicas[view->largest] <= view->largest_max)
 		return (NULL);
-	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
-		const struct planner_fabric *f =
-		    planner_fabric_at(view, fabric);
+	for (guint i = 0; i < view->fabrics->len; i++) {
+		const struct planner_fabric *f = planner_fabric_at(view, i);
 
 		if (f->replicas <= f->max_replicas)
 			continue;
 		for (guint n = 0; n < f->hosts; n++) {
 			const struct planner_host *h = planner_host_at(view,
-			    planner_fabric_host(view, fabric, n));
+			    planner_fabric_host(view, i, n));
 
 			if (h->group != NULL && replica_active(h->group) &&
 			    h->group->opened &&
--- a/src/planner-view.c
+++ b/src/planner-view.c
@@ -46,17 +46,17 @@
 /**
  * planner_fabric_host() - get a host of a fabric domain.
  * @view: the view
- * @fabric: index of the fabric domain
+ * @index: index of the fabric domain
  * @nth: which of its hosts, from 0
  *
  * Return: the host's index in the view.
  */
 unsigned
-planner_fabric_host(const struct planner_view *view, unsigned fabric,
+planner_fabric_host(const struct planner_view *view, unsigned index,
     unsigned nth)
 {
 	return (g_array_index(view->order, guint,
-	    planner_fabric_at(view, fabric)->first + nth));
+	    planner_fabric_at(view, index)->first + nth));
 }
 
 /**
@@ -354,9 +354,9 @@
 {
 	unsigned first = 0;
 
-	for (guint fabric = 0; fabric < view->fabrics->len; fabric++) {
-		struct planner_fabric *f = &g_array_index(view->fabrics,
-		    struct planner_fabric, fabric);
+	for (guint i = 0; i < view->fabrics->len; i++) {
+		struct planner_fabric *f =
+		    &g_array_index(view->fabrics, struct planner_fabric, i);
 
 		f->first = first;
 		first += f->hosts;
@@ -374,7 +374,8 @@
 
 /* Maximum number of replicas of the largest model in a fabric domain. */
 static unsigned
-fabric_cap(const struct planner_view *view, unsigned hosts, unsigned factor)
+fabric_max_replicas(const struct planner_view *view, unsigned hosts,
+    unsigned factor)
 {
 	unsigned size = planner_model(view, view->largest)->size;
 	unsigned fit = hosts / size;
@@ -387,13 +388,13 @@
 
 /* The sum of that maximum over all fabric domains. */
 static unsigned
-cap_sum(const struct planner_view *view, unsigned factor)
+sum_max_replicas(const struct planner_view *view, unsigned factor)
 {
 	unsigned sum = 0;
 
 	for (guint i = 0; i < view->fabrics->len; i++)
-		sum +=
-		    fabric_cap(view, planner_fabric_at(view, i)->hosts, factor);
+		sum += fabric_max_replicas(view,
+		    planner_fabric_at(view, i)->hosts, factor);
 	return (sum);
 }
 
@@ -406,7 +407,7 @@
  * one, which is far quicker than a load.
  *
  * Return: the number of replicas of the largest model by its configured share,
- * at most the sum of the caps.
+ * limited to what all fabric domains together may have.
  */
 double
 planner_view_choose_cap(struct planner_view *view)
@@ -414,14 +415,15 @@
 	const GPtrArray *models = view->engine->models;
 	const struct model_profile *largest =
 	    planner_model(view, view->largest);
-	double want = largest->share * view->hosts->len / largest->size;
+	double wanted = largest->share * view->hosts->len / largest->size;
 
 	view->cap_factor = 1;
 	while (view->cap_factor < CAP_FACTOR_MAX &&
 	    (models->len == 1 ||
-		cap_sum(view, view->cap_factor) < LARGEST_SHARE_MIN * want))
+		sum_max_replicas(view, view->cap_factor) <
+		    LARGEST_SHARE_MIN * wanted))
 		view->cap_factor++;
-	return (MIN(want, cap_sum(view, view->cap_factor)));
+	return (MIN(wanted, sum_max_replicas(view, view->cap_factor)));
 }
 
 /* Sets how many replicas of each model the hosts should form. */
@@ -432,11 +434,11 @@
 	const struct model_profile *largest =
 	    planner_model(view, view->largest);
 	double hosts = view->hosts->len, rest, shares = 0;
-	double want = planner_view_choose_cap(view);
+	double wanted = planner_view_choose_cap(view);
 
 	if (view->largest_max > 0)
-		want = MIN(want, view->largest_max);
-	rest = hosts - want * largest->size;
+		wanted = MIN(wanted, view->largest_max);
+	rest = hosts - wanted * largest->size;
 	for (unsigned i = 0; i < n; i++)
 		shares += i == view->largest ? 0 : view->work_share[i];
 	for (unsigned i = 0; i < n; i++) {
@@ -446,7 +448,7 @@
 		view->wanted[i] =
 		    shares > 0 ? rest * view->work_share[i] / shares / size : 0;
 	}
-	view->wanted[view->largest] = want;
+	view->wanted[view->largest] = wanted;
 }
 
 /* Number of replicas of the largest model that a failure domain has been
@@ -546,7 +548,8 @@
 }
 
 /**
- * planner_view_set_targets() - set the wanted replicas and the caps of a view.
+ * planner_view_set_targets() - set the wanted replicas of each model, and the
+ * maximum number of the largest in each fabric domain.
  * @view: the view; its hosts have been counted
  */
 void
@@ -561,7 +564,8 @@
 		    &g_array_index(view->fabrics, struct planner_fabric, i);
 
 		f->replicas = planner_fabric_replicas(view, largest, f->name);
-		f->max_replicas = fabric_cap(view, f->hosts, view->cap_factor);
+		f->max_replicas =
+		    fabric_max_replicas(view, f->hosts, view->cap_factor);
 	}
 	if (view->largest_max > 0)
 		fabrics_divide_bound(view);
--- a/src/planner.h
+++ b/src/planner.h
@@ -29,7 +29,7 @@
  * @warming: it is loading a model into memory without joining a replica
  * @free: it may join a new group now
  * @free_soon: its group is being dissolved and will release it within about a
- *second
+ *	second
  * @group: the replica that it belongs to, or NULL
  */
 struct planner_host {
@@ -85,11 +85,11 @@
  * @largest_max: maximum number of replicas of the largest model; 0 for no bound
  * @wanted: replicas of each model that the hosts should form
  * @share_replicas: replicas of each model that its share of the work alone
- *would give
+ *	would give
  * @largest: index of the model with the most hosts in a replica
  * @cap_factor: maximum number of replicas of the largest model in one fabric
- *domain for every 2 x its size hosts there; the other hosts form replicas that
- *	can donate hosts to it
+ *	domain for every 2 x its size hosts there; the other hosts form
+ *	replicas that can donate hosts to it
  * @loads_free: number of loads from the weight store that may begin now
  * @serving: requests have come, so loads take their full time
  * @hosts_stable: no new host has appeared for a while
--- a/src/replica.h
+++ b/src/replica.h
@@ -29,10 +29,10 @@
 #define REPLICA_LEAVE_DRAIN_MS 8000
 /* Time for a replica to finish its requests when another replica needs its
  * hosts. Its streams can continue on other replicas, and a missing large
- * replica costs more than moving them. */
+ * replica costs more. */
 #define REPLICA_DONOR_DRAIN_MS 700
-/* Time for a surplus replica to finish its requests: nothing waits for its
- * hosts, so its streams may end first. */
+/* Time for a surplus replica to finish its requests: it is not missed, so its
+ * streams end first. */
 #define REPLICA_SURPLUS_DRAIN_MS 3000
 /* An order that had no answer is carried out within this time, if at all:
  * endpoints have been observed to take 2 to 12 s. */
@@ -40,8 +40,8 @@
 /* Orders are sent only if the placer's lease was verified within this time, so
  * a placer that has lost the lease may still send orders for this long. */
 #define REPLICA_LEASE_FRESH_MS 1500
-/* A report that is read at least this long after a change was made after it:
- * this is well above the lag of reports. */
+/* A report that arrives at least this long after a change is newer than the
+ * change: this is well above the lag of reports. */
 #define REPLICA_REPORT_LAG_MS 1000
 /* A replica that will be dissolved within this time counts as ending soon:
  * about the time that another replica takes to donate hosts instead. */
@@ -87,20 +87,20 @@
  * @join_fenced: it refused to join because it has seen a newer epoch
  * @left_ms: loop time of the answer that set @left
  * @late_join_until_ms: loop time until which an order to join may still be
- *carried out, because it had no answer or another placer may have sent it; 0
- *for none
- * @was_in_newer_group: it has once reported a newer epoch, so it can't rejoin
- *this group
+ *	carried out, because it had no answer or another placer may have sent
+ *	it; 0 for none
+ * @was_in_newer_group: it has once reported a group with a higher epoch, so it
+ *	can't rejoin this group
  * @reported_ms: loop time of its newest report, from its entry or a direct
- *answer
+ *	answer
  * @suspect_ms: loop time at which an order to it had no answer; 0 for never
  * @asked_ms: loop time of the last status request to it
  * @silent_since_ms: loop time since which it has not answered; 0 while it
- *answers
+ *	answers
  * @ask_pending: a status request to it has not ended yet
  * @address_reused: another incarnation has its address
  * @unanswered_ms: loop time at which an order to it last ended without an
- *answer; 0 for never
+ *	answer; 0 for never
  * @unanswered_order: that order; it may still be carried out
  */
 struct replica_member {
@@ -141,7 +141,7 @@
  * @settled: its record says that it has served and that no order to join it is
  *	outstanding; no host is ordered to join it again
  * @dissolve_reason: reason for which it is being dissolved; NULL while it is
- *active
+ *	active
  * @dissolving_ms: loop time at which that began
  * @drain_ms: time in ms that it has to finish its requests before it is
  *	cancelled; 0 to cancel at once
@@ -149,8 +149,8 @@
  * @opened: it has been seen to serve
  * @head_closed: the head has answered an order to close or to cancel; it takes
  *	no new requests
- * @member_left_ms: loop time since which a member has left while the head can't
- *be reached; 0 for none
+ * @member_left_ms: loop time at which a member first left while the head can't
+ *	be reached; 0 for none
  * @donor: it is being dissolved so that other replicas get its hosts
  * @adopted: it was found serving without a record and is being dissolved
  * @suspect_ms: loop time at which its streams fell silent; 0 for never
@@ -221,7 +221,7 @@
  * @action: what to do
  * @member: index of the member that the step is for
  * @order: the order, for REPLICA_ORDER
- * @proof: why the hosts are free, for REPLICA_GONE
+ * @proof: why the hosts are free, for REPLICA_DISSOLVED
  */
 struct replica_step {
 	enum replica_action action;
--- a/tests/test-planner.c
+++ b/tests/test-planner.c
@@ -13,7 +13,7 @@
 static unsigned n_hosts;
 static struct replica *replicas[HOSTS_MAX];
 static unsigned n_replicas;
-static guint64 loads, serving, settled;
+static guint64 loads, serving, hosts_stable;
 static struct planner_demand demand;
 
 static void
@@ -33,7 +33,7 @@
 	n_replicas = 0;
 	loads = 100;
 	serving = 0;
-	settled = 1;
+	hosts_stable = 1;
 	memset(&demand, 0, sizeof demand);
 	g_clear_pointer(&catalog, catalog_unref);
 	catalog = catalog_create();
@@ -59,7 +59,7 @@
 	g_ptr_array_add(engine->models, m);
 }
 
-/* hosts N domain=D fabric=F [last=M] [staged=M]: N free hosts, with these
+/* hosts N domain=D fabric=F [memory=M] [staged=M]: N free hosts, with these
  * models in memory and as a copy */
 static void
 exec_hosts(const char *rest, GString *out)
@@ -75,7 +75,7 @@
 		h->id = g_strdup_printf("h%u", n_hosts++);
 		h->domain = script_word(rest, "domain");
 		h->fabric = script_word(rest, "fabric");
-		h->loaded_model = script_word(rest, "last");
+		h->loaded_model = script_word(rest, "memory");
 		h->free = true;
 		if (staged != NULL)
 			g_ptr_array_add(copies, g_strdup(staged));
@@ -102,7 +102,7 @@
 	planner_view_set_targets(view);
 	view->loads_free = (unsigned)loads;
 	view->serving = serving != 0;
-	view->hosts_stable = settled != 0;
+	view->hosts_stable = hosts_stable != 0;
 }
 
 static void
@@ -113,7 +113,7 @@
 
 /* Sets the model that a host has in memory. */
 static void
-host_set_last(struct planner_host *h, const char *model)
+host_set_loaded_model(struct planner_host *h, const char *model)
 {
 	g_free((char *)h->loaded_model);
 	h->loaded_model = g_strdup(model);
@@ -125,7 +125,8 @@
 {
 	g_auto(GStrv) w = g_strsplit(rest, " ", 2);
 
-	host_set_last(&hosts[g_ascii_strtoull(w[0] + 1, NULL, 10)], w[1]);
+	host_set_loaded_model(&hosts[g_ascii_strtoull(w[0] + 1, NULL, 10)],
+	    w[1]);
 }
 
 /* warm: prints the free host that should load the largest model into memory */
@@ -180,13 +181,13 @@
 	hosts[g_ascii_strtoull(rest, NULL, 10)].free = false;
 }
 
-/* set [loads=N] [serving=0|1] [settled=0|1]: properties of the view */
+/* set [loads=N] [serving=0|1] [stable=0|1]: properties of the view */
 static void
 exec_set(const char *rest, GString *out)
 {
 	loads = script_number(rest, "loads", loads);
 	serving = script_number(rest, "serving", serving);
-	settled = script_number(rest, "settled", settled);
+	hosts_stable = script_number(rest, "stable", hosts_stable);
 }
 
 /* form [times=N]: plans and forms the next replicas, which open at once */
@@ -219,7 +220,7 @@
 			replica_add_member(r, h->id, &any);
 			h->free = false;
 			h->group = r;
-			host_set_last(h, plan.model->name);
+			host_set_loaded_model(h, plan.model->name);
 		}
 		g_string_append_printf(out, " in %s\n",
 		    hosts[g_array_index(plan.members, guint, 0)].fabric);
@@ -269,7 +270,7 @@
 			continue;
 		hosts[i].group = NULL;
 		hosts[i].free = true;
-		host_set_last(&hosts[i], r->model);
+		host_set_loaded_model(&hosts[i], r->model);
 	}
 }
 
@@ -282,23 +283,23 @@
 static void
 exec_sample(const char *rest, GString *out)
 {
-	struct demand_sample seen[PLANNER_MODELS_MAX] = { 0 };
+	struct demand_sample samples[PLANNER_MODELS_MAX] = { 0 };
 
 	engine->slots = 48;
-	seen[0].running = (double)script_number(rest, "big", 0);
-	seen[0].unlimited = (unsigned)script_number(rest, "unlimited", 1);
-	seen[0].limited = (unsigned)script_number(rest, "limited", 0);
-	seen[1].running = (double)script_number(rest, "small", 0);
+	samples[0].running = (double)script_number(rest, "big", 0);
+	samples[0].unlimited = (unsigned)script_number(rest, "unlimited", 1);
+	samples[0].limited = (unsigned)script_number(rest, "limited", 0);
+	samples[1].running = (double)script_number(rest, "small", 0);
 	for (guint64 at = script_number(rest, "from", 0);
 	     at <= script_number(rest, "to", 0); at += 250) {
-		unsigned most = demand.largest_max;
+		unsigned bound = demand.largest_max;
 		struct planner_view view;
 
 		view_make(&view);
-		planner_demand_update(&demand, &view, seen, at);
+		planner_demand_update(&demand, &view, samples, at);
 		planner_demand_apply(&demand, &view, at);
 		view_free(&view);
-		if (demand.largest_max != most)
+		if (demand.largest_max != bound)
 			g_string_append_printf(out, "at %u bound %u\n",
 			    (unsigned)at, demand.largest_max);
 	}
--- a/tests/test-replica.c
+++ b/tests/test-replica.c
@@ -16,7 +16,7 @@
 }
 
 /*
- * new hosts=N [recorded=0] [asked=0] [settled=1]: a replica of h0, h1, ...;
+ * new hosts=N [recorded=0] [ordered=0] [settled=1]: a replica of h0, h1, ...;
  * without its record, its head never ordered to open, or settled
  */
 static void
@@ -33,7 +33,7 @@
 		replica_add_member(r, id, &any);
 	}
 	r->recorded = script_number(rest, "recorded", 1) != 0;
-	r->open_ordered = script_number(rest, "asked", 1) != 0;
+	r->open_ordered = script_number(rest, "ordered", 1) != 0;
 	r->settled = script_number(rest, "settled", 0) != 0;
 }
 
@@ -100,7 +100,7 @@
 	g_free(report.group);
 }
 
-/* liveness h=N is=WORD */
+/* liveness h=N is=WORD: the member's liveness */
 static void
 exec_liveness(const char *rest, GString *out)
 {
