--- a/src/fwd-poison.c
+++ b/src/fwd-poison.c
@@ -14,36 +14,36 @@
 
 /* The endpoints that work is blamed for, for the log. */
 static void
-blamed_print(const struct fleet *fleet, const struct poison_work *w,
+blamed_print(const struct fleet *fleet, const struct poison_request *w,
     uint64_t now_ms, char *out, size_t size)
 {
 	size_t used = 0;
 
 	out[0] = '\0';
-	for (unsigned i = 0; i < w->n_ends && used < size; i++) {
-		const struct poison_end *end = &w->ends[i];
-		const struct endpoint *ep = fleet_find_key(fleet, end->key);
+	for (unsigned i = 0; i < w->n_crashes && used < size; i++) {
+		const struct poison_crash *end = &w->crashes[i];
+		const struct endpoint *ep = fleet_find_by_hash(fleet, end->id_hash);
 
 		used += (size_t)g_snprintf(out + used, size - used,
 		    "%s%s:%08x:%llu", i > 0 ? "," : "",
-		    ep != NULL ? ep->report.id : "-", end->key,
+		    ep != NULL ? ep->report.id : "-", end->id_hash,
 		    (unsigned long long)(now_ms - MIN(end->at_ms, now_ms)));
 	}
 }
 
 /* A line with all that a verdict rests on. */
 static void
-poison_log(struct fwd *fwd, const struct poison_work *w,
+poison_log(struct fwd *fwd, const struct poison_request *w,
     const struct poison_verdict *verdict, const char *event, const char *id)
 {
 	uint64_t now = clock_loop_ms(fwd->loop);
 	char blamed[BLAMED_BYTES];
 
-	blamed_print(&fwd->dir->fleet, w, now, blamed, sizeof blamed);
+	blamed_print(&fwd->registry->fleet, w, now, blamed, sizeof blamed);
 	event_log(LOG_NOTICE, event,
 	    "id=%s work=%08x ends=%u doubted=%u explained=%u left_ms=%lld "
 	    "blamed_for=%s",
-	    id, WORK_SHORT(w->work), verdict->ends, verdict->doubted,
+	    id, FINGERPRINT_SHORT(w->fingerprint), verdict->crashes, verdict->unconfirmed,
 	    verdict->explained,
 	    verdict->until_ms != 0 ? (long long)(verdict->until_ms - now) : -1,
 	    blamed);
@@ -51,12 +51,12 @@
 
 /* Judges some work, with a line where that changed. */
 static void
-poison_look(struct fwd *fwd, struct poison_work *w,
+poison_look(struct fwd *fwd, struct poison_request *w,
     struct poison_verdict *verdict, const char *id)
 {
 	bool quarantined;
 
-	poison_judge(&fwd->dir->poison, &fwd->dir->fleet, w,
+	poison_evaluate(&fwd->registry->poison, &fwd->registry->fleet, w,
 	    clock_loop_ms(fwd->loop), verdict);
 	quarantined = verdict->until_ms != 0;
 	if (quarantined == w->quarantined)
@@ -77,55 +77,55 @@
 fwd_poison_sweep(struct fwd *fwd)
 {
 	struct poison_verdict verdict;
-	struct poison_work *w;
+	struct poison_request *w;
 
-	TAILQ_FOREACH(w, &fwd->dir->poison.works, entry) {
-		if (w->quarantined || w->n_ends >= POISON_ENDS)
+	TAILQ_FOREACH(w, &fwd->registry->poison.requests, entry) {
+		if (w->quarantined || w->n_crashes >= POISON_QUARANTINE_CRASHES)
 			poison_look(fwd, w, &verdict, "-");
 	}
 }
 
 /**
- * fwd_poison_lost() - the endpoint may have ended while it had a request.
+ * fwd_poison_observe_crash() - the endpoint may have ended while it had a request.
  * @ex: the exchange, with its endpoint
  * @silent: it fell silent; otherwise the connection broke
  */
 void
-fwd_poison_lost(struct fwd_exchange *ex, bool silent)
+fwd_poison_observe_crash(struct fwd_exchange *ex, bool silent)
 {
 	struct fwd *fwd = ex->fwd;
 	const struct endpoint *ep = ex->endpoint;
 	uint64_t now = clock_loop_ms(fwd->loop);
-	const struct poison_end end = poison_end_of(ep, silent, now);
-	bool news = poison_suspect(&fwd->dir->poison, ex->work, &end, now);
+	const struct poison_crash end = poison_crash_of(ep, silent, now);
+	bool news = poison_observe_crash(&fwd->registry->poison, ex->fingerprint, &end, now);
 
 	fwd_stats_count(&fwd->stats, COUNT_LOST);
 	event_log(LOG_NOTICE, "work_lost",
 	    "id=%s work=%08x endpoint=%s started_ms=%lld sign=%s "
 	    "suspected=%d sent_ms_ago=%llu last_event=%lld inflight=%u "
 	    "peer_inflight=%u",
-	    ex->id, WORK_SHORT(ex->work), ep->report.id,
+	    ex->id, FINGERPRINT_SHORT(ex->fingerprint), ep->report.id,
 	    (long long)ep->report.started_ms, silent ? "silent" : "broken",
 	    news, (unsigned long long)(now - ex->sent_ms),
-	    (long long)ex->events.last, ep->inflight, ep->peer_inflight);
+	    (long long)ex->events.last_id, ep->inflight, ep->peer_inflight);
 }
 
 /**
- * fwd_poison_answered() - the endpoint's answer to a request is whole.
+ * fwd_poison_note_success() - the endpoint's answer to a request is whole.
  * @ex: the exchange
  *
  * The rest of an answer says nothing of what its begin does to endpoints.
  */
 void
-fwd_poison_answered(struct fwd_exchange *ex)
+fwd_poison_note_success(struct fwd_exchange *ex)
 {
 	if (ex->resumed)
 		return;
-	if (!poison_answered(&ex->fwd->dir->poison, ex->work,
+	if (!poison_note_success(&ex->fwd->registry->poison, ex->fingerprint,
 		clock_loop_ms(ex->fwd->loop)))
 		return;
 	event_log(LOG_INFO, "work_cleared", "id=%s work=%08x endpoint=%s",
-	    ex->id, WORK_SHORT(ex->work),
+	    ex->id, FINGERPRINT_SHORT(ex->fingerprint),
 	    ex->n_tried > 0 ? ex->tried[ex->n_tried - 1].endpoint->report.id :
 			      "-");
 }
@@ -138,7 +138,7 @@
 
 	if (list == NULL || list[0] == '\0')
 		return (false);
-	g_snprintf(name, sizeof name, "%08x", WORK_SHORT(work));
+	g_snprintf(name, sizeof name, "%08x", FINGERPRINT_SHORT(work));
 	return (strstr(list, name) != NULL);
 }
 
@@ -146,7 +146,7 @@
  * Lets one request of quarantined work through, at the daemon whose turn it is.
  */
 static bool
-probe_begin(struct fwd_exchange *ex, struct poison_work *w,
+probe_begin(struct fwd_exchange *ex, struct poison_request *w,
     const struct poison_verdict *verdict)
 {
 	if (ex->poison_probe)
@@ -161,17 +161,17 @@
 }
 
 /**
- * fwd_poison_over() - an exchange ends; another one may probe its work.
+ * fwd_poison_end_probe() - an exchange ends; another one may probe its work.
  * @ex: the exchange
  */
 void
-fwd_poison_over(struct fwd_exchange *ex)
+fwd_poison_end_probe(struct fwd_exchange *ex)
 {
-	struct poison_work *w;
+	struct poison_request *w;
 
 	if (!ex->poison_probe)
 		return;
-	w = poison_find(&ex->fwd->dir->poison, ex->work);
+	w = poison_find(&ex->fwd->registry->poison, ex->fingerprint);
 	if (w != NULL)
 		w->probing = false;
 }
@@ -181,10 +181,10 @@
 work_quarantined(struct fwd_exchange *ex, uint64_t *until_ms)
 {
 	struct fwd *fwd = ex->fwd;
-	struct poison_work *w = poison_find(&fwd->dir->poison, ex->work);
+	struct poison_request *w = poison_find(&fwd->registry->poison, ex->fingerprint);
 	struct poison_verdict verdict;
 
-	if (w == NULL || work_listed(fwd->set.released_works, ex->work))
+	if (w == NULL || work_listed(fwd->set.released_works, ex->fingerprint))
 		return (false);
 	poison_look(fwd, w, &verdict, ex->id);
 	if (verdict.until_ms == 0)
@@ -210,7 +210,7 @@
 	uint64_t until = now + RETRY_OPERATOR_MS;
 	const char *reason = "work_quarantined";
 
-	if (work_listed(fwd->set.refused_works, ex->work))
+	if (work_listed(fwd->set.refused_works, ex->fingerprint))
 		reason = "work_refused_by_operator";
 	else if (!work_quarantined(ex, &until))
 		return (false);
--- a/src/planner.h
+++ b/src/planner.h
@@ -3,7 +3,7 @@
 #ifndef BL_PLANNER_H
 #define BL_PLANNER_H
 
-#include "dir-catalog.h"
+#include "registry-catalog.h"
 #include "replica.h"
 
 /* Maximum number of models of one service that the planner distinguishes. */
--- a/src/replica.h
+++ b/src/replica.h
@@ -8,7 +8,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "dir-fleet.h"
+#include "registry-fleet.h"
 #include "order-ops.h"
 
 /* Maximum number of hosts in a replica. */
--- a/tests/test-adapter.c
+++ b/tests/test-adapter.c
@@ -32,7 +32,7 @@
 	    (long long)catalog->version, catalog->routes->len,
 	    g_hash_table_size(catalog->services),
 	    g_hash_table_size(catalog->keys),
-	    (long long)catalog->limits.body_bytes);
+	    (long long)catalog->limits.max_body_bytes);
 }
 
 /* route HOST PATH: which route a request takes */
@@ -49,7 +49,7 @@
 	g_string_append_printf(out,
 	    "%s repeat=%d resumable=%d open=%d timeout=%lld objective=%lld "
 	    "attempts=%u splits=%u\n",
-	    r->name, (int)r->repeat, r->resumable, r->open,
+	    r->name, (int)r->retry, r->resumable, r->public,
 	    (long long)r->timeout_ms, (long long)r->objective_ms,
 	    r->max_attempts, r->splits->len);
 }
@@ -142,13 +142,13 @@
 	    "id=%s key=%s model=%s deadline=%lld tokens=%.0f,%.0f last=%lld\n",
 	    req.id != NULL ? req.id : "-", req.key != NULL ? req.key : "-",
 	    req.model != NULL ? req.model : "-", (long long)req.deadline_ms,
-	    req.prompt_tokens, req.answer_tokens, (long long)req.last_event);
+	    req.prompt_tokens, req.response_tokens, (long long)req.last_event);
 	g_string_append(out, "passes:");
 	for (unsigned i = 0; i < head.n_fields; i++) {
 		const char *name = net_head_name(&head, i);
 
 		if (!net_head_hop_by_hop(&head, i) &&
-		    platform_wire.passes(name))
+		    platform_wire.passes_header(name))
 			g_string_append_printf(out, " %s", name);
 	}
 	g_string_append_c(out, '\n');
@@ -157,7 +157,7 @@
 
 /* Prints a word of an endpoint, if it was said. */
 static void
-said_print(const struct said *said, const char *name, const char *unit,
+said_print(const struct feedback *said, const char *name, const char *unit,
     GString *out)
 {
 	if (said->text == NULL)
@@ -175,20 +175,20 @@
 {
 	char *at;
 	unsigned status = (unsigned)strtoul(rest, &at, 10);
-	struct wire_answer answer;
+	struct wire_response answer;
 	struct net_head head;
 
 	head_fill(&head, at + 1);
-	platform_wire.read_answer(status, &head, &answer);
+	platform_wire.read_response(status, &head, &answer);
 	g_string_append_printf(out,
 	    "id=%s proof=%d not_run=%d wrong_endpoint=%d at_fault=%s",
-	    answer.id != NULL ? answer.id : "-", answer.proof, answer.not_run,
+	    answer.id != NULL ? answer.id : "-", answer.has_signature, answer.not_run,
 	    answer.wrong_endpoint,
-	    answer.at_fault != NULL ? answer.at_fault : "-");
-	if (answer.said[SAID_LEAVING].number == 1)
+	    answer.lost_member != NULL ? answer.lost_member : "-");
+	if (answer.feedback[FEEDBACK_DRAINING].number == 1)
 		g_string_append(out, " leaving=1");
-	said_print(&answer.said[SAID_REST], "rest", " ms", out);
-	said_print(&answer.said[SAID_LIMIT], "limit", "/s", out);
+	said_print(&answer.feedback[FEEDBACK_BACKOFF], "rest", " ms", out);
+	said_print(&answer.feedback[FEEDBACK_LIMIT], "limit", "/s", out);
 	g_string_append_c(out, '\n');
 	net_head_clear(&head);
 }
