--- a/src/edge-quarantine.c
+++ b/src/edge-quarantine.c
@@ -39,8 +39,9 @@
 		int64_t age = (int64_t)(now_ms - MIN(end->at_ms, now_ms));
 
 		json_array_append_new(ends,
-		    json_pack("{s:I,s:I,s:I,s:b}", "key", (json_int_t)end->id_hash,
-			"started", (json_int_t)end->started, "at",
+		    json_pack("{s:I,s:I,s:I,s:b}", "key",
+			(json_int_t)end->id_hash, "started",
+			(json_int_t)end->started, "at",
 			(json_int_t)(day_ms() - age), "silent", end->silent));
 	}
 	return (json_pack("{s:o}", "ends", ends));
@@ -51,7 +52,8 @@
 {
 	g_autofree struct quarantine_append *append = arg;
 	struct edge *e = append->edge;
-	struct poison_request *w = poison_find(&e->registry.poison, append->work);
+	struct poison_request *w =
+	    poison_find(&e->registry.poison, append->work);
 	bool ok = answer->result == STORE_OK;
 
 	event_log(ok ? LOG_NOTICE : LOG_WARNING,
@@ -105,7 +107,8 @@
 	}
 	return (w->quarantined && newest != NULL &&
 	    newest->origin == POISON_LOCAL && !w->recording &&
-	    w->recorded_crashes != w->n_crashes && now_ms >= w->record_again_ms);
+	    w->recorded_crashes != w->n_crashes &&
+	    now_ms >= w->record_again_ms);
 }
 
 static void
--- a/src/fwd-admission.c
+++ b/src/fwd-admission.c
@@ -87,7 +87,8 @@
 	if (choice->endpoint != NULL) {
 		/* With free places a late answer is no reason to refuse, and
 		 * expectations are least sure where little runs. */
-		if (a->sends > 0 || a->resubmitted || a->criteria->model == NULL ||
+		if (a->sends > 0 || a->resubmitted ||
+		    a->criteria->model == NULL ||
 		    choice->load < FWD_BUSY_LOAD || in_time(a, a->first_ms))
 			return (ADMIT_SEND);
 		return (ADMIT_REFUSE);
@@ -117,14 +118,16 @@
 	double retry = RETRY_PLAIN_MS;
 
 	if (a->criteria->model != NULL)
-		retry = a->criteria->model->warm_ms + a->criteria->engine->form_ms;
+		retry =
+		    a->criteria->model->warm_ms + a->criteria->engine->form_ms;
 	retry *= 1 + spread;
 	/* All daemons together have a turn so often. */
 	if (only_limited(a->choice))
 		retry = (1 + spread) *
 		    fmax(MS_PER_S / a->choice->limits_per_s, RETRY_PLAIN_MS);
 	/* Before the first rest is over a caller would be refused again. */
-	if (fwd_choice_all_unavailable(a->choice) && a->choice->next_available != NULL)
+	if (fwd_choice_all_unavailable(a->choice) &&
+	    a->choice->next_available != NULL)
 		retry =
 		    opens_ms(a) + spread * fmax(opens_ms(a), RETRY_PLAIN_MS);
 	return (llround(MIN(retry, MAX(a->left_ms, 0) * RETRY_HEEDED)));
--- a/src/fwd-admission.h
+++ b/src/fwd-admission.h
@@ -17,7 +17,8 @@
 };
 
 /**
- * struct fwd_admission - a request that has no endpoint, and what is known of it.
+ * struct fwd_admission - a request that has no endpoint, and what is known of
+ *it.
  * @criteria: what it needs
  * @choice: the endpoint found for it, if any
  * @first_ms: when the first event of a request of usual size is expected there
--- a/src/fwd-budget.c
+++ b/src/fwd-budget.c
@@ -76,8 +76,8 @@
  * Return: daemons among which the bound is to be shared.
  */
 unsigned
-fwd_daemon_peak_update(struct fwd_daemon_peak *s, unsigned daemons, uint64_t span_ms,
-    uint64_t now_ms)
+fwd_daemon_peak_update(struct fwd_daemon_peak *s, unsigned daemons,
+    uint64_t span_ms, uint64_t now_ms)
 {
 	uint64_t span = now_ms / MAX(span_ms, 1);
 
--- a/src/fwd-budget.h
+++ b/src/fwd-budget.h
@@ -44,7 +44,8 @@
 	uint64_t window;
 };
 
-unsigned fwd_daemon_peak_update(struct fwd_daemon_peak *, unsigned, uint64_t, uint64_t);
+unsigned fwd_daemon_peak_update(struct fwd_daemon_peak *, unsigned, uint64_t,
+    uint64_t);
 void fwd_budget_request(struct fwd_budget *, const struct fwd_budget_rule *,
     uint64_t);
 bool fwd_budget_take(struct fwd_budget *, const struct fwd_budget_rule *,
--- a/src/fwd-choose.c
+++ b/src/fwd-choose.c
@@ -37,7 +37,8 @@
  * Whether an endpoint has failed the request; with @again, only lately.
  */
 static bool
-want_tried(const struct fwd_criteria *want, const struct endpoint *ep, bool again)
+want_tried(const struct fwd_criteria *want, const struct endpoint *ep,
+    bool again)
 {
 	for (unsigned i = 0; i < want->n_tried; i++) {
 		const struct fwd_tried *tried = &want->tried[i];
@@ -70,7 +71,8 @@
  * @work: filled in
  */
 void
-fwd_criteria_workload(const struct fwd_criteria *want, double prompt, struct fwd_workload *work)
+fwd_criteria_workload(const struct fwd_criteria *want, double prompt,
+    struct fwd_workload *work)
 {
 	work->engine = want->engine;
 	work->model = want->model;
@@ -267,14 +269,15 @@
 }
 
 /**
- * fwd_choice_all_unavailable() - whether all endpoints of the kind rest or leave by
- * their own word.
+ * fwd_choice_all_unavailable() - whether all endpoints of the kind rest or
+ * leave by their own word.
  * @choice: the choice
  */
 bool
 fwd_choice_all_unavailable(const struct fwd_choice *choice)
 {
-	return (choice->unavailable > 0 && choice->unavailable == choice->known);
+	return (
+	    choice->unavailable > 0 && choice->unavailable == choice->known);
 }
 
 /* Compares random candidates, near and far, with the best so far. */
--- a/src/fwd-choose.h
+++ b/src/fwd-choose.h
@@ -55,7 +55,8 @@
  * @load: part of its places that are taken
  * @running: requests at those that are usable
  * @any_usable: a usable endpoint of the kind, full or not, or NULL
- * @next_available: of those that asked for rest, the one whose rest ends first, or NULL
+ * @next_available: of those that asked for rest, the one whose rest ends first,
+ * or NULL
  * @unavailable: endpoints of the kind that rest or leave by their own word
  * @known: endpoints of the kind, usable or not
  * @usable: those that are usable, full or not, and may have the request
@@ -84,6 +85,7 @@
 bool fwd_choice_all_unavailable(const struct fwd_choice *);
 void fwd_choose(const struct fleet *, const struct fwd_criteria *,
     struct fwd_choice *);
-void fwd_criteria_workload(const struct fwd_criteria *, double, struct fwd_workload *);
+void fwd_criteria_workload(const struct fwd_criteria *, double,
+    struct fwd_workload *);
 
 #endif
--- a/src/fwd-conn.c
+++ b/src/fwd-conn.c
@@ -109,7 +109,8 @@
 	net_head_close_value(&c->head);
 	c->head_only = parser->method == HTTP_HEAD;
 	if (parser->flags & F_CONTENTLENGTH &&
-	    parser->content_length > (uint64_t)caller_limits_now(c)->max_body_bytes)
+	    parser->content_length >
+		(uint64_t)caller_limits_now(c)->max_body_bytes)
 		return (caller_bad(c, HTTP_STATUS_PAYLOAD_TOO_LARGE));
 	expect = net_head_find(&c->head, "expect");
 	if (expect != NULL && strcasecmp(expect, "100-continue") == 0)
@@ -123,7 +124,8 @@
 {
 	struct fwd_conn *c = parser->data;
 
-	if ((int64_t)(c->body->len + length) > caller_limits_now(c)->max_body_bytes)
+	if ((int64_t)(c->body->len + length) >
+	    caller_limits_now(c)->max_body_bytes)
 		return (caller_bad(c, HTTP_STATUS_PAYLOAD_TOO_LARGE));
 	g_byte_array_append(c->body, (const guint8 *)at, (guint)length);
 	return (0);
--- a/src/fwd-conn.h
+++ b/src/fwd-conn.h
@@ -45,8 +45,8 @@
 };
 
 void fwd_conn_accept(struct fwd *, uv_stream_t *);
-void fwd_conn_respond(struct fwd_conn *, unsigned, const char *,
-    const void *, size_t);
+void fwd_conn_respond(struct fwd_conn *, unsigned, const char *, const void *,
+    size_t);
 void fwd_conn_refuse(struct fwd_conn *, unsigned, const char *, int64_t);
 void fwd_conn_begin(struct fwd_conn *, unsigned, const char *);
 void fwd_conn_write(struct fwd_conn *, const void *, size_t);
--- a/src/fwd-dispatch.c
+++ b/src/fwd-dispatch.c
@@ -25,15 +25,17 @@
 
 /* What the decision on a request without an endpoint looks at. */
 static void
-exchange_admission(const struct fwd_exchange *ex, const struct fwd_criteria *want,
-    const struct fwd_choice *choice, struct fwd_admission *a)
+exchange_admission(const struct fwd_exchange *ex,
+    const struct fwd_criteria *want, const struct fwd_choice *choice,
+    struct fwd_admission *a)
 {
 	const struct endpoint *ep =
 	    choice->endpoint != NULL ? choice->endpoint : choice->any_usable;
 	struct fwd_workload work;
 
 	if (ep == NULL)
-		ep = choice->next_permit != NULL ? choice->next_permit : choice->next_available;
+		ep = choice->next_permit != NULL ? choice->next_permit :
+						   choice->next_available;
 	memset(a, 0, sizeof *a);
 	a->criteria = want;
 	a->choice = choice;
@@ -53,7 +55,8 @@
 	if (ex->model == NULL)
 		return;
 	/* Judged for a prompt of usual size, so that large ones get through. */
-	fwd_criteria_workload(want, MIN(ex->prompt, ex->engine->usual_prompt), &work);
+	fwd_criteria_workload(want, MIN(ex->prompt, ex->engine->usual_prompt),
+	    &work);
 	a->first_ms = fwd_expect_first(ep, &work);
 }
 
@@ -63,7 +66,7 @@
 {
 	if (fwd_choice_all_unavailable(choice))
 		return (choice->next_available != NULL ? "endpoints_rest" :
-						"endpoints_leave");
+							 "endpoints_leave");
 	if (choice->usable > 0)
 		return ("places_taken");
 	return (choice->limited > 0 ? "endpoints_limited" : "no_endpoint");
@@ -74,8 +77,9 @@
 exchange_no_place(struct fwd_exchange *ex, const struct fwd_admission *a)
 {
 	const struct fwd_choice *choice = a->choice;
-	const struct endpoint *ep =
-	    choice->next_permit != NULL ? choice->next_permit : choice->next_available;
+	const struct endpoint *ep = choice->next_permit != NULL ?
+	    choice->next_permit :
+	    choice->next_available;
 	int64_t retry = fwd_admission_retry_ms(a);
 
 	event_log(LOG_NOTICE, "no_place",
@@ -83,8 +87,9 @@
 	    "turn_ms=%.0f limits_per_s=%.2f endpoint=%s "
 	    "load=%.2f first_ms=%.0f whole_ms=%.0f ahead=%.0f returned=%d "
 	    "retry_ms=%lld",
-	    ex->id, ex->service, choice->known, choice->usable, choice->unavailable,
-	    choice->limited, isinf(choice->permit_ms) ? -1 : choice->permit_ms,
+	    ex->id, ex->service, choice->known, choice->usable,
+	    choice->unavailable, choice->limited,
+	    isinf(choice->permit_ms) ? -1 : choice->permit_ms,
 	    choice->limits_per_s, ep != NULL ? ep->report.id : "-",
 	    choice->load, a->first_ms, a->duration_ms, a->ahead, a->resubmitted,
 	    (long long)retry);
@@ -111,7 +116,8 @@
 }
 
 /**
- * fwd_exchange_dispatch() - send a request, let it wait for a place, or refuse it.
+ * fwd_exchange_dispatch() - send a request, let it wait for a place, or refuse
+ * it.
  * @ex: the exchange
  */
 void
--- a/src/fwd-exchange.c
+++ b/src/fwd-exchange.c
@@ -47,7 +47,8 @@
 	ep->refs++;
 	ex->probe = endpoint_backoff_begin_probe(&ep->backoff);
 	ex->has_permit = ep->limit.active &&
-	    endpoint_limit_take_permit(&ep->limit, clock_loop_ms(ex->fwd->loop));
+	    endpoint_limit_take_permit(&ep->limit,
+		clock_loop_ms(ex->fwd->loop));
 	ex->in_backlog = ex->model != NULL;
 	if (ex->in_backlog)
 		exchange_note_prompt(ex);
@@ -137,7 +138,7 @@
 	    choice->load, choice->known, choice->usable,
 	    limit->active ? limit->per_s : -1,
 	    (unsigned long long)(limit->active ? ex->sent_ms - limit->as_of_ms :
-						0));
+						 0));
 	text = exchange_text(ex);
 	net_client_send(ex->upstream, text->str, text->len, ex->head_only);
 }
@@ -298,7 +299,8 @@
 
 	if (ex->has_permit || endpoint_limit_wait_ms(limit, 0, now_ms) > 0)
 		return (ex->has_permit);
-	ex->has_permit = limit->active && endpoint_limit_take_permit(limit, now_ms);
+	ex->has_permit =
+	    limit->active && endpoint_limit_take_permit(limit, now_ms);
 	return (true);
 }
 
--- a/src/fwd-exchange.h
+++ b/src/fwd-exchange.h
@@ -42,7 +42,8 @@
  * @arrived_ms: loop time
  * @arrived_us: for the histograms
  * @deadline_ms: loop time at which it must be over
- * @resubmitted: it was refused before: less of its time is left than a new one has
+ * @resubmitted: it was refused before: less of its time is left than a new one
+ *has
  * @state: how far it is
  * @endpoint: who has it, or NULL
  * @upstream: connection to the endpoint
--- a/src/fwd-expect.c
+++ b/src/fwd-expect.c
@@ -80,8 +80,8 @@
 	double running = fwd_expect_running(ep);
 	double steps = step_ms(e, work->model, running + 1) * e->stride;
 
-	return (
-	    (writers_ms(ep, work) / 2 + steps) * ep->slowness + work->overhead_ms);
+	return ((writers_ms(ep, work) / 2 + steps) * ep->slowness +
+	    work->overhead_ms);
 }
 
 /**
@@ -145,8 +145,8 @@
 fwd_estimate_add_first(struct fwd_estimate *learned, double late_ms)
 {
 	late_ms = CLAMP(late_ms, 0, EXTRA_MOST_MS);
-	learned->overhead_ms +=
-	    learn_weight(++learned->n_overhead) * (late_ms - learned->overhead_ms);
+	learned->overhead_ms += learn_weight(++learned->n_overhead) *
+	    (late_ms - learned->overhead_ms);
 }
 
 /**
@@ -157,6 +157,6 @@
 void
 fwd_estimate_add_duration(struct fwd_estimate *learned, double whole_ms)
 {
-	learned->duration_ms +=
-	    learn_weight(++learned->n_duration) * (whole_ms - learned->duration_ms);
+	learned->duration_ms += learn_weight(++learned->n_duration) *
+	    (whole_ms - learned->duration_ms);
 }
--- a/src/fwd-feedback.c
+++ b/src/fwd-feedback.c
@@ -154,8 +154,8 @@
 static void
 heard_refusal(struct fwd_exchange *ex)
 {
-	fwd_endpoint_cool_down(ex, endpoint_backoff_refused(&ex->endpoint->backoff),
-	    "refused");
+	fwd_endpoint_cool_down(ex,
+	    endpoint_backoff_refused(&ex->endpoint->backoff), "refused");
 }
 
 /**
@@ -191,7 +191,8 @@
 	if (!answer->not_run)
 		heard_taken(ex);
 	else if (answer->lost_member == NULL &&
-	    !endpoint_backoff_active(&ep->backoff, clock_loop_ms(ex->fwd->loop)))
+	    !endpoint_backoff_active(&ep->backoff,
+		clock_loop_ms(ex->fwd->loop)))
 		heard_refusal(ex);
 }
 
--- a/src/fwd-poison.c
+++ b/src/fwd-poison.c
@@ -22,7 +22,8 @@
 	out[0] = '\0';
 	for (unsigned i = 0; i < w->n_crashes && used < size; i++) {
 		const struct poison_crash *end = &w->crashes[i];
-		const struct endpoint *ep = fleet_find_by_hash(fleet, end->id_hash);
+		const struct endpoint *ep =
+		    fleet_find_by_hash(fleet, end->id_hash);
 
 		used += (size_t)g_snprintf(out + used, size - used,
 		    "%s%s:%08x:%llu", i > 0 ? "," : "",
@@ -43,8 +44,8 @@
 	event_log(LOG_NOTICE, event,
 	    "id=%s work=%08x ends=%u doubted=%u explained=%u left_ms=%lld "
 	    "blamed_for=%s",
-	    id, FINGERPRINT_SHORT(w->fingerprint), verdict->crashes, verdict->unconfirmed,
-	    verdict->explained,
+	    id, FINGERPRINT_SHORT(w->fingerprint), verdict->crashes,
+	    verdict->unconfirmed, verdict->explained,
 	    verdict->until_ms != 0 ? (long long)(verdict->until_ms - now) : -1,
 	    blamed);
 }
@@ -86,7 +87,8 @@
 }
 
 /**
- * fwd_poison_observe_crash() - the endpoint may have ended while it had a request.
+ * fwd_poison_observe_crash() - the endpoint may have ended while it had a
+ * request.
  * @ex: the exchange, with its endpoint
  * @silent: it fell silent; otherwise the connection broke
  */
@@ -97,7 +99,8 @@
 	const struct endpoint *ep = ex->endpoint;
 	uint64_t now = clock_loop_ms(fwd->loop);
 	const struct poison_crash end = poison_crash_of(ep, silent, now);
-	bool news = poison_observe_crash(&fwd->registry->poison, ex->fingerprint, &end, now);
+	bool news = poison_observe_crash(&fwd->registry->poison,
+	    ex->fingerprint, &end, now);
 
 	fwd_stats_count(&fwd->stats, COUNT_LOST);
 	event_log(LOG_NOTICE, "work_lost",
@@ -181,7 +184,8 @@
 work_quarantined(struct fwd_exchange *ex, uint64_t *until_ms)
 {
 	struct fwd *fwd = ex->fwd;
-	struct poison_request *w = poison_find(&fwd->registry->poison, ex->fingerprint);
+	struct poison_request *w =
+	    poison_find(&fwd->registry->poison, ex->fingerprint);
 	struct poison_verdict verdict;
 
 	if (w == NULL || work_listed(fwd->set.released_works, ex->fingerprint))
--- a/src/fwd-resolve.c
+++ b/src/fwd-resolve.c
@@ -102,7 +102,8 @@
 	life = MIN(life, DEADLINE_MOST_MS);
 	ex->deadline_ms = ex->arrived_ms + (uint64_t)life;
 	/* A client that has waited longer than the objective tries again. */
-	ex->resubmitted = life + ex->route->objective_ms < ex->route->timeout_ms;
+	ex->resubmitted =
+	    life + ex->route->objective_ms < ex->route->timeout_ms;
 }
 
 /* The request's first line and the headers that go on unchanged. */
--- a/src/fwd-response.c
+++ b/src/fwd-response.c
@@ -186,9 +186,11 @@
 	/* What is refused may come from another incarnation. */
 	if (!ex->not_run)
 		ex->endpoint->heard_ms = ex->heard_ms;
-	g_byte_array_append(ex->response_body, (const guint8 *)at, (guint)length);
+	g_byte_array_append(ex->response_body, (const guint8 *)at,
+	    (guint)length);
 	if (!ex->passthrough &&
-	    (ex->response_body->len <= HELD_ANSWER_BYTES || ex->not_run || !ex->has_signature))
+	    (ex->response_body->len <= HELD_ANSWER_BYTES || ex->not_run ||
+		!ex->has_signature))
 		return;
 	if (!ex->passthrough) {
 		ex->passthrough = true;
@@ -196,7 +198,8 @@
 		ex->first_us = clock_now_us();
 		fwd_conn_begin(ex->conn, ex->status, ex->headers->str);
 	}
-	fwd_conn_write(ex->conn, ex->response_body->data, ex->response_body->len);
+	fwd_conn_write(ex->conn, ex->response_body->data,
+	    ex->response_body->len);
 	g_byte_array_set_size(ex->response_body, 0);
 	fwd_conn_flush(ex->conn);
 }
--- a/src/fwd-retry.c
+++ b/src/fwd-retry.c
@@ -57,8 +57,8 @@
 	if (now + LEFT_LEAST_MS >= ex->deadline_ms)
 		return ("deadline");
 	if (ex->runs > 0 &&
-	    !poison_may_retry(&fwd->registry->poison, &fwd->registry->fleet, ex->fingerprint,
-		now))
+	    !poison_may_retry(&fwd->registry->poison, &fwd->registry->fleet,
+		ex->fingerprint, now))
 		return ("work_suspected");
 	return (NULL);
 }
@@ -85,7 +85,8 @@
 	    "id=%s reason=%s obstacle=%s sends=%u runs=%u "
 	    "last_event=%lld work=%08x",
 	    ex->id, reason, obstacle != NULL ? obstacle : "none", ex->sends,
-	    ex->runs, (long long)ex->events.last_id, FINGERPRINT_SHORT(ex->fingerprint));
+	    ex->runs, (long long)ex->events.last_id,
+	    FINGERPRINT_SHORT(ex->fingerprint));
 	if (obstacle != NULL) {
 		fwd_exchange_give_up(ex, HTTP_STATUS_BAD_GATEWAY, reason,
 		    RETRY_REFUSED_MS);
--- a/src/fwd-silence.c
+++ b/src/fwd-silence.c
@@ -78,7 +78,8 @@
 		fwd_poison_observe_crash(ex, true);
 	}
 	if (fwd_exchange_movable(ex))
-		fwd_exchange_move(ex, ex->upstream->connected, "endpoint_silent");
+		fwd_exchange_move(ex, ex->upstream->connected,
+		    "endpoint_silent");
 }
 
 /**
--- a/src/fwd-stats.h
+++ b/src/fwd-stats.h
@@ -68,8 +68,8 @@
 void fwd_stats_init(struct fwd_stats *);
 void fwd_stats_clear(struct fwd_stats *);
 void fwd_stats_count(struct fwd_stats *, enum fwd_count);
-void fwd_stats_add_latency(struct fwd_stats *, const char *, const char *, uint64_t,
-    uint64_t);
+void fwd_stats_add_latency(struct fwd_stats *, const char *, const char *,
+    uint64_t, uint64_t);
 void fwd_stats_print(const struct fwd_stats *, GString *);
 
 #endif
--- a/src/fwd-wire.h
+++ b/src/fwd-wire.h
@@ -46,7 +46,8 @@
  * enum feedback_kind - what an endpoint may say of itself in any answer.
  * @FEEDBACK_BACKOFF: it wants nothing from this daemon for so many ms
  * @FEEDBACK_DRAINING: 1 where it ends what it has and takes nothing new
- * @FEEDBACK_LIMIT: the requests a second that it takes from all daemons together
+ * @FEEDBACK_LIMIT: the requests a second that it takes from all daemons
+ * together
  */
 enum feedback_kind {
 	FEEDBACK_BACKOFF,
--- a/src/fwd.c
+++ b/src/fwd.c
@@ -138,7 +138,8 @@
 struct fwd_estimate *
 fwd_estimate_get(struct fwd *fwd, const char *name)
 {
-	struct fwd_estimate *learned = g_hash_table_lookup(fwd->estimates, name);
+	struct fwd_estimate *learned =
+	    g_hash_table_lookup(fwd->estimates, name);
 
 	if (learned == NULL) {
 		learned = g_new0(struct fwd_estimate, 1);
@@ -221,7 +222,8 @@
 		next = TAILQ_NEXT(c, entry);
 		if (c->exchange != NULL && busy)
 			fwd_exchange_abort(c->exchange, "daemon_ends");
-		else if (c->exchange == NULL && !c->started && !c->stream.finish)
+		else if (c->exchange == NULL && !c->started &&
+		    !c->stream.finish)
 			net_stream_close(&c->stream);
 	}
 }
--- a/src/mesh-serve.c
+++ b/src/mesh-serve.c
@@ -103,8 +103,8 @@
 		event_log(LOG_WARNING, "entries_ignored",
 		    "bytes=%u reason=format", answer->body->len);
 	else
-		registry_apply_snapshot(mesh->registry, entries.end, entries.records,
-		    mesh->now_ms);
+		registry_apply_snapshot(mesh->registry, entries.end,
+		    entries.records, mesh->now_ms);
 	g_array_free(entries.records, TRUE);
 }
 
@@ -120,7 +120,7 @@
 	if (f->synced || mesh->fetching_entries)
 		return (false);
 	return (f->held ? peer == mesh->relay :
-			  f->failures > 0 && mesh_peer_relays(mesh, peer));
+			  f->failures > 0 && mesh_peer_is_relay(mesh, peer));
 }
 
 /**
--- a/src/keeper-call.c
+++ b/src/placer-call.c
@@ -3,7 +3,7 @@
 
 #include "clock.h"
 #include "event-log.h"
-#include "keeper.h"
+#include "placer.h"
 
 /* An order that has no answer after this is given again. */
 #define ORDER_TIMEOUT_MS 800
@@ -18,8 +18,8 @@
 #define ASK_AGAIN_MS 300
 
 /* An order or question on its way to a member. */
-struct keeper_call {
-	struct keeper *keeper;
+struct placer_call {
+	struct placer *placer;
 	int64_t term;
 	char *group;
 	char *id;
@@ -28,7 +28,7 @@
 };
 
 static struct replica *
-replica_find(struct keeper *k, const char *name)
+replica_find(struct placer *k, const char *name)
 {
 	struct replica *r;
 
@@ -41,12 +41,12 @@
 
 /* The member that a call went to, if it is still the placer's. */
 static struct replica_member *
-call_member(const struct keeper_call *call, struct replica **replica)
+call_member(const struct placer_call *call, struct replica **replica)
 {
-	struct keeper *k = call->keeper;
+	struct placer *k = call->placer;
 	struct replica *r = NULL;
 
-	if (k->state == KEEPER_HOLDING && k->term == call->term)
+	if (k->state == PLACER_HOLDING && k->term == call->term)
 		r = replica_find(k, call->group);
 	*replica = r;
 	for (unsigned i = 0; r != NULL && i < r->n; i++) {
@@ -57,31 +57,31 @@
 }
 
 static void
-call_free(struct keeper_call *call)
+call_free(struct placer_call *call)
 {
-	call->keeper->calls--;
+	call->placer->n_calls--;
 	g_free(call->group);
 	g_free(call->id);
 	g_free(call);
 }
 
 /**
- * keeper_calls_free() - whether one more order or question may go out now.
- * @k: the keeper
+ * placer_call_allowed() - whether one more order or question may go out now.
+ * @k: the placer
  */
 bool
-keeper_calls_free(const struct keeper *k)
+placer_call_allowed(const struct placer *k)
 {
-	return (k->calls < CALLS_MOST);
+	return (k->n_calls < CALLS_MOST);
 }
 
-static struct keeper_call *
-call_new(struct keeper *k, const struct replica *r, unsigned member)
+static struct placer_call *
+call_new(struct placer *k, const struct replica *r, unsigned member)
 {
-	struct keeper_call *call = g_new0(struct keeper_call, 1);
+	struct placer_call *call = g_new0(struct placer_call, 1);
 
-	call->keeper = k;
-	k->calls++;
+	call->placer = k;
+	k->n_calls++;
 	call->term = k->term;
 	call->group = g_strdup(r->name);
 	call->id = g_strdup(r->members[member].id);
@@ -94,7 +94,7 @@
  * though its entry may stand for three beats more: no group is formed with it.
  */
 static void
-host_ended(struct keeper *k, const char *id)
+host_ended(struct placer *k, const char *id)
 {
 	struct endpoint *ep = fleet_find(&k->registry->fleet, id);
 
@@ -148,8 +148,8 @@
 static void
 on_ordered(void *arg, enum order_result result)
 {
-	struct keeper_call *call = arg;
-	struct keeper *k = call->keeper;
+	struct placer_call *call = arg;
+	struct placer *k = call->placer;
 	struct replica *r;
 	struct replica_member *m = call_member(call, &r);
 
@@ -169,26 +169,27 @@
 		if (result == ORDER_OTHER)
 			m->liveness = MEMBER_DEAD;
 		if (result == ORDER_FENCED && call->order != ORDER_JOIN)
-			keeper_lose(k, "fenced");
+			placer_step_down(k, "fenced");
 	}
 	topic_follower_poll(&k->registry->endpoints);
-	keeper_look_soon(k);
+	placer_schedule_pass(k);
 	call_free(call);
 }
 
 /**
- * keeper_sole() - whether a group is one of a single host, never opened.
+ * placer_is_warm_group() - whether a group is one of a single host, never
+ * opened.
  * @name: of the group
  */
 bool
-keeper_sole(const char *name)
+placer_is_warm_group(const char *name)
 {
 	return (g_str_has_prefix(name, SOLE_PREFIX));
 }
 
 /* Connections for calls to a host: its endpoint's, or ones for its address. */
 static struct net_pool *
-member_pool(struct keeper *k, const struct replica_member *m)
+member_pool(struct placer *k, const struct replica_member *m)
 {
 	struct endpoint *ep = fleet_find(&k->registry->fleet, m->id);
 	struct net_pool *pool;
@@ -209,19 +210,19 @@
 }
 
 /**
- * keeper_order() - give an order to a member.
- * @k: the keeper; its lease was checked just before
+ * placer_order_member() - give an order to a member.
+ * @k: the placer; its lease was checked just before
  * @r: the replica
  * @index: of the member
  * @kind: which
  */
 void
-keeper_order(struct keeper *k, struct replica *r, unsigned index,
+placer_order_member(struct placer *k, struct replica *r, unsigned index,
     enum order_kind kind)
 {
 	struct replica_member *m = &r->members[index];
 	g_autoptr(GPtrArray) ids = g_ptr_array_new();
-	struct keeper_call *call = call_new(k, r, index);
+	struct placer_call *call = call_new(k, r, index);
 	struct order order = { .kind = kind,
 		.fence = k->term,
 		.group = r->name,
@@ -278,13 +279,13 @@
 static void
 on_reported(void *arg, enum order_answer answer, struct endpoint_report *report)
 {
-	struct keeper_call *call = arg;
+	struct placer_call *call = arg;
 	struct replica *r;
 	struct replica_member *m = call_member(call, &r);
-	uint64_t now = clock_loop_ms(call->keeper->loop);
+	uint64_t now = clock_loop_ms(call->placer->loop);
 
 	if (answer == ANSWER_ABSENT)
-		host_ended(call->keeper, call->id);
+		host_ended(call->placer, call->id);
 	if (m != NULL) {
 		m->ask_pending = false;
 		if (answer == ANSWER_REPORT)
@@ -302,19 +303,19 @@
 }
 
 /**
- * keeper_ask() - ask a member directly, unless it was asked just now.
- * @k: the keeper
+ * placer_ask_member() - ask a member directly, unless it was asked just now.
+ * @k: the placer
  * @r: the replica
  * @index: of the member
  */
 void
-keeper_ask(struct keeper *k, struct replica *r, unsigned index)
+placer_ask_member(struct placer *k, struct replica *r, unsigned index)
 {
 	struct replica_member *m = &r->members[index];
 	uint64_t now = clock_loop_ms(k->loop);
-	struct keeper_call *call;
+	struct placer_call *call;
 
-	if (m->ask_pending || !keeper_calls_free(k) ||
+	if (m->ask_pending || !placer_call_allowed(k) ||
 	    (m->asked_ms != 0 && now - m->asked_ms < ASK_AGAIN_MS))
 		return;
 	call = call_new(k, r, index);
@@ -328,28 +329,28 @@
 static void
 on_prepared(void *arg, enum order_result result)
 {
-	struct keeper_call *call = arg;
+	struct placer_call *call = arg;
 
 	event_log(result == ORDER_TAKEN ? LOG_INFO : LOG_NOTICE, "order_ended",
 	    "member=%s order=%s result=%s term=%lld", call->id,
 	    call->order == ORDER_STAGE ? "stage" : "warm",
 	    order_result_name(result), (long long)call->term);
 	if (result == ORDER_OTHER)
-		host_ended(call->keeper, call->id);
+		host_ended(call->placer, call->id);
 	if (call->order == ORDER_STAGE)
-		keeper_stage_answered(call->keeper, call->id, result);
+		placer_copy_answered(call->placer, call->id, result);
 	call_free(call);
 }
 
 /* Gives an order to a host by itself; false where none was sent. */
 static bool
-host_order(struct keeper *k, const char *id, const struct order *order)
+host_order(struct placer *k, const char *id, const struct order *order)
 {
 	struct endpoint *ep = fleet_find(&k->registry->fleet, id);
-	struct keeper_call *call = g_new0(struct keeper_call, 1);
+	struct placer_call *call = g_new0(struct placer_call, 1);
 
-	call->keeper = k;
-	k->calls++;
+	call->placer = k;
+	k->n_calls++;
 	call->term = k->term;
 	call->id = g_strdup(id);
 	call->order = order->kind;
@@ -362,15 +363,15 @@
 }
 
 /**
- * keeper_order_stage() - have a host copy a model beside its work.
- * @k: the keeper
+ * placer_order_stage() - have a host copy a model beside its work.
+ * @k: the placer
  * @id: the host
  * @model: the model
  *
  * Return: false where nothing was sent.
  */
 bool
-keeper_order_stage(struct keeper *k, const char *id, const char *model)
+placer_order_stage(struct placer *k, const char *id, const char *model)
 {
 	const struct order order = { .kind = ORDER_STAGE,
 		.fence = k->term,
@@ -380,8 +381,8 @@
 }
 
 /**
- * keeper_order_warm() - have an idle host take a model into memory.
- * @k: the keeper
+ * placer_order_warm() - have an idle host take a model into memory.
+ * @k: the placer
  * @id: the host
  * @model: the model
  * @epoch: above those of all groups so far
@@ -390,7 +391,7 @@
  * needs no record; the next join replaces it.
  */
 void
-keeper_order_warm(struct keeper *k, const char *id, const char *model,
+placer_order_warm(struct placer *k, const char *id, const char *model,
     int64_t epoch)
 {
 	g_autofree char *group =
--- a/src/keeper-place.c
+++ b/src/placer-form.c
@@ -3,7 +3,7 @@
 
 #include "event-log.h"
 #include "fwd-expect.h"
-#include "keeper.h"
+#include "placer.h"
 #include "planner.h"
 
 /* Epochs of one lease; a lease that makes more must be taken anew. */
@@ -41,7 +41,7 @@
 
 /* All hosts that are members of replicas, by their id. */
 static GHashTable *
-place_seats(const struct keeper *k)
+place_seats(const struct placer *k)
 {
 	GHashTable *seats =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
@@ -66,7 +66,7 @@
 
 /* Names of the groups that have a record. */
 static GHashTable *
-place_names(const struct keeper *k)
+place_names(const struct placer *k)
 {
 	GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 	struct replica *r;
@@ -88,13 +88,13 @@
 	const char *group = ep->report.group;
 
 	return (ep->unreadable_ms == 0 && now_ms >= ep->unfit_until_ms &&
-	    !keeper_heads(ep) &&
+	    !placer_is_active_head(ep) &&
 	    (group == NULL || !g_hash_table_contains(names, group)));
 }
 
 /* Whether a host is taking a model into memory. */
 static bool
-host_warming(const struct keeper *k, const char *id, uint64_t now_ms)
+host_warming(const struct placer *k, const char *id, uint64_t now_ms)
 {
 	const uint64_t *until = g_hash_table_lookup(k->warming, id);
 
@@ -103,7 +103,7 @@
 
 /* All hosts of a service that live. */
 static void
-view_add_hosts(struct keeper *k, const char *service, struct planner_view *view,
+view_add_hosts(struct placer *k, const char *service, struct planner_view *view,
     uint64_t now_ms)
 {
 	g_autoptr(GHashTable) seats = place_seats(k);
@@ -122,7 +122,7 @@
 		host.fabric = ep->report.fabric;
 		host.loaded_model = ep->loaded_model;
 		host.staged = ep->report.staged;
-		host.copying = keeper_staging(k, ep->report.id);
+		host.copying = placer_copying(k, ep->report.id);
 		host.warming = host_warming(k, ep->report.id, now_ms);
 		seat = g_hash_table_lookup(seats, ep->report.id);
 		host.group = seat != NULL ? seat->replica : NULL;
@@ -136,7 +136,7 @@
 
 /* Counts the replicas that are wanted. */
 static void
-view_add_replicas(const struct keeper *k, const char *service,
+view_add_replicas(const struct placer *k, const char *service,
     struct planner_view *view)
 {
 	const struct replica *r;
@@ -154,14 +154,14 @@
 
 /* An epoch above all that were given so far. */
 static int64_t
-next_epoch(struct keeper *k)
+next_epoch(struct placer *k)
 {
-	return (k->term * EPOCHS_A_TERM + ++k->groups);
+	return (k->term * EPOCHS_A_TERM + ++k->epochs_issued);
 }
 
 /* Makes a replica of a plan and has its record written. */
 static void
-place_make(struct keeper *k, const char *service,
+place_make(struct placer *k, const char *service,
     const struct planner_view *view, const struct replica_plan *plan,
     uint64_t now_ms)
 {
@@ -174,12 +174,13 @@
 	for (guint i = 0; i < plan->members->len; i++) {
 		guint at = g_array_index(plan->members, guint, i);
 		const struct planner_host *h = planner_host_at(view, at);
-		const struct endpoint *ep = fleet_find(&k->registry->fleet, h->id);
+		const struct endpoint *ep =
+		    fleet_find(&k->registry->fleet, h->id);
 
 		replica_add_member(r, h->id, &ep->report.address);
 	}
 	for (unsigned i = 0; i < plan->loads; i++)
-		g_array_append_val(k->loads, now_ms);
+		g_array_append_val(k->load_starts, now_ms);
 	event_log(LOG_NOTICE, "group_planned",
 	    "group=%s epoch=%lld model=%s hosts=%u loads=%u head=%s fabric=%s",
 	    name, (long long)epoch, r->model, r->n, plan->loads,
@@ -187,12 +188,12 @@
 	    planner_host_at(view, g_array_index(plan->members, guint, 0))
 		->fabric);
 	TAILQ_INSERT_TAIL(&k->replicas, r, entry);
-	keeper_record_replica(k, r, false);
+	placer_record_replica(k, r, false);
 }
 
 /* Forms a replica with up to some loads; false where there is none to form. */
 static bool
-place_form(struct keeper *k, const char *service, struct planner_view *view,
+place_form(struct placer *k, const char *service, struct planner_view *view,
     unsigned loads, uint64_t now_ms)
 {
 	unsigned free = view->loads_free;
@@ -211,7 +212,7 @@
 
 /* Has a host get a copy of a model; false where none should. */
 static bool
-place_copy(struct keeper *k, struct planner_view *view, uint64_t now_ms)
+place_copy(struct placer *k, struct planner_view *view, uint64_t now_ms)
 {
 	const struct model_profile *model;
 	const struct planner_host *h = planner_plan_copy(view, &model);
@@ -222,13 +223,13 @@
 	event_log(LOG_NOTICE, "copy_planned",
 	    "host=%s model=%s fabric=%s free=%d", h->id, model->name, h->fabric,
 	    h->free);
-	keeper_stage_begin(k, h->id, model, now_ms);
+	placer_copy_start(k, h->id, model, now_ms);
 	return (true);
 }
 
 /* Has an idle host take a model into memory; false where none should. */
 static bool
-place_warm(struct keeper *k, struct planner_view *view, uint64_t now_ms)
+place_warm(struct placer *k, struct planner_view *view, uint64_t now_ms)
 {
 	const struct model_profile *big = planner_model(view, view->largest);
 	const struct planner_host *h;
@@ -236,7 +237,7 @@
 
 	/* This join has no record. As long as the end of a group has none
 	 * either, another placer may take the group up again. */
-	if (k->writing || k->records->len > 0)
+	if (k->store_busy || k->pending->len > 0)
 		return (false);
 	h = planner_plan_warming(view);
 	if (h == NULL)
@@ -246,26 +247,26 @@
 	    h->id, big->name, h->fabric);
 	g_hash_table_replace(k->warming, g_strdup(h->id),
 	    g_memdup2(&until, sizeof until));
-	keeper_order_warm(k, h->id, big->name, next_epoch(k));
+	placer_order_warm(k, h->id, big->name, next_epoch(k));
 	return (true);
 }
 
 /* Dissolves a replica whose hosts the largest model needs. */
 static bool
-place_donate(struct keeper *k, const struct planner_view *view, uint64_t now_ms)
+place_donate(struct placer *k, const struct planner_view *view, uint64_t now_ms)
 {
 	struct replica *donor = planner_find_donor(view);
 
 	if (donor == NULL)
 		return (false);
 	replica_donate(donor, now_ms);
-	keeper_doomed(k, donor, now_ms);
+	placer_announce_dissolve(k, donor, now_ms);
 	return (true);
 }
 
 /* Dissolves a replica of the largest model that is one too many. */
 static bool
-place_surplus(struct keeper *k, const struct planner_view *view,
+place_surplus(struct placer *k, const struct planner_view *view,
     uint64_t now_ms)
 {
 	struct replica *r = planner_find_surplus(view);
@@ -273,7 +274,7 @@
 	if (r == NULL)
 		return (false);
 	replica_retire(r, now_ms);
-	keeper_doomed(k, r, now_ms);
+	placer_announce_dissolve(k, r, now_ms);
 	return (true);
 }
 
@@ -294,7 +295,7 @@
  * hosts and copies for the largest model, then loads for others.
  */
 static enum place_result
-place_step(struct keeper *k, const char *service, struct planner_view *view,
+place_step(struct placer *k, const char *service, struct planner_view *view,
     uint64_t now_ms)
 {
 	unsigned loads = view->serving ? 0 : view->loads_free;
@@ -304,7 +305,7 @@
 		(place_donate(k, view, now_ms) ||
 		    place_surplus(k, view, now_ms))))
 		return (PLACE_CHANGED);
-	if (!keeper_calls_free(k))
+	if (!placer_call_allowed(k))
 		return (PLACE_NOTHING);
 	if (place_copy(k, view, now_ms))
 		return (PLACE_PREPARED);
@@ -315,12 +316,12 @@
 }
 
 /**
- * keeper_usage() - the counts of a service.
- * @k: the keeper
+ * placer_usage() - the counts of a service.
+ * @k: the placer
  * @service: its name
  */
 struct service_usage *
-keeper_usage(struct keeper *k, const char *service)
+placer_usage(struct placer *k, const char *service)
 {
 	struct service_usage *u = g_hash_table_lookup(k->usage, service);
 
@@ -333,7 +334,7 @@
 
 /* Counts the requests of each model that run now, at all heads. */
 static void
-demand_count(const struct keeper *k, const char *service,
+demand_count(const struct placer *k, const char *service,
     const struct planner_view *view, struct demand_sample *seen)
 {
 	const struct replica *r;
@@ -359,10 +360,10 @@
 
 /* Lets the shares of the models follow the requests that are seen. */
 static void
-view_set_work(struct keeper *k, const char *service, struct planner_view *view,
+view_set_work(struct placer *k, const char *service, struct planner_view *view,
     uint64_t now_ms)
 {
-	struct planner_demand *d = &keeper_usage(k, service)->demand;
+	struct planner_demand *d = &placer_usage(k, service)->demand;
 	struct demand_sample seen[PLANNER_MODELS_MAX] = { 0 };
 	unsigned most = d->largest_max;
 
@@ -376,7 +377,7 @@
 	planner_demand_apply(d, view, now_ms);
 	if (d->largest_max == most)
 		return;
-	keeper_record_bound(k, service, d->largest_max);
+	placer_record_bound(k, service, d->largest_max);
 	event_log(LOG_NOTICE, "share_moved",
 	    "service=%s model=%s most=%u was=%u share=%.2f busy=%.1f", service,
 	    planner_model(view, view->largest)->name, d->largest_max, most,
@@ -385,7 +386,7 @@
 
 /* Sees all hosts and replicas of a service. */
 static void
-place_view(struct keeper *k, const struct catalog_service *service,
+place_view(struct placer *k, const struct catalog_service *service,
     struct planner_view *view, uint64_t now_ms)
 {
 	planner_view_init(view, service->engine);
@@ -396,15 +397,15 @@
 	planner_view_set_targets(view);
 	view->serving = k->served;
 	view->hosts_stable = now_ms - k->grew_ms >= SETTLE_MS;
-	view->loads_free = keeper_loads_free(k, service->engine, now_ms);
+	view->loads_free = placer_loads_available(k, service->engine, now_ms);
 }
 
 /* Takes steps for one service while the view holds; whether to go on. */
 static bool
-place_some(struct keeper *k, const char *service, struct planner_view *view,
+place_some(struct placer *k, const char *service, struct planner_view *view,
     unsigned *steps, uint64_t now_ms)
 {
-	while (*steps > 0 && k->groups < EPOCHS_A_TERM - 1) {
+	while (*steps > 0 && k->epochs_issued < EPOCHS_A_TERM - 1) {
 		enum place_result result = place_step(k, service, view, now_ms);
 
 		if (result == PLACE_NOTHING)
@@ -418,7 +419,7 @@
 
 /* Takes steps for one service; true where some are left for the next look. */
 static bool
-place_service(struct keeper *k, const struct catalog_service *service,
+place_service(struct placer *k, const struct catalog_service *service,
     uint64_t now_ms)
 {
 	unsigned steps = STEPS_A_LOOK;
@@ -429,34 +430,34 @@
 
 		place_view(k, service, &view, now_ms);
 		if (!counted)
-			service_usage_count(keeper_usage(k, service->name),
+			service_usage_count(placer_usage(k, service->name),
 			    service->name, &view, &k->replicas, now_ms);
 		counted = true;
 		more = place_some(k, service->name, &view, &steps, now_ms);
 		planner_view_clear(&view);
 	} while (more);
-	return (steps == 0 || !keeper_calls_free(k));
+	return (steps == 0 || !placer_call_allowed(k));
 }
 
 /**
- * keeper_place() - form new replicas of all services that have models.
- * @k: the keeper
+ * placer_form_replicas() - form new replicas of all services that have models.
+ * @k: the placer
  * @now_ms: loop time
  */
 void
-keeper_place(struct keeper *k, uint64_t now_ms)
+placer_form_replicas(struct placer *k, uint64_t now_ms)
 {
 	unsigned hosts = g_hash_table_size(k->registry->fleet.by_id);
 	GHashTableIter iter;
 	gpointer value;
 
 	if (mesh_serving(k->mesh))
-		keeper_record_served(k);
-	keeper_stage_look(k, now_ms);
-	if (hosts > k->hosts)
+		placer_record_served(k);
+	placer_copies_update(k, now_ms);
+	if (hosts > k->n_hosts)
 		k->grew_ms = now_ms;
-	k->hosts = hosts;
-	k->more = false;
+	k->n_hosts = hosts;
+	k->unfinished = false;
 	g_hash_table_iter_init(&iter, k->registry->catalog->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct catalog_service *service = value;
@@ -464,8 +465,8 @@
 		if (service->engine == NULL ||
 		    service->engine->models->len == 0)
 			continue;
-		k->more |= place_service(k, service, now_ms);
+		k->unfinished |= place_service(k, service, now_ms);
 	}
-	if (k->more)
-		keeper_look_soon(k);
+	if (k->unfinished)
+		placer_schedule_pass(k);
 }
--- a/src/keeper-idle.c
+++ b/src/placer-idle.c
@@ -2,27 +2,27 @@
 #include <string.h>
 
 #include "event-log.h"
-#include "keeper-idle.h"
+#include "placer-idle.h"
 
 /**
- * idle_watch_init() - begin with nothing said.
+ * idle_log_init() - begin with nothing said.
  * @watch: the watch
  */
 void
-idle_watch_init(struct idle_watch *watch)
+idle_log_init(struct idle_log *watch)
 {
-	watch->said =
+	watch->logged =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
 /**
- * idle_watch_clear() - free what a watch holds.
+ * idle_log_clear() - free what a watch holds.
  * @watch: the watch
  */
 void
-idle_watch_clear(struct idle_watch *watch)
+idle_log_clear(struct idle_log *watch)
 {
-	g_hash_table_destroy(watch->said);
+	g_hash_table_destroy(watch->logged);
 }
 
 /* Free hosts of a fabric domain that can join a model without a load. */
@@ -80,16 +80,16 @@
 
 /* Says why a host is idle, if that has changed. */
 static void
-watch_host(struct idle_watch *watch, const struct planner_view *view,
+watch_host(struct idle_log *watch, const struct planner_view *view,
     const struct planner_host *h)
 {
 	const char *reason = "in_replica";
 
 	if (h->group == NULL)
 		reason = idle_reason(view, h);
-	if (g_hash_table_lookup(watch->said, h->id) == reason)
+	if (g_hash_table_lookup(watch->logged, h->id) == reason)
 		return;
-	g_hash_table_replace(watch->said, g_strdup(h->id), (gpointer)reason);
+	g_hash_table_replace(watch->logged, g_strdup(h->id), (gpointer)reason);
 	event_log(LOG_INFO, "host_use",
 	    "host=%s fabric=%s use=%s model=%s memory=%s copy=%s copying=%s",
 	    h->id, h->fabric != NULL ? h->fabric : "-", reason,
@@ -100,12 +100,12 @@
 }
 
 /**
- * idle_watch_look() - say what hosts do that do something else than before.
+ * idle_log_update() - say what hosts do that do something else than before.
  * @watch: the watch
  * @view: what the placer sees
  */
 void
-idle_watch_look(struct idle_watch *watch, const struct planner_view *view)
+idle_log_update(struct idle_log *watch, const struct planner_view *view)
 {
 	for (guint i = 0; i < view->hosts->len; i++)
 		watch_host(watch, view, planner_host_at(view, i));
--- a/src/keeper-usage.c
+++ b/src/placer-usage.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 #include "event-log.h"
-#include "keeper-usage.h"
+#include "placer-usage.h"
 
 /* Between two lines of the log for each model. */
 #define SAY_MS 2000
@@ -15,7 +15,7 @@
 {
 	struct service_usage *u = g_new0(struct service_usage, 1);
 
-	idle_watch_init(&u->idle);
+	idle_log_init(&u->idle);
 	return (u);
 }
 
@@ -30,7 +30,7 @@
 
 	for (unsigned i = 0; i < u->n_models; i++)
 		g_free(u->names[i]);
-	idle_watch_clear(&u->idle);
+	idle_log_clear(&u->idle);
 	g_free(u);
 }
 
@@ -78,9 +78,9 @@
 static void
 usage_say(struct service_usage *u, const char *service, uint64_t now_ms)
 {
-	if (now_ms - u->said_ms < SAY_MS)
+	if (now_ms - u->logged_ms < SAY_MS)
 		return;
-	u->said_ms = now_ms;
+	u->logged_ms = now_ms;
 	for (unsigned i = 0; i < u->n_models; i++) {
 		const struct model_usage *m = &u->models[i];
 
@@ -129,7 +129,7 @@
 		m->down_ms += elapsed * MAX(m->wanted - m->open, 0);
 	}
 	usage_say(u, service, now_ms);
-	idle_watch_look(&u->idle, view);
+	idle_log_update(&u->idle, view);
 }
 
 /**
--- a/src/keeper-usage.h
+++ b/src/placer-usage.h
@@ -1,8 +1,8 @@
 /* Group downtime and stranded hosts, as the placer sees them. */
-#ifndef BL_KEEPER_USAGE_H
-#define BL_KEEPER_USAGE_H
+#ifndef BL_PLACER_USAGE_H
+#define BL_PLACER_USAGE_H
 
-#include "keeper-idle.h"
+#include "placer-idle.h"
 #include "planner-demand.h"
 
 /**
@@ -24,7 +24,7 @@
 /**
  * struct service_usage - one service, since this daemon took the lease.
  * @counted_ms: loop time of the last count; 0 before the first
- * @said_ms: loop time of the last lines of the log
+ * @logged_ms: loop time of the last lines of the log
  * @hosts: that live
  * @free: of these, those in no replica
  * @stranded_ms: milliseconds x hosts in no replica that serves
@@ -36,14 +36,14 @@
  */
 struct service_usage {
 	uint64_t counted_ms;
-	uint64_t said_ms;
+	uint64_t logged_ms;
 	unsigned hosts;
 	unsigned free;
 	double stranded_ms;
 	char *names[PLANNER_MODELS_MAX];
 	struct model_usage models[PLANNER_MODELS_MAX];
 	unsigned n_models;
-	struct idle_watch idle;
+	struct idle_log idle;
 	struct planner_demand demand;
 };
 
--- a/src/registry-backoff.c
+++ b/src/registry-backoff.c
@@ -51,7 +51,8 @@
  * A shorter rest does not end a longer one that it asked for before.
  */
 void
-endpoint_backoff_extend(struct endpoint_backoff *rest, uint64_t ms, uint64_t now_ms)
+endpoint_backoff_extend(struct endpoint_backoff *rest, uint64_t ms,
+    uint64_t now_ms)
 {
 	if (now_ms + ms <= rest->until_ms || ms == 0)
 		return;
@@ -72,14 +73,16 @@
 }
 
 /**
- * endpoint_backoff_ended() - whether a rest has ended since this was last asked.
+ * endpoint_backoff_ended() - whether a rest has ended since this was last
+ * asked.
  * @rest: what it asked for
  * @now_ms: loop time
  */
 bool
 endpoint_backoff_ended(struct endpoint_backoff *rest, uint64_t now_ms)
 {
-	bool ended = rest->end_unlogged && !endpoint_backoff_active(rest, now_ms);
+	bool ended =
+	    rest->end_unlogged && !endpoint_backoff_active(rest, now_ms);
 
 	if (ended)
 		rest->end_unlogged = false;
@@ -113,7 +116,8 @@
 }
 
 /**
- * endpoint_backoff_end_probe() - a request that went there under the bound is over.
+ * endpoint_backoff_end_probe() - a request that went there under the bound is
+ * over.
  * @rest: what it asked for
  * @taken: the endpoint answered and did not turn it away
  */
@@ -157,7 +161,8 @@
 }
 
 /**
- * endpoint_backoff_accepted() - it answered a request that it did not turn away.
+ * endpoint_backoff_accepted() - it answered a request that it did not turn
+ * away.
  * @rest: what it asked for
  */
 void
--- a/src/registry-fleet.c
+++ b/src/registry-fleet.c
@@ -65,7 +65,8 @@
 	if (g_hash_table_lookup(fleet->by_id, ep->report.id) == ep)
 		g_hash_table_remove(fleet->by_id, ep->report.id);
 	if (fleet_find_by_hash(fleet, ep->id_hash) == ep)
-		g_hash_table_remove(fleet->by_id_hash, GUINT_TO_POINTER(ep->id_hash));
+		g_hash_table_remove(fleet->by_id_hash,
+		    GUINT_TO_POINTER(ep->id_hash));
 	TAILQ_REMOVE(&fleet->endpoints, ep, entry);
 	endpoint_report_clear(&ep->report);
 	g_clear_pointer(&ep->entry_bytes, g_bytes_unref);
@@ -97,7 +98,8 @@
 
 	ep->slowness = 1.0;
 	ep->id_hash = XXH32(report->id, strlen(report->id), 0);
-	g_hash_table_insert(fleet->by_id_hash, GUINT_TO_POINTER(ep->id_hash), ep);
+	g_hash_table_insert(fleet->by_id_hash, GUINT_TO_POINTER(ep->id_hash),
+	    ep);
 	net_pool_init(&ep->pool, fleet->loop, &report->address);
 	ep->pool.source = fleet->source;
 	TAILQ_INSERT_TAIL(&fleet->endpoints, ep, entry);
@@ -248,12 +250,14 @@
 }
 
 /**
- * fleet_report_differs() - whether a report says more than that the endpoint lives.
+ * fleet_report_differs() - whether a report says more than that the endpoint
+ * lives.
  * @fleet: the fleet
  * @report: the report
  */
 bool
-fleet_report_differs(const struct fleet *fleet, const struct endpoint_report *report)
+fleet_report_differs(const struct fleet *fleet,
+    const struct endpoint_report *report)
 {
 	const struct endpoint *ep = fleet_find(fleet, report->id);
 	const struct endpoint_report *old;
@@ -306,7 +310,8 @@
 }
 
 /**
- * endpoint_set_entry() - keep an endpoint's entry, if requests may be sent there.
+ * endpoint_set_entry() - keep an endpoint's entry, if requests may be sent
+ * there.
  * @ep: the endpoint, just updated from it
  * @grouped: its service forms groups
  * @bytes: the entry
@@ -473,5 +478,6 @@
 bool
 endpoint_usable(const struct endpoint *ep, uint64_t now_ms)
 {
-	return (endpoint_accepts(ep, now_ms) && now_ms >= ep->cooldown_until_ms);
+	return (
+	    endpoint_accepts(ep, now_ms) && now_ms >= ep->cooldown_until_ms);
 }
--- a/src/registry-fleet.h
+++ b/src/registry-fleet.h
@@ -96,15 +96,15 @@
  * @peer_pending: other daemons' prompt tokens without a first event yet
  * @cell_inflight: the part of @peer_inflight of daemons that report to this one
  * @cell_pending: the same of @peer_pending
- * @loaded_model: model of its last group since its start, or NULL; it joins one of
- *	that model in a fraction of a second, also after it has left
+ * @loaded_model: model of its last group since its start, or NULL; it joins one
+ *of that model in a fraction of a second, also after it has left
  * @failures: failures in a row
  * @backoff: the rest that it asked this daemon for
  * @limit: the requests a second that it takes from all daemons together
  * @cooldown_until_ms: no work before then; a guess of this daemon or another
  * @unfit_until_ms: not to be placed before then; it did not answer
- * @excluded_epoch: it serves in no group up to this epoch, and can't come back into
- *	one, whatever its entry still says
+ * @excluded_epoch: it serves in no group up to this epoch, and can't come back
+ *into one, whatever its entry still says
  * @warned_ms: when this daemon found it silent or closed it; others are told
  * @avoided_ms: when another daemon last warned of it
  * @heard_ms: loop time of its last byte in any exchange
--- a/src/registry-follower.c
+++ b/src/registry-follower.c
@@ -93,7 +93,8 @@
 	if (!f->reader && f->fallback_ms > 0)
 		pause = MAX(pause,
 		    f->fallback_ms *
-			(f->slow_retry ? FAILED_FALLBACKS_LED : FAILED_FALLBACKS));
+			(f->slow_retry ? FAILED_FALLBACKS_LED :
+					 FAILED_FALLBACKS));
 	follow_later(f, pause);
 }
 
@@ -122,7 +123,8 @@
 		    &g_array_index(records, struct store_record, i);
 
 		if (f->snapshot_keys != NULL && record->value != NULL)
-			g_hash_table_add(f->snapshot_keys, g_strdup(record->key));
+			g_hash_table_add(f->snapshot_keys,
+			    g_strdup(record->key));
 		f->ops->record(f->owner, record);
 	}
 }
@@ -133,7 +135,8 @@
 {
 	if (f->snapshot_keys != NULL)
 		g_hash_table_destroy(f->snapshot_keys);
-	f->snapshot_keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	f->snapshot_keys =
+	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	g_clear_pointer(&f->after, g_free);
 }
 
@@ -150,7 +153,8 @@
 	f->synced = true;
 	/* Others that are fed have not read this snapshot. */
 	if (known && f->ops->advanced != NULL)
-		f->ops->advanced(f->owner, MIN(f->asked_from, f->next), f->next);
+		f->ops->advanced(f->owner, MIN(f->asked_from, f->next),
+		    f->next);
 }
 
 static void
@@ -259,8 +263,9 @@
  * @owner: the owner
  */
 void
-topic_follower_init(struct topic_follower *f, struct store *store, uv_loop_t *loop,
-    enum store_topic topic, const struct topic_follower_ops *ops, void *owner)
+topic_follower_init(struct topic_follower *f, struct store *store,
+    uv_loop_t *loop, enum store_topic topic,
+    const struct topic_follower_ops *ops, void *owner)
 {
 	memset(f, 0, sizeof *f);
 	f->store = store;
@@ -454,7 +459,8 @@
 }
 
 /**
- * topic_follower_overtaken() - whether peers' news came while the store answered.
+ * topic_follower_overtaken() - whether peers' news came while the store
+ * answered.
  * @f: the follower, in the call that gives a record
  *
  * What an answer holds may be known by then here, but not to all others.
--- a/src/registry-follower.h
+++ b/src/registry-follower.h
@@ -10,8 +10,8 @@
  * struct topic_follower_ops - what the owner is told.
  * @record: a key's newest value, or its removal
  * @snapshot_done: a snapshot is complete; keys not in the set have gone
- * @advanced: records from an offset to another were read, and told, just now; for
- *	a snapshot of one that knew the topic before, what is new since then
+ * @advanced: records from an offset to another were read, and told, just now;
+ *for a snapshot of one that knew the topic before, what is new since then
  */
 struct topic_follower_ops {
 	void (*record)(void *, const struct store_record *);
@@ -90,7 +90,8 @@
 void topic_follower_adopt(struct topic_follower *, uint64_t, uint64_t);
 void topic_follower_stop(struct topic_follower *);
 void topic_follower_poll(struct topic_follower *);
-bool topic_follower_apply(struct topic_follower *, uint64_t, uint64_t, const GArray *);
+bool topic_follower_apply(struct topic_follower *, uint64_t, uint64_t,
+    const GArray *);
 void topic_follower_skip(struct topic_follower *, uint64_t);
 void topic_follower_set_updated(struct topic_follower *, uint64_t);
 void topic_follower_set_reader(struct topic_follower *, bool);
--- a/src/registry-limit.c
+++ b/src/registry-limit.c
@@ -228,7 +228,8 @@
 }
 
 /**
- * endpoint_limit_return_permit() - nothing of a request that took a turn was sent.
+ * endpoint_limit_return_permit() - nothing of a request that took a turn was
+ * sent.
  * @limit: the limit
  */
 void
--- a/src/registry-limit.h
+++ b/src/registry-limit.h
@@ -21,7 +21,8 @@
  * @cell_each_per_s: requests a second that each of these may send
  * @share_per_s: requests a second that this daemon may send
  * @permits: requests that it may send now
- * @refilled_ms: loop time as of which @permits were counted; they grow from it on
+ * @refilled_ms: loop time as of which @permits were counted; they grow from it
+ *on
  */
 struct endpoint_limit {
 	bool active;
--- a/src/registry-poison.c
+++ b/src/registry-poison.c
@@ -194,9 +194,11 @@
 /* Another daemon still tells of an end that an answer has cleared: the answer
  * is news once more. */
 static void
-work_clear_again(struct poison *poison, struct poison_request *w, uint64_t now_ms)
+work_clear_again(struct poison *poison, struct poison_request *w,
+    uint64_t now_ms)
 {
-	if (w->n_crashes > 0 || now_ms - w->changed_ms < POISON_CLEARED_AGAIN_MS)
+	if (w->n_crashes > 0 ||
+	    now_ms - w->changed_ms < POISON_CLEARED_AGAIN_MS)
 		return;
 	w->cleared_origin = POISON_LOCAL;
 	work_changed(poison, w, now_ms);
@@ -212,8 +214,8 @@
  * Return: true where that is news.
  */
 bool
-poison_add_crash(struct poison *poison, uint64_t work, const struct poison_crash *end,
-    uint64_t now_ms)
+poison_add_crash(struct poison *poison, uint64_t work,
+    const struct poison_crash *end, uint64_t now_ms)
 {
 	struct poison_request *w = poison_find(poison, work);
 	struct poison_crash *known;
@@ -237,7 +239,8 @@
 }
 
 /**
- * poison_observe_crash() - this daemon lost some work at an endpoint that ended.
+ * poison_observe_crash() - this daemon lost some work at an endpoint that
+ * ended.
  * @poison: the table
  * @work: the work's fingerprint
  * @end: the endpoint's end
@@ -249,7 +252,8 @@
 poison_observe_crash(struct poison *poison, uint64_t work,
     const struct poison_crash *end, uint64_t now_ms)
 {
-	const struct poison_success *good = &poison->successes[work % POISON_SUCCESSES_MAX];
+	const struct poison_success *good =
+	    &poison->successes[work % POISON_SUCCESSES_MAX];
 
 	if (good->fingerprint == work && now_ms - good->at_ms < POISON_GOOD_MS)
 		return (false);
@@ -300,7 +304,8 @@
 bool
 poison_note_success(struct poison *poison, uint64_t work, uint64_t now_ms)
 {
-	struct poison_success *good = &poison->successes[work % POISON_SUCCESSES_MAX];
+	struct poison_success *good =
+	    &poison->successes[work % POISON_SUCCESSES_MAX];
 
 	good->fingerprint = work;
 	good->at_ms = now_ms;
@@ -373,8 +378,10 @@
 	const struct poison_request *other;
 
 	TAILQ_FOREACH(other, &poison->requests, entry) {
-		if (other != w && other->n_crashes >= POISON_QUARANTINE_CRASHES &&
-		    other->n_crashes > w->n_crashes && work_end(other, end) != NULL)
+		if (other != w &&
+		    other->n_crashes >= POISON_QUARANTINE_CRASHES &&
+		    other->n_crashes > w->n_crashes &&
+		    work_end(other, end) != NULL)
 			return (true);
 	}
 	return (false);
@@ -408,7 +415,8 @@
 	memcpy(sorted, at_ms, n * sizeof sorted[0]);
 	qsort(sorted, n, sizeof sorted[0], compare_times);
 	for (unsigned i = POISON_QUARANTINE_CRASHES; i < n; i++)
-		later += sorted[i] > sorted[POISON_QUARANTINE_CRASHES - 1] + POISON_BURST_MS;
+		later += sorted[i] >
+		    sorted[POISON_QUARANTINE_CRASHES - 1] + POISON_BURST_MS;
 	return (MIN(later, POISON_DOUBLINGS_MOST));
 }
 
--- a/src/registry-poison.h
+++ b/src/registry-poison.h
@@ -35,7 +35,8 @@
 };
 
 /**
- * struct poison_crash - an incarnation of an endpoint that ended under some work.
+ * struct poison_crash - an incarnation of an endpoint that ended under some
+ * work.
  * @id_hash: short name of the endpoint
  * @started: low half of the time of day of the incarnation's start, in ms
  * @at_ms: loop time of the end
@@ -126,8 +127,8 @@
 void poison_init(struct poison *);
 void poison_release(struct poison *);
 struct poison_request *poison_find(const struct poison *, uint64_t);
-bool poison_observe_crash(struct poison *, uint64_t, const struct poison_crash *,
-    uint64_t);
+bool poison_observe_crash(struct poison *, uint64_t,
+    const struct poison_crash *, uint64_t);
 bool poison_add_crash(struct poison *, uint64_t, const struct poison_crash *,
     uint64_t);
 bool poison_note_success(struct poison *, uint64_t, uint64_t);
--- a/src/registry.c
+++ b/src/registry.c
@@ -26,8 +26,8 @@
  * Return: whether it is in force now.
  */
 bool
-registry_apply_config(struct registry *registry, const void *value, size_t length,
-    uint64_t offset)
+registry_apply_config(struct registry *registry, const void *value,
+    size_t length, uint64_t offset)
 {
 	g_autoptr(GError) error = NULL;
 	struct catalog *next = registry->decode->config(value, length, &error);
@@ -37,7 +37,8 @@
 		    (unsigned long long)offset, error->message);
 		return (false);
 	}
-	if (registry->catalog != NULL && next->version <= registry->catalog->version) {
+	if (registry->catalog != NULL &&
+	    next->version <= registry->catalog->version) {
 		catalog_unref(next);
 		return (false);
 	}
@@ -46,7 +47,8 @@
 	    "version=%lld was=%lld offset=%llu routes=%u services=%u "
 	    "customers=%u",
 	    (long long)next->version,
-	    registry->catalog != NULL ? (long long)registry->catalog->version : -1LL,
+	    registry->catalog != NULL ? (long long)registry->catalog->version :
+					-1LL,
 	    (unsigned long long)offset, next->routes->len,
 	    g_hash_table_size(next->services), next->customers->len);
 	catalog_unref(registry->catalog);
@@ -95,7 +97,8 @@
 	uint64_t now = clock_loop_ms(registry->loop);
 
 	return (f->failures > 0 ||
-	    (f->regained_ms != 0 && now - f->regained_ms < REGISTRY_BACKLOG_MS));
+	    (f->regained_ms != 0 &&
+		now - f->regained_ms < REGISTRY_BACKLOG_MS));
 }
 
 /*
@@ -118,14 +121,15 @@
  * clocks may differ is no time of a start, and would outdo all true ones.
  */
 static bool
-endpoint_decode(const struct registry *registry, const struct store_record *record,
-    struct endpoint_report *report, GError **error)
+endpoint_decode(const struct registry *registry,
+    const struct store_record *record, struct endpoint_report *report,
+    GError **error)
 {
-	int64_t latest =
-	    g_get_real_time() / G_TIME_SPAN_MILLISECOND + REGISTRY_CLOCK_SKEW_MS;
+	int64_t latest = g_get_real_time() / G_TIME_SPAN_MILLISECOND +
+	    REGISTRY_CLOCK_SKEW_MS;
 
-	if (!registry->decode->endpoint(record->key, record->value, record->length,
-		report, error))
+	if (!registry->decode->endpoint(record->key, record->value,
+		record->length, report, error))
 		return (false);
 	if (report->started_ms <= latest)
 		return (true);
@@ -144,7 +148,8 @@
     const GError *error)
 {
 	const struct endpoint *ep = fleet_find(&registry->fleet, record->key);
-	const char *said = g_hash_table_lookup(registry->refusal_reasons, record->key);
+	const char *said =
+	    g_hash_table_lookup(registry->refusal_reasons, record->key);
 
 	registry->n_refused++;
 	if (ep != NULL && ep->unreadable_ms == 0)
@@ -153,7 +158,8 @@
 	    clock_loop_ms(registry->loop));
 	if (g_strcmp0(said, error->message) == 0)
 		return;
-	if (g_hash_table_size(registry->refusal_reasons) >= REGISTRY_REFUSALS_MAX)
+	if (g_hash_table_size(registry->refusal_reasons) >=
+	    REGISTRY_REFUSALS_MAX)
 		g_hash_table_remove_all(registry->refusal_reasons);
 	g_hash_table_replace(registry->refusal_reasons, g_strdup(record->key),
 	    g_strdup(error->message));
@@ -172,7 +178,8 @@
 	bool grouped;
 
 	if (record->value == NULL) {
-		fleet_lapse(&registry->fleet, record->key, now, dir_piled(registry));
+		fleet_lapse(&registry->fleet, record->key, now,
+		    dir_piled(registry));
 		relay_add(registry, record);
 		return;
 	}
@@ -185,7 +192,8 @@
 	    (topic_follower_overtaken(&registry->endpoints) &&
 		endpoint_report_serves(&report, grouped)))
 		relay_add(registry, record);
-	endpoint_set_entry(fleet_update(&registry->fleet, &report, record->offset, now),
+	endpoint_set_entry(fleet_update(&registry->fleet, &report,
+			       record->offset, now),
 	    grouped, record->value, record->length);
 }
 
@@ -199,7 +207,8 @@
 	TAILQ_FOREACH(ep, &registry->fleet.endpoints, entry) {
 		/* When it went is not known; before the snapshot's end. */
 		const struct store_record record = { .key = ep->report.id,
-			.offset = MAX(registry->endpoints.snapshot_end, 1) - 1 };
+			.offset =
+			    MAX(registry->endpoints.snapshot_end, 1) - 1 };
 
 		if (ep->lapsed_ms != 0 ||
 		    g_hash_table_contains(seen, ep->report.id))
@@ -218,7 +227,8 @@
 	registry_sweep(registry, clock_loop_ms(registry->loop));
 	dir_tell(registry);
 	if (registry->endpoints.relays && registry->relayed != NULL)
-		registry->relayed(registry->relayed_arg, from, end, registry->relay);
+		registry->relayed(registry->relayed_arg, from, end,
+		    registry->relay);
 	g_array_set_size(registry->relay, 0);
 }
 
@@ -248,8 +258,8 @@
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	registry->relay = g_array_new(FALSE, TRUE, sizeof(struct store_record));
 	g_array_set_clear_func(registry->relay, store_record_clear);
-	topic_follower_init(&registry->config, store, loop, TOPIC_CONFIG, &config_ops,
-	    registry);
+	topic_follower_init(&registry->config, store, loop, TOPIC_CONFIG,
+	    &config_ops, registry);
 	topic_follower_init(&registry->endpoints, store, loop, TOPIC_ENDPOINTS,
 	    &endpoints_ops, registry);
 	registry->endpoints.partial = true;
@@ -279,7 +289,8 @@
  * @led: another daemon asks a store that is away again
  */
 void
-registry_set_fallback(struct registry *registry, unsigned config_ms, unsigned endpoints_ms, bool led)
+registry_set_fallback(struct registry *registry, unsigned config_ms,
+    unsigned endpoints_ms, bool led)
 {
 	registry->config.fallback_ms = config_ms;
 	registry->config.slow_retry = led;
@@ -335,8 +346,8 @@
  * Return: false where all was read here, or is being read.
  */
 bool
-registry_apply_snapshot(struct registry *registry, uint64_t end, const GArray *records,
-    uint64_t now_ms)
+registry_apply_snapshot(struct registry *registry, uint64_t end,
+    const GArray *records, uint64_t now_ms)
 {
 	/* A peer gives the entries that serve; a reader needs all. */
 	if (registry->endpoints.synced || registry->endpoints.busy ||
@@ -353,7 +364,8 @@
 }
 
 /**
- * registry_apply_endpoints() - take in entries that a peer read and that changed.
+ * registry_apply_endpoints() - take in entries that a peer read and that
+ * changed.
  * @registry: the knowledge
  * @from: the peer read from this offset
  * @end: to this one
@@ -399,12 +411,13 @@
 registry_sweep(struct registry *registry, uint64_t now_ms)
 {
 	const struct topic_follower *f = &registry->endpoints;
-	bool returned =
-	    f->regained_ms != 0 && now_ms - f->regained_ms < REGISTRY_RECOVERY_MS;
+	bool returned = f->regained_ms != 0 &&
+	    now_ms - f->regained_ms < REGISTRY_RECOVERY_MS;
 
 	poison_sweep(&registry->poison, &registry->fleet, now_ms);
 	/* While the store is away nothing can be told of a lapse. */
-	if (f->failures > 0 && now_ms - f->peer_update_ms >= REGISTRY_PEER_UPDATE_MS)
+	if (f->failures > 0 &&
+	    now_ms - f->peer_update_ms >= REGISTRY_PEER_UPDATE_MS)
 		return;
 	/* Just after its return, what lapsed meanwhile may still be back. */
 	fleet_sweep(&registry->fleet, now_ms, !returned);
--- a/src/registry.h
+++ b/src/registry.h
@@ -73,9 +73,10 @@
     const struct registry_decoders *);
 void registry_configure(struct registry *, unsigned, unsigned);
 void registry_set_fallback(struct registry *, unsigned, unsigned, bool);
-bool registry_apply_endpoints(struct registry *, uint64_t, uint64_t, const GArray *,
-    uint64_t, uint64_t);
-bool registry_apply_snapshot(struct registry *, uint64_t, const GArray *, uint64_t);
+bool registry_apply_endpoints(struct registry *, uint64_t, uint64_t,
+    const GArray *, uint64_t, uint64_t);
+bool registry_apply_snapshot(struct registry *, uint64_t, const GArray *,
+    uint64_t);
 void registry_get_snapshot(const struct registry *, GArray *);
 void registry_release(struct registry *);
 void registry_stop(struct registry *);
--- a/src/replica-member.c
+++ b/src/replica-member.c
@@ -17,7 +17,7 @@
 replica_member_set_report(const struct replica *r, struct replica_member *m,
     const struct endpoint_report *report, uint64_t now_ms)
 {
-	m->reported_ms = now_ms;
+	m->last_report_ms = now_ms;
 	m->in_group =
 	    g_strcmp0(report->group, r->name) == 0 && report->epoch == r->epoch;
 	m->in_newer_group =
@@ -100,6 +100,6 @@
 	if (m->silent_since_ms != 0 &&
 	    now_ms - m->silent_since_ms >= MEMBER_SILENT_MS)
 		m->liveness = MEMBER_SILENT;
-	if (ep != NULL && ep->seen_ms >= m->reported_ms)
+	if (ep != NULL && ep->seen_ms >= m->last_report_ms)
 		member_set_entry(r, m, ep);
 }
--- a/src/replica.c
+++ b/src/replica.c
@@ -166,7 +166,7 @@
     uint64_t now_ms)
 {
 	return (r->opened ||
-	    (r->settled && m->reported_ms != 0 &&
+	    (r->settled && m->last_report_ms != 0 &&
 		now_ms - r->known_ms >= REPLICA_REPORT_LAG_MS));
 }
 
@@ -312,7 +312,7 @@
 member_must_leave_again(const struct replica_member *m, uint64_t now_ms)
 {
 	return ((m->in_group &&
-		    m->reported_ms >= m->left_ms + REPLICA_REPORT_LAG_MS) ||
+		    m->last_report_ms >= m->left_ms + REPLICA_REPORT_LAG_MS) ||
 	    now_ms >= m->late_join_until_ms);
 }
 
--- a/src/replica.h
+++ b/src/replica.h
@@ -91,7 +91,7 @@
  *	it; 0 for none
  * @was_in_newer_group: it has once reported a group with a higher epoch, so it
  *	can't rejoin this group
- * @reported_ms: loop time of its newest report, from its entry or a direct
+ * @last_report_ms: loop time of its newest report, from its entry or a direct
  *	answer
  * @suspect_ms: loop time at which an order to it had no answer; 0 for never
  * @asked_ms: loop time of the last status request to it
@@ -120,7 +120,7 @@
 	uint64_t left_ms;
 	uint64_t late_join_until_ms;
 	bool was_in_newer_group;
-	uint64_t reported_ms;
+	uint64_t last_report_ms;
 	uint64_t suspect_ms;
 	uint64_t asked_ms;
 	uint64_t silent_since_ms;
--- a/src/target-heard.c
+++ b/src/target-heard.c
@@ -19,8 +19,9 @@
 static void
 target_ask_rest(struct target *target, const char *seconds, uint64_t now)
 {
-	uint64_t ms = endpoint_backoff_normalize(net_head_decimal(seconds) * MS_PER_S,
-	    CLOSED_MAX_MS);
+	uint64_t ms =
+	    endpoint_backoff_normalize(net_head_decimal(seconds) * MS_PER_S,
+		CLOSED_MAX_MS);
 	uint64_t until = atomic_load(&target->closed_until_ms);
 
 	while (until < now + ms &&
@@ -58,15 +59,17 @@
 	limit_known(target, &known);
 	if (per_s != NULL)
 		news = endpoint_limit_set(&known,
-		    endpoint_limit_normalize(net_head_decimal(per_s), &known), now);
+		    endpoint_limit_normalize(net_head_decimal(per_s), &known),
+		    now);
 	else
 		news = endpoint_limit_superseded(&known, sent_ms) &&
 		    endpoint_limit_clear(&known, now);
 	atomic_store(&target->limited, known.active);
 	atomic_store(&target->limit_milli, (uint64_t)(known.per_s * MILLI));
 	atomic_store(&target->limit_said_ms, known.as_of_ms);
-	limit_set(&target->limit, known.active ? endpoint_limit_rate(&known) : 0,
-	    1, 0, MAX(atomic_load(&target->daemons), 1));
+	limit_set(&target->limit,
+	    known.active ? endpoint_limit_rate(&known) : 0, 1, 0,
+	    MAX(atomic_load(&target->daemons), 1));
 	if (news)
 		event_log(LOG_NOTICE,
 		    known.active ? "target_names_limit" : "target_lifts_limit",
--- a/tests/test-budget.c
+++ b/tests/test-budget.c
@@ -43,8 +43,9 @@
 exec_living(const char *rest, GString *out)
 {
 	g_string_append_printf(out, "shared by %u\n",
-	    fwd_daemon_peak_update(&sharers, (unsigned)script_number(rest, "n", 1),
-		rule.window_ms, script_number(rest, "at", 0)));
+	    fwd_daemon_peak_update(&sharers,
+		(unsigned)script_number(rest, "n", 1), rule.window_ms,
+		script_number(rest, "at", 0)));
 }
 
 static const struct script_command commands[] = {
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -82,7 +82,8 @@
 {
 	g_autofree char *id = g_strndup(rest, strcspn(rest, " "));
 
-	fleet_mark_unreadable(&fleet, id, ++offset, script_number(rest, "at", 0));
+	fleet_mark_unreadable(&fleet, id, ++offset,
+	    script_number(rest, "at", 0));
 }
 
 /* hold ID or drop N: an exchange begins at an endpoint; one ends at the Nth */
@@ -182,7 +183,8 @@
 	g_autofree char *names = script_word(rest, "names");
 	struct endpoint_limit *limit = &fleet_find(&fleet, id)->limit;
 	uint64_t now = script_number(rest, "at", 0);
-	double per_s = endpoint_limit_normalize(g_ascii_strtod(names, NULL), limit);
+	double per_s =
+	    endpoint_limit_normalize(g_ascii_strtod(names, NULL), limit);
 	bool news = endpoint_limit_set(limit, per_s, now);
 	uint64_t share = script_number(rest, "share", 0);
 
@@ -272,7 +274,8 @@
 exec_probe(const char *rest, GString *out)
 {
 	g_autofree char *id = g_strndup(rest, strcspn(rest, " "));
-	bool probe = endpoint_backoff_begin_probe(&fleet_find(&fleet, id)->backoff);
+	bool probe =
+	    endpoint_backoff_begin_probe(&fleet_find(&fleet, id)->backoff);
 
 	g_string_append(out, probe ? "probe\n" : "no probe\n");
 }
@@ -353,7 +356,8 @@
 	g_autofree char *id = g_strndup(rest, strcspn(rest, " "));
 	struct endpoint *ep = fleet_find(&fleet, id);
 
-	fwd_backlog_confirm(&ep->backlog, (double)script_number(rest, "mark", 0),
+	fwd_backlog_confirm(&ep->backlog,
+	    (double)script_number(rest, "mark", 0),
 	    script_number(rest, "at", 0));
 	ep->pending -= (double)script_number(rest, "prompt", 0);
 }
@@ -503,9 +507,11 @@
 	a.draw = UINT32_MAX / 2;
 	at = choice.endpoint != NULL ? choice.endpoint : choice.any_usable;
 	if (at == NULL)
-		at = choice.next_permit != NULL ? choice.next_permit : choice.next_available;
+		at = choice.next_permit != NULL ? choice.next_permit :
+						  choice.next_available;
 	if (at != NULL)
-		a.first_ms = plain ? a.duration_ms : fwd_expect_first(at, &work);
+		a.first_ms =
+		    plain ? a.duration_ms : fwd_expect_first(at, &work);
 	verdict = fwd_admission_decide(&a);
 	g_string_append(out, verdicts[verdict]);
 	if (verdict == ADMIT_REFUSE)
--- a/tests/test-follow.c
+++ b/tests/test-follow.c
@@ -83,8 +83,8 @@
 	store.ops = &fake_ops;
 	g_string_truncate(told, 0);
 	waiting = NULL;
-	topic_follower_init(&follow, &store, &loop, TOPIC_ENDPOINTS, &follow_ops,
-	    NULL);
+	topic_follower_init(&follow, &store, &loop, TOPIC_ENDPOINTS,
+	    &follow_ops, NULL);
 	follow.interval_ms = 1000;
 	follow.fallback_ms = 1500;
 	follow.partial = true;
@@ -213,7 +213,8 @@
 static void
 exec_told(const char *rest, GString *out)
 {
-	follow.peer_update_ms = uv_now(&loop) - g_ascii_strtoull(rest, NULL, 10);
+	follow.peer_update_ms =
+	    uv_now(&loop) - g_ascii_strtoull(rest, NULL, 10);
 }
 
 /* tells: whether what is read now is told to others */
@@ -226,7 +227,8 @@
 static void
 exec_complete(const char *rest, GString *out)
 {
-	g_string_append(out, topic_follower_complete(&follow) ? "yes\n" : "no\n");
+	g_string_append(out,
+	    topic_follower_complete(&follow) ? "yes\n" : "no\n");
 }
 
 static const struct script_command commands[] = {
