--- a/src/replica-member.c
+++ b/src/replica-member.c
@@ -1,8 +1,8 @@
 /* State of one member of a replica. Pure functions. */
 #include "replica.h"
 
-/* Time without an answer to status requests after which a member counts as
- * silent although its entry is current: an entry lapses only after three missed
+/* Time without an answer to queries after which a member counts as silent
+ * although its entry is current: an entry lapses only after three missed
  * heartbeats. */
 #define MEMBER_SILENT_MS 500
 
@@ -27,8 +27,7 @@
 }
 
 /**
- * replica_member_set_answer() - update a member from an answer to a status
- * request.
+ * replica_member_set_answer() - update a member from an answer to a query.
  * @r: the replica
  * @m: the member
  * @report: the report; it doesn't say which incarnation sent it
--- a/src/replica.h
+++ b/src/replica.h
@@ -55,8 +55,8 @@
  * @MEMBER_ALIVE: its entry in the store is current
  * @MEMBER_DRAINING: it has announced that it is leaving
  * @MEMBER_LAPSED: its entry is gone; it may still serve and answer
- * @MEMBER_SILENT: it does not answer status requests either; it may still
- *	serve clients that can reach it
+ * @MEMBER_SILENT: it does not answer queries either; it may still serve
+ *	clients that can reach it
  * @MEMBER_DEAD: its incarnation has ended
  */
 enum member_liveness {
@@ -82,8 +82,8 @@
  * @joined: its entry named the group, or it has accepted an order to join that
  *	named this member
  * @unverified: its report came from whoever holds its address, before it had
- *	@joined; that may be another incarnation, since a status request does
- *	not name its addressee
+ *	@joined; that may be another incarnation, since a query does not name
+ *	its addressee
  * @join_fenced: it refused to join because it has seen a newer epoch
  * @left_ms: loop time of the answer that set @left
  * @late_join_until_ms: loop time until which an order to join may still be
@@ -94,10 +94,10 @@
  * @last_report_ms: loop time of its newest report, from its entry or a direct
  *	answer
  * @suspect_ms: loop time at which an order to it had no answer; 0 for never
- * @asked_ms: loop time of the last status request to it
+ * @asked_ms: loop time of the last query to it
  * @silent_since_ms: loop time since which it has not answered; 0 while it
  *	answers
- * @ask_pending: a status request to it has not ended yet
+ * @ask_pending: a query to it has not ended yet
  * @address_reused: another incarnation has its address
  * @unanswered_ms: loop time at which an order to it last ended without an
  *	answer; 0 for never
@@ -187,7 +187,7 @@
  * enum replica_action - what to do next for a replica.
  * @REPLICA_WAIT: nothing now
  * @REPLICA_ORDER: send an order to a member
- * @REPLICA_ASK: send a status request to a member
+ * @REPLICA_ASK: send a query to a member
  * @REPLICA_DISSOLVED: remove it: no host serves in it and its hosts are free
  */
 enum replica_action {
--- a/tests/test-replica.c
+++ b/tests/test-replica.c
@@ -87,8 +87,8 @@
 	g_free(ep.report.group);
 }
 
-/* answered h=N [group=G] [epoch=N] at=MS: the member answered a status request
- * with this report */
+/* answered h=N [group=G] [epoch=N] at=MS: the member answered a query with this
+ * report */
 static void
 exec_answered(const char *rest, GString *out)
 {
