--- a/src/planner-copies.c
+++ b/src/planner-copies.c
@@ -1,113 +1,126 @@
-/* Which hosts get copies of which models before they are needed. Pure. */
+/* Which hosts get copies of which models before these are needed. Pure
+ * functions. */
 #include <math.h>
 #include <string.h>
 
 #include "planner.h"
 
-/* Whether a host could be given a copy of a model. */
+/* Whether a host lacks a model and can be given a copy of it. */
 static bool
-host_lacks(const struct planner_host *h, const struct model_profile *m)
+host_needs_copy(const struct planner_host *h, const struct model_profile *m)
 {
 	return (h->copying == NULL && !planner_host_has_model(h, m));
 }
 
-/* A host of a fabric domain for a copy of the largest model; idle ones first.
- */
+/* Selects a host of a fabric domain for a copy of the largest model: a free one
+ * or else one of a possible donor. */
 static const struct planner_host *
-stage_pick(const struct planner_view *view, unsigned at)
+copy_select_host(const struct planner_view *view, unsigned fabric_index)
 {
-	const struct model_profile *big = planner_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 	const struct planner_host *donor = NULL;
 
-	for (guint n = 0; n < planner_fabric_at(view, at)->hosts; n++) {
-		const struct planner_host *h =
-		    planner_host_at(view, planner_fabric_host(view, at, n));
+	for (guint n = 0; n < planner_fabric_at(view, fabric_index)->hosts;
+	     n++) {
+		const struct planner_host *h = planner_host_at(view,
+		    planner_fabric_host(view, fabric_index, n));
 
-		if (!host_lacks(h, big))
+		if (!host_needs_copy(h, largest))
 			continue;
 		if (h->free)
 			return (h);
-		if (donor == NULL && planner_host_can_donate(h, big))
+		if (donor == NULL && planner_host_can_donate(h, largest))
 			donor = h;
 	}
 	return (donor);
 }
 
-/* Copies of the largest model that a fabric domain lacks. */
+/* Number of copies of the largest model that a fabric domain lacks. */
 static unsigned
-fabric_lacks(const struct planner_view *view, const struct planner_fabric *f)
+fabric_missing_copies(const struct planner_view *view,
+    const struct planner_fabric *f)
 {
-	unsigned has = f->ready + f->donors + f->copying;
+	unsigned have = f->ready + f->donors + f->copying;
 	unsigned need = f->replicas >= f->max_replicas ?
 	    PLANNER_SPARE_COPIES :
 	    planner_model(view, view->largest)->size;
 
-	return (f->max_replicas > 0 && has < need ? need - has : 0);
+	return (f->max_replicas > 0 && have < need ? need - have : 0);
 }
 
 /*
- * Copies of the largest model: all of a missing replica, the one that lacks
- * fewest first; then one beside each replica.
+ * Selects a host for a copy of the largest model, in the fabric domain that
+ * lacks fewest. Either only those whose replica is missing are considered, or
+ * only those that need a spare copy.
  */
 static const struct planner_host *
-stage_largest(const struct planner_view *view, bool missing)
+copy_for_largest(const struct planner_view *view, bool missing)
 {
 	const struct planner_host *best = NULL;
 	unsigned fewest = 0;
 
-	for (guint at = 0; at < view->fabrics->len; at++) {
-		const struct planner_fabric *f = planner_fabric_at(view, at);
-		unsigned lacks = fabric_lacks(view, f);
+	for (guint i = 0; i < view->fabrics->len; i++) {
+		const struct planner_fabric *f = planner_fabric_at(view, i);
+		unsigned missing_copies = fabric_missing_copies(view, f);
 		const struct planner_host *h;
 
-		if (lacks == 0 || missing != (f->replicas < f->max_replicas) ||
-		    (best != NULL && lacks >= fewest))
+		if (missing_copies == 0 ||
+		    missing != (f->replicas < f->max_replicas) ||
+		    (best != NULL && missing_copies >= fewest))
 			continue;
-		h = stage_pick(view, at);
+		h = copy_select_host(view, i);
 		if (h == NULL)
 			continue;
 		best = h;
-		fewest = lacks;
+		fewest = missing_copies;
 	}
 	return (best);
 }
 
 /*
- * Whether an idle host may be given a copy of a smaller model in the place of
- * its copy of the largest: that is in its memory too, or there are others.
+ * Whether a copy of a smaller model may replace a free host's copy of the
+ * largest: the host has the largest in memory too, or there are other spares.
  */
 static bool
-host_spares(const struct planner_view *view, const struct planner_host *h)
+host_copy_replaceable(const struct planner_view *view,
+    const struct planner_host *h)
 {
-	const struct model_profile *big = planner_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 
-	if (!planner_host_has_model(h, big) ||
-	    g_strcmp0(h->loaded_model, big->name) == 0)
+	if (!planner_host_has_model(h, largest) ||
+	    g_strcmp0(h->loaded_model, largest->name) == 0)
 		return (true);
 	return (planner_fabric_has_spares(
 	    planner_fabric_at(view, h->fabric_index)));
 }
 
-/* Free hosts of a fabric domain: with a model or getting it, and without. */
+/*
+ * Counts the free hosts of a fabric domain that have a model or are getting it,
+ * and those that could be given it. Returns one of the latter, or NULL.
+ */
 static const struct planner_host *
-free_count(const struct planner_view *view, const struct model_profile *m,
-    unsigned at, unsigned *has, unsigned *other)
+count_free_hosts(const struct planner_view *view, const struct model_profile *m,
+    unsigned fabric_index, unsigned *have, unsigned *could_get)
 {
 	const struct planner_host *pick = NULL;
 
-	*has = 0;
-	*other = 0;
-	for (guint n = 0; n < planner_fabric_at(view, at)->hosts; n++) {
-		const struct planner_host *h =
-		    planner_host_at(view, planner_fabric_host(view, at, n));
+	*have = 0;
+	*could_get = 0;
+	for (guint n = 0; n < planner_fabric_at(view, fabric_index)->hosts;
+	     n++) {
+		const struct planner_host *h = planner_host_at(view,
+		    planner_fabric_host(view, fabric_index, n));
 
 		if (!h->free)
 			continue;
 		if (planner_host_has_model(h, m) ||
 		    g_strcmp0(h->copying, m->name) == 0) {
-			(*has)++;
-		} else if (h->copying == NULL && host_spares(view, h)) {
-			(*other)++;
+			(*have)++;
+		} else if (h->copying == NULL &&
+		    host_copy_replaceable(view, h)) {
+			(*could_get)++;
 			pick = h;
 		}
 	}
@@ -115,12 +128,13 @@
 }
 
 /*
- * Copies of a small model on idle hosts: as many as a replica lacks where one
- * can be made. A join with a load would bind the hosts that need none for as
- * long.
+ * Selects a free host for a copy of a small model where the free hosts are
+ * enough for a replica of it, first where most have it already. The copies are
+ * made before the join, since a load during the join would hold the hosts that
+ * need none for just as long.
  */
 static const struct planner_host *
-stage_small(const struct planner_view *view, unsigned index)
+copy_for_small(const struct planner_view *view, unsigned index)
 {
 	const struct model_profile *m = planner_model(view, index);
 	const struct planner_host *best = NULL;
@@ -128,42 +142,44 @@
 
 	if (planner_shortage(view, index) <= PLANNER_SHORTAGE_MIN)
 		return (NULL);
-	for (guint at = 0; at < view->fabrics->len; at++) {
+	for (guint i = 0; i < view->fabrics->len; i++) {
 		const struct planner_host *pick;
-		unsigned has, other;
+		unsigned have, could_get;
 
-		pick = free_count(view, m, at, &has, &other);
-		if (pick == NULL || has >= m->size || has + other < m->size ||
-		    (best != NULL && has <= most))
+		pick = count_free_hosts(view, m, i, &have, &could_get);
+		if (pick == NULL || have >= m->size ||
+		    have + could_get < m->size ||
+		    (best != NULL && have <= most))
 			continue;
 		best = pick;
-		most = has;
+		most = have;
 	}
 	return (best);
 }
 
-/* One copy of a small model as a spare where it serves. */
+/* Selects a free host for a spare copy of a small model in a fabric domain
+ * where that model is served. */
 static const struct planner_host *
-stage_small_spare(const struct planner_view *view, unsigned index)
+copy_for_small_spare(const struct planner_view *view, unsigned index)
 {
 	const struct model_profile *m = planner_model(view, index);
 
-	for (guint at = 0; at < view->fabrics->len; at++) {
-		const char *name = planner_fabric_at(view, at)->name;
+	for (guint i = 0; i < view->fabrics->len; i++) {
+		const char *name = planner_fabric_at(view, i)->name;
 		const struct planner_host *pick;
-		unsigned has, other;
+		unsigned have, could_get;
 
-		pick = free_count(view, m, at, &has, &other);
-		if (pick != NULL && has < PLANNER_SPARE_COPIES &&
+		pick = count_free_hosts(view, m, i, &have, &could_get);
+		if (pick != NULL && have < PLANNER_SPARE_COPIES &&
 		    planner_fabric_replicas(view, m, name) > 0)
 			return (pick);
 	}
 	return (NULL);
 }
 
-/* The small model that is furthest below what is wanted. */
+/* The model with the greatest shortage among all but the largest. */
 static unsigned
-small_model(const struct planner_view *view)
+scarcest_small_model(const struct planner_view *view)
 {
 	const GPtrArray *models = view->engine->models;
 	unsigned best = view->largest;
@@ -179,69 +195,74 @@
 }
 
 /*
- * The model of which a host should have a copy beside what it has in memory;
- * NULL where it has one. Idle hosts begin with the largest.
+ * The model of which a host should have a copy besides the one in its memory;
+ * NULL where it needs none now. A host with neither begins with the largest.
  */
 static const struct model_profile *
-host_second(const struct planner_view *view, const struct planner_host *h)
+host_second_model(const struct planner_view *view, const struct planner_host *h)
 {
-	const struct model_profile *big = planner_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 	const struct model_profile *small =
-	    planner_model(view, small_model(view));
+	    planner_model(view, scarcest_small_model(view));
 
 	if (h->group != NULL && !h->group->opened)
 		return (NULL);
 	if (h->loaded_model != NULL)
-		return (strcmp(h->loaded_model, big->name) == 0 ? small : big);
-	return (h->staged->len == 0 ? big : NULL);
+		return (strcmp(h->loaded_model, largest->name) == 0 ? small :
+								      largest);
+	return (h->staged->len == 0 ? largest : NULL);
 }
 
 /*
- * Before the first request copies cost nothing, so every host gets one of a
- * model that it does not have in memory: the largest beside a small one, and a
- * small one beside the largest.
+ * Selects a host for a copy before the first request. Copies cost nothing then,
+ * so every host gets one of a model that it does not have in memory: the
+ * largest model besides a small one, and a small one besides the largest.
  */
 static const struct planner_host *
-stage_early(const struct planner_view *view, const struct model_profile **model)
+copy_before_requests(const struct planner_view *view,
+    const struct model_profile **model)
 {
 	for (guint i = 0; i < view->hosts->len; i++) {
 		const struct planner_host *h = planner_host_at(view, i);
 
-		*model = host_second(view, h);
-		if (*model != NULL && host_lacks(h, *model))
+		*model = host_second_model(view, h);
+		if (*model != NULL && host_needs_copy(h, *model))
 			return (h);
 	}
 	return (NULL);
 }
 
 /**
- * planner_plan_warming() - an idle host that should take the largest model into
- * memory.
- * @view: what is there
+ * planner_plan_warming() - find a free host that should load the largest model
+ * into memory from its own copy.
+ * @view: the view
  *
- * It joins a replica in a tenth of the time then, and its copy may make room
- * for one of another model.
+ * With the model in memory, the host joins a replica in a tenth of the time,
+ * and its copy can be replaced by one of another model.
  *
  * Return: the host, or NULL.
  */
 const struct planner_host *
 planner_plan_warming(const struct planner_view *view)
 {
-	const struct model_profile *big = planner_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 
 	for (guint i = 0; i < view->hosts->len; i++) {
 		const struct planner_host *h = planner_host_at(view, i);
 
 		if (h->free && !h->warming && h->loaded_model == NULL &&
-		    h->copying == NULL && planner_host_has_model(h, big))
+		    h->copying == NULL && planner_host_has_model(h, largest))
 			return (h);
 	}
 	return (NULL);
 }
 
-/* Copies of what is missing, for the model that is served worst. */
+/* Selects a host for a copy that a missing replica needs, for the model with
+ * the lowest supply ratio. */
 static const struct planner_host *
-stage_missing(const struct planner_view *view,
+copy_for_missing(const struct planner_view *view,
     const struct model_profile **model)
 {
 	const GPtrArray *models = view->engine->models;
@@ -253,8 +274,8 @@
 
 		if (planner_supply_ratio(view, k) >= worst)
 			continue;
-		h = k == view->largest ? stage_largest(view, true) :
-					 stage_small(view, k);
+		h = k == view->largest ? copy_for_largest(view, true) :
+					 copy_for_small(view, k);
 		if (h == NULL)
 			continue;
 		best = h;
@@ -264,12 +285,13 @@
 	return (best);
 }
 
-/* Spare copies beside the replicas that stand. */
+/* Selects a host for a spare copy, first of the largest model. */
 static const struct planner_host *
-stage_spare(const struct planner_view *view, const struct model_profile **model)
+copy_for_spare(const struct planner_view *view,
+    const struct model_profile **model)
 {
 	const GPtrArray *models = view->engine->models;
-	const struct planner_host *h = stage_largest(view, false);
+	const struct planner_host *h = copy_for_largest(view, false);
 
 	*model = planner_model(view, view->largest);
 	for (guint k = 0;
@@ -277,15 +299,15 @@
 		if (k == view->largest)
 			continue;
 		*model = models->pdata[k];
-		h = stage_small_spare(view, k);
+		h = copy_for_small_spare(view, k);
 	}
 	return (h);
 }
 
 /**
- * planner_plan_copy() - a host that should get a copy of a model.
- * @view: what is there
- * @model: set to the model
+ * planner_plan_copy() - find a host that should get a copy of a model.
+ * @view: the view
+ * @model: set to the model, if a host is found
  *
  * Return: the host, or NULL.
  */
@@ -298,7 +320,8 @@
 	if (view->loads_free == 0 || view->engine->models->len < 2)
 		return (NULL);
 	if (!view->serving)
-		return (view->hosts_stable ? stage_early(view, model) : NULL);
-	h = stage_missing(view, model);
-	return (h != NULL ? h : stage_spare(view, model));
+		return (view->hosts_stable ? copy_before_requests(view, model) :
+					     NULL);
+	h = copy_for_missing(view, model);
+	return (h != NULL ? h : copy_for_spare(view, model));
 }
--- a/src/planner-demand.h
+++ b/src/planner-demand.h
@@ -1,17 +1,18 @@
-/* How much of the work each model of a service has, as it is seen. Pure. */
+/* The share of a service's work that each model has, measured by the requests
+ * that run. Pure functions. */
 #ifndef BL_PLANNER_DEMAND_H
 #define BL_PLANNER_DEMAND_H
 
 #include "planner.h"
 
 /**
- * struct planner_demand - what was seen of one service.
- * @busy_hosts: moving mean of the hosts that each model's requests would fill,
- *in the order of the profile
- * @updated_ms: when that was last noted; 0 before the first request
- * @first_ms: when the first request was seen
- * @largest_max: replicas of the largest model that may stand; 0 for no bound
- * @bound_changed_ms: when that last changed
+ * struct planner_demand - measured demand for the models of one service.
+ * @busy_hosts: moving average of the number of hosts that each model's requests
+ *	would fill, in the order of the profile
+ * @updated_ms: loop time of the last sample; 0 before the first one
+ * @first_ms: loop time of the first sample
+ * @largest_max: maximum number of replicas of the largest model; 0 for no bound
+ * @bound_changed_ms: loop time at which @largest_max last changed
  */
 struct planner_demand {
 	double busy_hosts[PLANNER_MODELS_MAX];
@@ -22,10 +23,11 @@
 };
 
 /**
- * struct demand_sample - what runs at one model's replicas.
- * @running: requests at those without a limit
- * @unlimited: how many these are
- * @limited: replicas that take fewer requests a second than they could serve
+ * struct demand_sample - requests that run at one model's replicas.
+ * @running: requests that run at replicas without a rate limit
+ * @unlimited: number of replicas without a rate limit
+ * @limited: number of replicas that limit their request rate below what they
+ *	could serve
  */
 struct demand_sample {
 	double running;
--- a/src/planner-replicas.c
+++ b/src/planner-replicas.c
@@ -1,219 +1,241 @@
-/* Which free hosts form which new replicas. Pure. */
+/* Which hosts form new replicas and which replicas are dissolved for them. Pure
+ * functions. */
 #include <math.h>
 #include <string.h>
 
 #include "planner.h"
 
-/* Ways for a host to get a model, cheapest first. */
-enum load_rank {
-	LOAD_LAST,
-	LOAD_STAGED,
-	LOAD_STORE,
+/* Where a host gets a model from, cheapest first. */
+enum model_source {
+	SOURCE_MEMORY,
+	SOURCE_COPY,
+	SOURCE_STORE,
 };
 
-/* A load takes about ten times as long as a join from the host's copy. */
+/* Weight of loads against shortage in the score of a candidate. A load takes
+ * about ten times as long as a join from the host's own copy. */
 #define LOAD_WEIGHT 1.0
 
-/* A candidate: some free hosts of one fabric domain for one model. */
-struct form_try {
+/*
+ * A candidate for a new replica: free hosts of one fabric domain for one model.
+ * The loads are those from the weight store that the replica would need.
+ */
+struct replica_candidate {
 	const struct model_profile *model;
-	unsigned index;
-	unsigned at;
+	unsigned model_index;
+	unsigned fabric_index;
 	unsigned loads;
 	double score;
 };
 
-static enum load_rank
-host_rank(const struct planner_host *h, const struct model_profile *m)
+/* Where a host would get a model from. */
+static enum model_source
+host_source(const struct planner_host *h, const struct model_profile *m)
 {
 	if (g_strcmp0(h->loaded_model, m->name) == 0)
-		return (LOAD_LAST);
-	return (planner_host_has_model(h, m) ? LOAD_STAGED : LOAD_STORE);
+		return (SOURCE_MEMORY);
+	return (planner_host_has_model(h, m) ? SOURCE_COPY : SOURCE_STORE);
 }
 
 /*
- * Whether copies of the largest model are kept for it: its replica is missing
- * in the fabric domain and can be formed from what is there.
+ * Whether a fabric domain reserves its copies of the largest model: one of that
+ * model's replicas is missing there and can be formed from the hosts that have
+ * it.
  */
 static bool
-fabric_keeps(const struct planner_view *view, const struct planner_fabric *f)
+fabric_reserves_copies(const struct planner_view *view,
+    const struct planner_fabric *f)
 {
 	return (f->replicas < f->max_replicas &&
 	    f->ready >= planner_model(view, view->largest)->size);
 }
 
 /*
- * Whether a free host that holds the largest model may serve a smaller one. It
- * may go back to what it served; it gives up the largest model only where
- * there are other spares for it, or for a model that is served worse.
+ * Whether a free host that has the largest model may serve a smaller one. Where
+ * the copies are reserved, only a model with a lower supply ratio gets the
+ * host. Elsewhere it may return to the model that it last served; while
+ * requests come, it gives up the largest model otherwise only where there are
+ * other spares for it, or for a model with a lower supply ratio.
  */
 static bool
-host_gives_up(const struct planner_view *view, const struct planner_host *h,
-    const struct form_try *try)
+host_may_switch(const struct planner_view *view, const struct planner_host *h,
+    const struct replica_candidate *c)
 {
 	const struct planner_fabric *f =
 	    planner_fabric_at(view, h->fabric_index);
 
-	if (fabric_keeps(view, f) &&
+	if (fabric_reserves_copies(view, f) &&
 	    planner_supply_ratio(view, view->largest) <=
-		planner_supply_ratio(view, try->index))
+		planner_supply_ratio(view, c->model_index))
 		return (false);
-	return (g_strcmp0(h->loaded_model, try->model->name) == 0 ||
+	return (g_strcmp0(h->loaded_model, c->model->name) == 0 ||
 	    !view->serving || planner_fabric_has_spares(f) ||
-	    planner_supply_ratio(view, try->index) <
+	    planner_supply_ratio(view, c->model_index) <
 		planner_supply_ratio(view, view->largest));
 }
 
 /*
- * Whether a free host may be taken for a model. While requests come, hosts
- * get their models by copies made before they join.
+ * Whether a candidate may use a host. While requests come, hosts join only with
+ * a model that was copied to them before.
  */
 static bool
-host_offered(const struct planner_view *view, const struct planner_host *h,
-    const struct form_try *try)
+candidate_can_use(const struct planner_view *view, const struct planner_host *h,
+    const struct replica_candidate *c)
 {
-	const struct model_profile *big = planner_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 
-	if (!h->free || h->fabric_index != try->at)
+	if (!h->free || h->fabric_index != c->fabric_index)
 		return (false);
-	if (try->model != big && planner_host_has_model(h, big) &&
-	    !host_gives_up(view, h, try))
+	if (c->model != largest && planner_host_has_model(h, largest) &&
+	    !host_may_switch(view, h, c))
 		return (false);
-	if (planner_host_has_model(h, try->model) ||
+	if (planner_host_has_model(h, c->model) ||
 	    view->engine->models->len == 1)
 		return (true);
 	return (!view->serving && h->copying == NULL &&
-	    (try->model == big || !planner_host_has_model(h, big)));
+	    (c->model == largest || !planner_host_has_model(h, largest)));
 }
 
-/* Free hosts of a fabric domain, and how many need no load. */
+/* Counts the hosts that a candidate may use, and those that need no load. */
 static void
-fabric_count(const struct planner_view *view, const struct form_try *try,
-    unsigned *free, unsigned *local)
+candidate_count_hosts(const struct planner_view *view,
+    const struct replica_candidate *c, unsigned *free, unsigned *with_model)
 {
 	*free = 0;
-	*local = 0;
-	for (guint n = 0; n < planner_fabric_at(view, try->at)->hosts; n++) {
+	*with_model = 0;
+	for (guint n = 0; n < planner_fabric_at(view, c->fabric_index)->hosts;
+	     n++) {
 		const struct planner_host *h = planner_host_at(view,
-		    planner_fabric_host(view, try->at, n));
+		    planner_fabric_host(view, c->fabric_index, n));
 
-		if (!host_offered(view, h, try))
+		if (!candidate_can_use(view, h, c))
 			continue;
 		(*free)++;
-		*local += planner_host_has_model(h, try->model);
+		*with_model += planner_host_has_model(h, c->model);
 	}
 }
 
 /*
- * A replica is worth more the further its model is below what is wanted, and
- * in the failure domain that has fewest of it; loads cost time and money.
+ * Scores a candidate: higher the further its model is below the wanted number
+ * of replicas and the fewer of them its failure domain has; loads reduce the
+ * score because they cost time and money.
  */
 static double
-try_score(const struct planner_view *view, const struct form_try *try)
+candidate_score(const struct planner_view *view,
+    const struct replica_candidate *c)
 {
-	double wanted = MAX(view->wanted[try->index], 0.5);
-	double here = planner_domain_replicas(view, try->model,
-			  planner_fabric_at(view, try->at)->domain) /
+	double wanted = MAX(view->wanted[c->model_index], 0.5);
+	double in_domain =
+	    planner_domain_replicas(view, c->model,
+		planner_fabric_at(view, c->fabric_index)->domain) /
 	    wanted;
 
-	return (planner_shortage(view, try->index) / wanted - here -
-	    LOAD_WEIGHT * try->loads / try->model->size);
+	return (planner_shortage(view, c->model_index) / wanted - in_domain -
+	    LOAD_WEIGHT * c->loads / c->model->size);
 }
 
-/* Whether hosts of this fabric domain may be taken for the model at all. */
+/* Whether a candidate is permitted at all. */
 static bool
-try_allowed(const struct planner_view *view, const struct form_try *try)
+candidate_permitted(const struct planner_view *view,
+    const struct replica_candidate *c)
 {
-	const struct planner_fabric *f = planner_fabric_at(view, try->at);
-	bool largest = try->index == view->largest;
+	const struct planner_fabric *f =
+	    planner_fabric_at(view, c->fabric_index);
+	bool largest = c->model_index == view->largest;
 
-	/* Small replicas take what large ones leave, once all hosts are there.
-	 */
+	/* Before requests come, small replicas wait until all hosts are there
+	 * and use those that large ones leave. */
 	if (!view->serving && !view->hosts_stable && !largest)
 		return (false);
 	if (largest && f->replicas >= f->max_replicas)
 		return (false);
-	/* Hosts that hold the model already may as well serve it. */
-	if (try->loads == 0)
+	/* Hosts that have the model already may as well serve it. */
+	if (c->loads == 0)
 		return (true);
-	return (try->loads <= view->loads_free &&
-	    planner_shortage(view, try->index) > PLANNER_SHORTAGE_MIN);
+	return (c->loads <= view->loads_free &&
+	    planner_shortage(view, c->model_index) > PLANNER_SHORTAGE_MIN);
 }
 
-/* Weighs one fabric domain for one model. */
+/* Computes the loads and the score of a candidate. Returns false where it has
+ * too few hosts or is not permitted. */
 static bool
-try_weigh(const struct planner_view *view, struct form_try *try)
+candidate_evaluate(const struct planner_view *view, struct replica_candidate *c)
 {
-	unsigned free, local, size = try->model->size;
+	unsigned free, with_model, size = c->model->size;
 
-	fabric_count(view, try, &free, &local);
+	candidate_count_hosts(view, c, &free, &with_model);
 	if (free < size)
 		return (false);
-	try->loads = size - MIN(size, local);
-	if (!try_allowed(view, try))
+	c->loads = size - MIN(size, with_model);
+	if (!candidate_permitted(view, c))
 		return (false);
-	try->score = try_score(view, try);
+	c->score = candidate_score(view, c);
 	return (true);
 }
 
-/* Takes the members, those that need least first. */
+/* Selects the members of a candidate, those with the cheapest source first. */
 static void
-plan_take(const struct planner_view *view, const struct form_try *try,
-    struct replica_plan *plan)
+plan_select_members(const struct planner_view *view,
+    const struct replica_candidate *c, struct replica_plan *plan)
 {
-	plan->model = try->model;
-	plan->loads = try->loads;
+	plan->model = c->model;
+	plan->loads = c->loads;
 	plan->members = g_array_new(FALSE, FALSE, sizeof(guint));
-	for (int rank = LOAD_LAST; rank <= LOAD_STORE; rank++) {
-		for (guint n = 0; n < planner_fabric_at(view, try->at)->hosts;
-		     n++) {
-			guint i = planner_fabric_host(view, try->at, n);
+	for (int source = SOURCE_MEMORY; source <= SOURCE_STORE; source++) {
+		for (guint n = 0;
+		     n < planner_fabric_at(view, c->fabric_index)->hosts; n++) {
+			guint i = planner_fabric_host(view, c->fabric_index, n);
 			const struct planner_host *h = planner_host_at(view, i);
 
-			if (plan->members->len == try->model->size)
+			if (plan->members->len == c->model->size)
 				return;
-			if (host_offered(view, h, try) &&
-			    host_rank(h, try->model) == (enum load_rank)rank)
+			if (candidate_can_use(view, h, c) &&
+			    host_source(h, c->model) ==
+				(enum model_source)source)
 				g_array_append_val(plan->members, i);
 		}
 	}
 }
 
 /**
- * planner_plan_replica() - the next replica to form.
- * @view: what is there
- * @plan: filled in; the caller frees its members
+ * planner_plan_replica() - plan the next replica to form.
+ * @view: the view
+ * @plan: set to the plan; the caller frees its members
  *
- * Return: false where none should be formed now.
+ * Return: false where no replica should be formed now.
  */
 bool
 planner_plan_replica(const struct planner_view *view, struct replica_plan *plan)
 {
-	struct form_try best = { .score = -INFINITY };
+	struct replica_candidate best = { .score = -INFINITY };
 	const GPtrArray *models = view->engine->models;
 
 	for (guint k = 0; k < models->len && k < PLANNER_MODELS_MAX; k++) {
-		for (guint at = 0; at < view->fabrics->len; at++) {
-			struct form_try try = { .model = models->pdata[k],
-				.index = k,
-				.at = at };
-
-			if (try_weigh(view, &try) && try.score > best.score)
-				best = try;
+		for (guint i = 0; i < view->fabrics->len; i++) {
+			struct replica_candidate c = { .model =
+							   models->pdata[k],
+				.model_index = k,
+				.fabric_index = i };
+
+			if (candidate_evaluate(view, &c) &&
+			    c.score > best.score)
+				best = c;
 		}
 	}
 	if (best.model == NULL)
 		return (false);
-	plan_take(view, &best, plan);
+	plan_select_members(view, &best, plan);
 	return (true);
 }
 
 /*
- * Whether a smaller model can spare a replica for the largest: it is still
- * served as well afterwards, by the models' shares of the work.
+ * Whether a smaller model can spare a replica for the largest: without it, its
+ * supply ratio is still at least that of the largest model.
  */
 static bool
-donor_spared(const struct planner_view *view, const struct replica *donor)
+donor_can_be_spared(const struct planner_view *view,
+    const struct replica *donor)
 {
 	unsigned k = planner_model_index(view, donor->model);
 	double after =
@@ -222,30 +244,33 @@
 	return (after >= planner_supply_ratio(view, view->largest));
 }
 
-/* The replica in a fabric domain whose hosts are wanted most; or NULL. */
+/* The first replica of a fabric domain that may donate its hosts to the largest
+ * model, or NULL. */
 static struct replica *
-fabric_donor(const struct planner_view *view, unsigned at)
+fabric_donor(const struct planner_view *view, unsigned fabric_index)
 {
-	const struct model_profile *big = planner_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 
-	for (guint n = 0; n < planner_fabric_at(view, at)->hosts; n++) {
-		const struct planner_host *h =
-		    planner_host_at(view, planner_fabric_host(view, at, n));
+	for (guint n = 0; n < planner_fabric_at(view, fabric_index)->hosts;
+	     n++) {
+		const struct planner_host *h = planner_host_at(view,
+		    planner_fabric_host(view, fabric_index, n));
 
-		if (planner_host_has_model(h, big) &&
-		    planner_host_can_donate(h, big) &&
-		    donor_spared(view, h->group))
+		if (planner_host_has_model(h, largest) &&
+		    planner_host_can_donate(h, largest) &&
+		    donor_can_be_spared(view, h->group))
 			return (h->group);
 	}
 	return (NULL);
 }
 
 /**
- * planner_find_donor() - a replica to dissolve so that the largest model can
- * form.
- * @view: what is there
+ * planner_find_donor() - find a replica to dissolve so that one of the largest
+ * model can form.
+ * @view: the view
  *
- * Return: NULL where none need or could be.
+ * Return: the replica, or NULL where none is needed or none would do.
  */
 struct replica *
 planner_find_donor(const struct planner_view *view)
@@ -254,13 +279,13 @@
 
 	if (planner_shortage(view, view->largest) < 0.5)
 		return (NULL);
-	for (guint at = 0; at < view->fabrics->len; at++) {
-		const struct planner_fabric *f = planner_fabric_at(view, at);
+	for (guint i = 0; i < view->fabrics->len; i++) {
+		const struct planner_fabric *f = planner_fabric_at(view, i);
 		struct replica *donor = NULL;
 
 		if (f->replicas < f->max_replicas && f->ready < size &&
 		    f->ready + f->donors >= size)
-			donor = fabric_donor(view, at);
+			donor = fabric_donor(view, i);
 		if (donor != NULL)
 			return (donor);
 	}
@@ -268,32 +293,33 @@
 }
 
 /**
- * planner_find_surplus() - a replica of the largest model to dissolve, since
- * its hosts serve more requests as replicas of others.
- * @view: what is there
+ * planner_find_surplus() - find a replica of the largest model to dissolve
+ * because its hosts serve more requests in replicas of other models.
+ * @view: the view
  *
- * Return: NULL where none should be.
+ * Return: the replica, or NULL.
  */
 struct replica *
 planner_find_surplus(const struct planner_view *view)
 {
-	const struct model_profile *big = planner_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 
 	if (view->largest_max == 0 ||
 	    view->replicas[view->largest] <= view->largest_max)
 		return (NULL);
-	for (guint at = 0; at < view->fabrics->len; at++) {
-		const struct planner_fabric *f = planner_fabric_at(view, at);
+	for (guint i = 0; i < view->fabrics->len; i++) {
+		const struct planner_fabric *f = planner_fabric_at(view, i);
 
 		if (f->replicas <= f->max_replicas)
 			continue;
 		for (guint n = 0; n < f->hosts; n++) {
 			const struct planner_host *h = planner_host_at(view,
-			    planner_fabric_host(view, at, n));
+			    planner_fabric_host(view, i, n));
 
 			if (h->group != NULL && replica_active(h->group) &&
 			    h->group->opened &&
-			    strcmp(h->group->model, big->name) == 0)
+			    strcmp(h->group->model, largest->name) == 0)
 				return (h->group);
 		}
 	}
--- a/src/planner-view.c
+++ b/src/planner-view.c
@@ -1,17 +1,19 @@
-/* What placement decisions count: hosts, copies and replicas. Pure. */
+/* The planner's view of a service: its hosts, copies and replicas, counted, and
+ * how many replicas of each model there should be. Pure functions. */
 #include <math.h>
 #include <string.h>
 
 #include "planner.h"
 
-/* Caps are raised until the largest model gets this part of its share. */
-#define SHARE_LEAST 0.6
-#define CAP_MOST 8
+/* The cap factor is raised until the largest model gets this part of its
+ * share, up to CAP_FACTOR_MAX. */
+#define LARGEST_SHARE_MIN 0.6
+#define CAP_FACTOR_MAX 8
 
 /**
- * planner_model() - a model of the view's engine.
- * @view: what is there
- * @index: in the order of the profile
+ * planner_model() - get a model of the view's engine profile.
+ * @view: the view
+ * @index: its index in the profile
  */
 const struct model_profile *
 planner_model(const struct planner_view *view, unsigned index)
@@ -20,9 +22,9 @@
 }
 
 /**
- * planner_host_at() - a host of the view.
- * @view: what is there
- * @index: of the host
+ * planner_host_at() - get a host of a view.
+ * @view: the view
+ * @index: index of the host
  */
 const struct planner_host *
 planner_host_at(const struct planner_view *view, unsigned index)
@@ -31,9 +33,9 @@
 }
 
 /**
- * planner_fabric_at() - a fabric domain of the view.
- * @view: what is there
- * @index: of the fabric domain
+ * planner_fabric_at() - get a fabric domain of a view.
+ * @view: the view
+ * @index: index of the fabric domain
  */
 const struct planner_fabric *
 planner_fabric_at(const struct planner_view *view, unsigned index)
@@ -42,23 +44,24 @@
 }
 
 /**
- * planner_fabric_host() - a host of a fabric domain.
- * @view: what is there
- * @at: index of the fabric domain
- * @nth: which of its hosts
+ * planner_fabric_host() - get a host of a fabric domain.
+ * @view: the view
+ * @index: index of the fabric domain
+ * @nth: which of its hosts, from 0
  *
  * Return: the host's index in the view.
  */
 unsigned
-planner_fabric_host(const struct planner_view *view, unsigned at, unsigned nth)
+planner_fabric_host(const struct planner_view *view, unsigned index,
+    unsigned nth)
 {
 	return (g_array_index(view->order, guint,
-	    planner_fabric_at(view, at)->first + nth));
+	    planner_fabric_at(view, index)->first + nth));
 }
 
 /**
- * planner_view_set_copying() - a host is being given a copy.
- * @view: what is there; kept up
+ * planner_view_set_copying() - record in a view that a host is getting a copy.
+ * @view: the view; its counts are updated
  * @h: the host
  * @m: the model
  */
@@ -79,9 +82,9 @@
 }
 
 /**
- * planner_view_set_warming() - a host is being told to take a model into
- * memory.
- * @view: what is there; kept up
+ * planner_view_set_warming() - record in a view that a host is loading a model
+ * into memory.
+ * @view: the view
  * @h: the host
  */
 void
@@ -94,8 +97,8 @@
 }
 
 /**
- * planner_fabric_has_spares() - whether there are more spares for the largest
- * model than are kept.
+ * planner_fabric_has_spares() - whether a fabric domain has more spare hosts
+ * with the largest model than it keeps.
  * @f: the fabric domain
  */
 bool
@@ -124,9 +127,10 @@
 }
 
 /**
- * planner_host_can_donate() - whether a host serves in a replica that could go.
+ * planner_host_can_donate() - whether a host serves in a replica that may be
+ * dissolved for a larger one.
  * @h: the host
- * @m: the model that needs hosts
+ * @m: the model of the larger replica
  */
 bool
 planner_host_can_donate(const struct planner_host *h,
@@ -136,8 +140,9 @@
 	    h->group->opened && h->group->n < m->size);
 }
 
+/* Gets the count of a model in a failure domain or fabric domain. */
 static unsigned
-count_of(GHashTable *table, const struct model_profile *m, const char *place)
+count_get(GHashTable *table, const struct model_profile *m, const char *place)
 {
 	g_autofree char *key =
 	    g_strdup_printf("%s %s", m->name, place != NULL ? place : "-");
@@ -145,7 +150,7 @@
 	return (GPOINTER_TO_UINT(g_hash_table_lookup(table, key)));
 }
 
-/* Adds one to the count of a model in a place. */
+/* Adds one to the count of a model in a failure domain or fabric domain. */
 static void
 count_add(GHashTable *table, const char *model, const char *place)
 {
@@ -157,8 +162,9 @@
 }
 
 /**
- * planner_fabric_replicas() - replicas of a model in a fabric domain.
- * @view: what is there
+ * planner_fabric_replicas() - count the active replicas of a model in a fabric
+ * domain.
+ * @view: the view
  * @m: the model
  * @fabric: the fabric domain
  */
@@ -166,12 +172,13 @@
 planner_fabric_replicas(const struct planner_view *view,
     const struct model_profile *m, const char *fabric)
 {
-	return (count_of(view->fabric_replicas, m, fabric));
+	return (count_get(view->fabric_replicas, m, fabric));
 }
 
 /**
- * planner_domain_replicas() - replicas of a model in a failure domain.
- * @view: what is there
+ * planner_domain_replicas() - count the active replicas of a model in a failure
+ * domain.
+ * @view: the view
  * @m: the model
  * @domain: the failure domain
  */
@@ -179,13 +186,15 @@
 planner_domain_replicas(const struct planner_view *view,
     const struct model_profile *m, const char *domain)
 {
-	return (count_of(view->domain_replicas, m, domain));
+	return (count_get(view->domain_replicas, m, domain));
 }
 
 /**
- * planner_shortage() - how short a model is of what is wanted, in replicas.
- * @view: what is there
- * @index: of the model
+ * planner_shortage() - get the number of replicas that a model is short of.
+ * @view: the view
+ * @index: index of the model
+ *
+ * Return: the wanted number less the active ones; negative for a surplus.
  */
 double
 planner_shortage(const struct planner_view *view, unsigned index)
@@ -194,10 +203,10 @@
 }
 
 /**
- * planner_supply_ratio() - how well a model is served, against its share of the
- * work.
- * @view: what is there
- * @index: of the model
+ * planner_supply_ratio() - get the ratio of a model's replicas to its share of
+ * the work.
+ * @view: the view
+ * @index: index of the model
  *
  * Return: 1 where it has the replicas that its share alone would give it.
  */
@@ -208,11 +217,11 @@
 }
 
 /**
- * planner_model_index() - index of a model in the engine's profile.
- * @view: what is there
- * @name: of the model
+ * planner_model_index() - get the index of a model in the engine profile.
+ * @view: the view
+ * @name: name of the model
  *
- * Return: the last index where it is not there.
+ * Return: the index; the last one where the profile does not have the model.
  */
 unsigned
 planner_model_index(const struct planner_view *view, const char *name)
@@ -225,6 +234,7 @@
 	return (i);
 }
 
+/* Index of the model with the most hosts in a replica. */
 static unsigned
 largest_model(const struct engine_profile *engine)
 {
@@ -241,7 +251,7 @@
 }
 
 /**
- * planner_view_init() - a view without hosts.
+ * planner_view_init() - initialize a view without hosts.
  * @view: the view
  * @engine: the service's engine profile
  */
@@ -279,7 +289,7 @@
 }
 
 /**
- * planner_view_add_replica() - count a replica that is wanted.
+ * planner_view_add_replica() - count an active replica.
  * @view: the view
  * @r: the replica
  * @domain: failure domain of its head, or NULL
@@ -298,9 +308,10 @@
 	count_add(view->fabric_replicas, r->model, fabric);
 }
 
-/* The view's fabric domain of a host; a new one where it is the first. */
+/* Index of a host's fabric domain, which is added to the view where the host is
+ * the first of it. */
 static unsigned
-fabric_of(struct planner_view *view, const struct planner_host *h)
+fabric_index_of(struct planner_view *view, const struct planner_host *h)
 {
 	struct planner_fabric f = { .name = h->fabric, .domain = h->domain };
 
@@ -314,37 +325,38 @@
 
 /* Counts the hosts and copies of each fabric domain. */
 static void
-fabrics_count(struct planner_view *view)
+fabrics_count_hosts(struct planner_view *view)
 {
-	const struct model_profile *big = planner_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 
 	for (guint i = 0; i < view->hosts->len; i++) {
 		struct planner_host *h =
 		    &g_array_index(view->hosts, struct planner_host, i);
 		struct planner_fabric *f;
 
-		h->fabric_index = fabric_of(view, h);
+		h->fabric_index = fabric_index_of(view, h);
 		f = &g_array_index(view->fabrics, struct planner_fabric,
 		    h->fabric_index);
 		f->hosts++;
-		if (!planner_host_has_model(h, big))
-			f->copying += g_strcmp0(h->copying, big->name) == 0;
+		if (!planner_host_has_model(h, largest))
+			f->copying += g_strcmp0(h->copying, largest->name) == 0;
 		else if (h->free || h->free_soon)
 			f->ready++;
 		else
-			f->donors += planner_host_can_donate(h, big);
+			f->donors += planner_host_can_donate(h, largest);
 	}
 }
 
-/* Puts the hosts of each fabric domain together, in the order they are in. */
+/* Groups the hosts by fabric domain without changing their order otherwise. */
 static void
-fabrics_order(struct planner_view *view)
+fabrics_group_hosts(struct planner_view *view)
 {
 	unsigned first = 0;
 
-	for (guint at = 0; at < view->fabrics->len; at++) {
+	for (guint i = 0; i < view->fabrics->len; i++) {
 		struct planner_fabric *f =
-		    &g_array_index(view->fabrics, struct planner_fabric, at);
+		    &g_array_index(view->fabrics, struct planner_fabric, i);
 
 		f->first = first;
 		first += f->hosts;
@@ -360,65 +372,73 @@
 	}
 }
 
-/* Replicas of the largest model that a fabric domain may hold. */
+/* Maximum number of replicas of the largest model in a fabric domain. */
 static unsigned
-cap_of(const struct planner_view *view, unsigned hosts, unsigned cap)
+fabric_max_replicas(const struct planner_view *view, unsigned hosts,
+    unsigned factor)
 {
 	unsigned size = planner_model(view, view->largest)->size;
 	unsigned fit = hosts / size;
-	/* A domain that has lost some hosts keeps its replica. */
+	/* Fewer than size hosts may be missing: a domain that has lost some
+	 * keeps its replica. */
 	unsigned half = (hosts + size - 1) / (2 * size);
 
-	return (MIN(fit, MAX(half, 1) * cap));
+	return (MIN(fit, MAX(half, 1) * factor));
 }
 
-/* The sum of all caps, with a given factor. */
+/* The sum of that maximum over all fabric domains. */
 static unsigned
-cap_sum(const struct planner_view *view, unsigned cap)
+sum_max_replicas(const struct planner_view *view, unsigned factor)
 {
 	unsigned sum = 0;
 
 	for (guint i = 0; i < view->fabrics->len; i++)
-		sum += cap_of(view, planner_fabric_at(view, i)->hosts, cap);
+		sum += fabric_max_replicas(view,
+		    planner_fabric_at(view, i)->hosts, factor);
 	return (sum);
 }
 
 /**
- * planner_view_choose_cap() - replicas of the largest model by its configured
- * share.
- * @view: its hosts were counted; sets how many a fabric domain may hold
+ * planner_view_choose_cap() - choose the cap factor of a view.
+ * @view: the view; its hosts have been counted
+ *
+ * The factor leaves hosts for smaller replicas in each fabric domain. These
+ * serve requests, and donate hosts when the large replica beside them loses
+ * one, which is far quicker than a load.
  *
- * It leaves hosts of smaller replicas in each fabric domain. These serve, and
- * donate hosts when the large replica beside them loses one, which is far
- * quicker than a load.
+ * Return: the number of replicas of the largest model by its configured share,
+ * limited to what all fabric domains together may have.
  */
 double
 planner_view_choose_cap(struct planner_view *view)
 {
 	const GPtrArray *models = view->engine->models;
-	const struct model_profile *big = planner_model(view, view->largest);
-	double want = big->share * view->hosts->len / big->size;
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
+	double wanted = largest->share * view->hosts->len / largest->size;
 
 	view->cap_factor = 1;
-	while (view->cap_factor < CAP_MOST &&
+	while (view->cap_factor < CAP_FACTOR_MAX &&
 	    (models->len == 1 ||
-		cap_sum(view, view->cap_factor) < SHARE_LEAST * want))
+		sum_max_replicas(view, view->cap_factor) <
+		    LARGEST_SHARE_MIN * wanted))
 		view->cap_factor++;
-	return (MIN(want, cap_sum(view, view->cap_factor)));
+	return (MIN(wanted, sum_max_replicas(view, view->cap_factor)));
 }
 
-/* How many replicas of each model the hosts should form. */
+/* Sets how many replicas of each model the hosts should form. */
 static void
-view_targets(struct planner_view *view)
+view_set_wanted(struct planner_view *view)
 {
 	unsigned n = MIN(view->engine->models->len, PLANNER_MODELS_MAX);
-	const struct model_profile *big = planner_model(view, view->largest);
+	const struct model_profile *largest =
+	    planner_model(view, view->largest);
 	double hosts = view->hosts->len, rest, shares = 0;
-	double want = planner_view_choose_cap(view);
+	double wanted = planner_view_choose_cap(view);
 
 	if (view->largest_max > 0)
-		want = MIN(want, view->largest_max);
-	rest = hosts - want * big->size;
+		wanted = MIN(wanted, view->largest_max);
+	rest = hosts - wanted * largest->size;
 	for (unsigned i = 0; i < n; i++)
 		shares += i == view->largest ? 0 : view->work_share[i];
 	for (unsigned i = 0; i < n; i++) {
@@ -428,12 +448,13 @@
 		view->wanted[i] =
 		    shares > 0 ? rest * view->work_share[i] / shares / size : 0;
 	}
-	view->wanted[view->largest] = want;
+	view->wanted[view->largest] = wanted;
 }
 
-/* Replicas of the largest model that a failure domain was given so far. */
+/* Number of replicas of the largest model that a failure domain has been
+ * assigned so far. */
 static unsigned
-domain_given(const struct planner_view *view, const char *domain)
+domain_assigned(const struct planner_view *view, const char *domain)
 {
 	unsigned sum = 0;
 
@@ -446,7 +467,8 @@
 	return (sum);
 }
 
-/* How soon a fabric domain could hold one more than it was given. */
+/* How soon a fabric domain could have one more replica of the largest model
+ * than it has been assigned; a higher value is sooner. */
 static unsigned
 fabric_readiness(const struct planner_view *view,
     const struct planner_fabric *f)
@@ -460,23 +482,26 @@
 	return (f->ready + f->donors + f->copying >= size);
 }
 
-/* Whether one fabric domain comes before another for the next replica: where
- * one stands or could soon, then in the failure domain that was given fewest.
+/*
+ * Whether one fabric domain is preferred to another for the next replica: first
+ * where one exists or could form soon, then in the failure domain that has been
+ * assigned fewest.
  */
 static bool
-fabric_before(const struct planner_view *view, const struct planner_fabric *a,
-    const struct planner_fabric *b)
+fabric_preferred(const struct planner_view *view,
+    const struct planner_fabric *a, const struct planner_fabric *b)
 {
 	unsigned a_ready = fabric_readiness(view, a);
 	unsigned b_ready = fabric_readiness(view, b);
 
 	if (a_ready != b_ready)
 		return (a_ready > b_ready);
-	return (domain_given(view, a->domain) < domain_given(view, b->domain));
+	return (domain_assigned(view, a->domain) <
+	    domain_assigned(view, b->domain));
 }
 
-/* The fabric domain that is given the next replica; NULL where none fits. One
- * that stands counts also where hosts have gone since. */
+/* The fabric domain to assign the next replica to, or NULL where none has room.
+ * A replica that exists counts even if hosts have left since it formed. */
 static struct planner_fabric *
 fabric_next(const struct planner_view *view)
 {
@@ -487,15 +512,15 @@
 		    &g_array_index(view->fabrics, struct planner_fabric, i);
 
 		if (f->assigned < MAX(f->max_replicas, f->replicas) &&
-		    (best == NULL || fabric_before(view, f, best)))
+		    (best == NULL || fabric_preferred(view, f, best)))
 			best = f;
 	}
 	return (best);
 }
 
-/* Shares the bound on replicas of the largest model among fabric domains. */
+/* Divides the bound on replicas of the largest model among fabric domains. */
 static void
-fabrics_limit(struct planner_view *view)
+fabrics_divide_bound(struct planner_view *view)
 {
 	struct planner_fabric *f;
 
@@ -511,34 +536,37 @@
 }
 
 /**
- * planner_view_count_hosts() - count the hosts of each fabric domain.
- * @view: hosts and replicas were added
+ * planner_view_count_hosts() - count the hosts and copies of each fabric
+ * domain.
+ * @view: the view; its hosts and replicas have been added
  */
 void
 planner_view_count_hosts(struct planner_view *view)
 {
-	fabrics_count(view);
-	fabrics_order(view);
+	fabrics_count_hosts(view);
+	fabrics_group_hosts(view);
 }
 
 /**
- * planner_view_set_targets() - derive targets.
- * @view: its hosts were counted
+ * planner_view_set_targets() - set the wanted replicas of each model, and the
+ * maximum number of the largest in each fabric domain.
+ * @view: the view; its hosts have been counted
  */
 void
 planner_view_set_targets(struct planner_view *view)
 {
-	const struct model_profile *big;
+	const struct model_profile *largest;
 
-	big = planner_model(view, view->largest);
-	view_targets(view);
+	largest = planner_model(view, view->largest);
+	view_set_wanted(view);
 	for (guint i = 0; i < view->fabrics->len; i++) {
 		struct planner_fabric *f =
 		    &g_array_index(view->fabrics, struct planner_fabric, i);
 
-		f->replicas = planner_fabric_replicas(view, big, f->name);
-		f->max_replicas = cap_of(view, f->hosts, view->cap_factor);
+		f->replicas = planner_fabric_replicas(view, largest, f->name);
+		f->max_replicas =
+		    fabric_max_replicas(view, f->hosts, view->cap_factor);
 	}
 	if (view->largest_max > 0)
-		fabrics_limit(view);
+		fabrics_divide_bound(view);
 }
--- a/src/planner.h
+++ b/src/planner.h
@@ -1,32 +1,35 @@
-/* Which free hosts form which new replicas. Pure. */
+/* The planner: decides which hosts form which replicas and which get copies of
+ * which models. Pure functions. */
 #ifndef BL_PLANNER_H
 #define BL_PLANNER_H
 
 #include "registry-catalog.h"
 #include "replica.h"
 
-/* Models of one service that are told apart. */
+/* Maximum number of models of one service that the planner distinguishes. */
 #define PLANNER_MODELS_MAX 16
-/* Hosts with a copy of a model kept beside its replicas in a fabric domain. */
+/* Hosts outside a model's replicas that hold a spare copy of it, for each
+ * fabric domain. */
 #define PLANNER_SPARE_COPIES 1
 
-/* Part of a replica that a model must be short of for loads to be spent on it;
- * what is wanted is seldom a whole number. */
+/* Smallest shortage of a model, in replicas, that justifies loads for it: the
+ * wanted number is seldom a whole one. */
 #define PLANNER_SHORTAGE_MIN 0.25
 
 /**
  * struct planner_host - a host of the service.
- * @id: its id
- * @domain: failure domain
- * @fabric: fabric domain
- * @fabric_index: index of that among the view's fabric domains
- * @loaded_model: model of its last group since its start, or NULL
- * @staged: models with a copy on the host; it keeps a few, the newest
+ * @id: id of the host's incarnation
+ * @domain: its failure domain
+ * @fabric: its fabric domain; NULL where it reports none
+ * @fabric_index: index of its fabric domain in the view
+ * @loaded_model: model in its memory, which is that of its last group since it
+ *	started, or NULL
+ * @staged: models with a copy on the host, which keeps a few, the newest
  * @copying: model that is being copied to it, or NULL
- * @warming: it is taking a model into memory
+ * @warming: it is loading a model into memory without joining a replica
  * @free: it may join a new group now
- * @free_soon: its group is being dissolved and will let it go within about a
- * second
+ * @free_soon: its group is being dissolved and will release it within about a
+ *	second
  * @group: the replica that it belongs to, or NULL
  */
 struct planner_host {
@@ -45,16 +48,16 @@
 
 /**
  * struct planner_fabric - a fabric domain.
- * @name: its name; NULL where hosts don't say
+ * @name: its name; NULL for hosts that report none
  * @domain: failure domain of its hosts
- * @hosts: that live
- * @first: place of the first of them in the view's order
- * @replicas: wanted replicas of the largest model
- * @max_replicas: most of them
- * @assigned: of a bound on all, those that were given to it so far
- * @ready: hosts with a copy of that model that are free now or soon
- * @donors: hosts with such a copy in smaller replicas that serve
- * @copying: hosts that are getting such a copy
+ * @hosts: number of its live hosts
+ * @first: position of its first host in the view's order
+ * @replicas: active replicas of the largest model in it
+ * @max_replicas: maximum number of replicas of the largest model in it
+ * @assigned: its part so far of the bound on replicas of the largest model
+ * @ready: hosts that have the largest model and are free now or soon
+ * @donors: hosts that have the largest model and serve in smaller replicas
+ * @copying: hosts that are getting a copy of the largest model
  */
 struct planner_fabric {
 	const char *name;
@@ -70,24 +73,26 @@
 };
 
 /**
- * struct planner_view - what the decisions look at.
+ * struct planner_view - the state of one service that decisions are based on.
  * @engine: the service's engine profile
- * @hosts: of struct planner_host; all that live
- * @order: indexes of the hosts, those of a fabric domain together
- * @fabrics: of struct planner_fabric
- * @replicas: wanted replicas of each model, in the order of the profile
+ * @hosts: array of struct planner_host, all live hosts
+ * @order: indexes of the hosts, grouped by fabric domain
+ * @fabrics: array of struct planner_fabric
+ * @replicas: active replicas of each model, in the order of the profile
  * @domain_replicas: "model failure-domain" to the number of replicas there
  * @fabric_replicas: "model fabric-domain" to the number of replicas there
  * @work_share: share of the work of each model
- * @largest_max: replicas of the largest model that may stand; 0 for no bound
+ * @largest_max: maximum number of replicas of the largest model; 0 for no bound
  * @wanted: replicas of each model that the hosts should form
- * @share_replicas: replicas of each model by its share of the work alone
- * @largest: index of the model with the largest replicas
- * @cap_factor: most replicas of that model in one fabric domain, for each 2 x
- *its size hosts there; the rest are replicas that can donate hosts to it
- * @loads_free: loads from the weight store that may begin now
- * @serving: requests come; loads take their full time
- * @hosts_stable: no new hosts have appeared for a while
+ * @share_replicas: replicas of each model that its share of the work alone
+ *	would give
+ * @largest: index of the model with the most hosts in a replica
+ * @cap_factor: maximum number of replicas of the largest model in one fabric
+ *	domain for every 2 x its size hosts there; the other hosts form
+ *	replicas that can donate hosts to it
+ * @loads_free: number of loads from the weight store that may begin now
+ * @serving: requests have come, so loads take their full time
+ * @hosts_stable: no new host has appeared for a while
  */
 struct planner_view {
 	const struct engine_profile *engine;
@@ -109,10 +114,10 @@
 };
 
 /**
- * struct replica_plan - one new replica.
- * @model: what it serves
- * @members: indexes into the view's hosts
- * @loads: members that load from the weight store
+ * struct replica_plan - plan of one new replica.
+ * @model: its model
+ * @members: indexes of its members among the view's hosts
+ * @loads: number of members that load from the weight store
  */
 struct replica_plan {
 	const struct model_profile *model;
--- a/tests/test-planner.c
+++ b/tests/test-planner.c
@@ -1,4 +1,5 @@
-/* Scripts over which hosts form which replicas. */
+/* Scripted tests of the planner: which hosts form which replicas, which get
+ * copies, and how the bound on the largest model changes. */
 #include <string.h>
 
 #include "planner-demand.h"
@@ -12,7 +13,7 @@
 static unsigned n_hosts;
 static struct replica *replicas[HOSTS_MAX];
 static unsigned n_replicas;
-static guint64 loads, serving, settled;
+static guint64 loads, serving, hosts_stable;
 static struct planner_demand demand;
 
 static void
@@ -32,21 +33,21 @@
 	n_replicas = 0;
 	loads = 100;
 	serving = 0;
-	settled = 1;
+	hosts_stable = 1;
 	memset(&demand, 0, sizeof demand);
 	g_clear_pointer(&catalog, catalog_unref);
 	catalog = catalog_create();
 	engine = catalog_add_engine(catalog_add_service(catalog, "s"));
 }
 
-/* reset: begin anew within a script */
+/* reset: start over with no models, hosts or replicas */
 static void
 exec_reset(const char *rest, GString *out)
 {
 	reset();
 }
 
-/* model NAME size=N share=PERCENT */
+/* model NAME size=N share=PERCENT: the engine profile has this model */
 static void
 exec_model(const char *rest, GString *out)
 {
@@ -58,7 +59,8 @@
 	g_ptr_array_add(engine->models, m);
 }
 
-/* hosts N domain=D fabric=F [last=M] [staged=M]: N free hosts */
+/* hosts N domain=D fabric=F [memory=M] [staged=M]: N free hosts, with these
+ * models in memory and as a copy */
 static void
 exec_hosts(const char *rest, GString *out)
 {
@@ -73,7 +75,7 @@
 		h->id = g_strdup_printf("h%u", n_hosts++);
 		h->domain = script_word(rest, "domain");
 		h->fabric = script_word(rest, "fabric");
-		h->loaded_model = script_word(rest, "last");
+		h->loaded_model = script_word(rest, "memory");
 		h->free = true;
 		if (staged != NULL)
 			g_ptr_array_add(copies, g_strdup(staged));
@@ -81,6 +83,7 @@
 	}
 }
 
+/* Builds the planner's view of all hosts and replicas. */
 static void
 view_make(struct planner_view *view)
 {
@@ -99,7 +102,7 @@
 	planner_view_set_targets(view);
 	view->loads_free = (unsigned)loads;
 	view->serving = serving != 0;
-	view->hosts_stable = settled != 0;
+	view->hosts_stable = hosts_stable != 0;
 }
 
 static void
@@ -108,24 +111,25 @@
 	planner_view_clear(view);
 }
 
-/* A host has a model in memory, from its last group. */
+/* Sets the model that a host has in memory. */
 static void
-host_set_last(struct planner_host *h, const char *model)
+host_set_loaded_model(struct planner_host *h, const char *model)
 {
 	g_free((char *)h->loaded_model);
 	h->loaded_model = g_strdup(model);
 }
 
-/* memory hN MODEL: it took the model into its memory */
+/* memory hN MODEL: the host has loaded the model into memory */
 static void
 exec_memory(const char *rest, GString *out)
 {
 	g_auto(GStrv) w = g_strsplit(rest, " ", 2);
 
-	host_set_last(&hosts[g_ascii_strtoull(w[0] + 1, NULL, 10)], w[1]);
+	host_set_loaded_model(&hosts[g_ascii_strtoull(w[0] + 1, NULL, 10)],
+	    w[1]);
 }
 
-/* warm: an idle host that should take the largest model into memory */
+/* warm: prints the free host that should load the largest model into memory */
 static void
 exec_warm(const char *rest, GString *out)
 {
@@ -138,7 +142,7 @@
 	view_free(&view);
 }
 
-/* group MODEL hosts=FIRST-LAST: an open replica of these hosts */
+/* group MODEL first=N last=N: an open replica of these hosts */
 static void
 exec_group(const char *rest, GString *out)
 {
@@ -158,7 +162,7 @@
 	replicas[n_replicas++] = r;
 }
 
-/* copy hN MODEL: the host got a copy; it keeps one */
+/* copy hN MODEL: the host has got a copy, which replaces its previous one */
 static void
 exec_copy(const char *rest, GString *out)
 {
@@ -170,23 +174,23 @@
 	g_ptr_array_add(copies, g_strdup(w[1]));
 }
 
-/* lost N: the host is no longer there */
+/* lost N: the host is not free any more */
 static void
 exec_lost(const char *rest, GString *out)
 {
 	hosts[g_ascii_strtoull(rest, NULL, 10)].free = false;
 }
 
-/* set [loads=N] [serving=0|1] [settled=0|1] */
+/* set [loads=N] [serving=0|1] [stable=0|1]: properties of the view */
 static void
 exec_set(const char *rest, GString *out)
 {
 	loads = script_number(rest, "loads", loads);
 	serving = script_number(rest, "serving", serving);
-	settled = script_number(rest, "settled", settled);
+	hosts_stable = script_number(rest, "stable", hosts_stable);
 }
 
-/* form [times=N]: the next replicas, which then stand */
+/* form [times=N]: plans and forms the next replicas, which open at once */
 static void
 exec_form(const char *rest, GString *out)
 {
@@ -216,7 +220,7 @@
 			replica_add_member(r, h->id, &any);
 			h->free = false;
 			h->group = r;
-			host_set_last(h, plan.model->name);
+			host_set_loaded_model(h, plan.model->name);
 		}
 		g_string_append_printf(out, " in %s\n",
 		    hosts[g_array_index(plan.members, guint, 0)].fabric);
@@ -226,7 +230,7 @@
 	}
 }
 
-/* donor: the replica to dissolve */
+/* donor: prints the head of the replica to dissolve for the largest model */
 static void
 exec_donor(const char *rest, GString *out)
 {
@@ -240,7 +244,7 @@
 	view_free(&view);
 }
 
-/* surplus: the replica to dissolve since others serve more with its hosts */
+/* surplus: prints the head of the surplus replica to dissolve */
 static void
 exec_surplus(const char *rest, GString *out)
 {
@@ -254,7 +258,7 @@
 	view_free(&view);
 }
 
-/* end hN: the replica of which this is the head is dissolved */
+/* end hN: the replica with this head is dissolved */
 static void
 exec_end(const char *rest, GString *out)
 {
@@ -266,42 +270,42 @@
 			continue;
 		hosts[i].group = NULL;
 		hosts[i].free = true;
-		host_set_last(&hosts[i], r->model);
+		host_set_loaded_model(&hosts[i], r->model);
 	}
 }
 
 /*
- * seen big=N small=N from=MS to=MS [unlimited=N limited=N]: requests of the
- * first two models that run meanwhile, those of the first at so many of its
- * replicas that have no limit, and so many that have one; says how the bound on
- * the largest model moves
+ * sample big=N small=N from=MS to=MS [unlimited=N limited=N]: requests of the
+ * first two models that run during this time; those of the first run at its
+ * replicas without a rate limit, and others of its replicas have one. Prints
+ * each change of the bound on the largest model.
  */
 static void
-exec_seen(const char *rest, GString *out)
+exec_sample(const char *rest, GString *out)
 {
-	struct demand_sample seen[PLANNER_MODELS_MAX] = { 0 };
+	struct demand_sample samples[PLANNER_MODELS_MAX] = { 0 };
 
 	engine->slots = 48;
-	seen[0].running = (double)script_number(rest, "big", 0);
-	seen[0].unlimited = (unsigned)script_number(rest, "unlimited", 1);
-	seen[0].limited = (unsigned)script_number(rest, "limited", 0);
-	seen[1].running = (double)script_number(rest, "small", 0);
+	samples[0].running = (double)script_number(rest, "big", 0);
+	samples[0].unlimited = (unsigned)script_number(rest, "unlimited", 1);
+	samples[0].limited = (unsigned)script_number(rest, "limited", 0);
+	samples[1].running = (double)script_number(rest, "small", 0);
 	for (guint64 at = script_number(rest, "from", 0);
 	     at <= script_number(rest, "to", 0); at += 250) {
-		unsigned most = demand.largest_max;
+		unsigned bound = demand.largest_max;
 		struct planner_view view;
 
 		view_make(&view);
-		planner_demand_update(&demand, &view, seen, at);
+		planner_demand_update(&demand, &view, samples, at);
 		planner_demand_apply(&demand, &view, at);
 		view_free(&view);
-		if (demand.largest_max != most)
-			g_string_append_printf(out, "at %u most %u\n",
+		if (demand.largest_max != bound)
+			g_string_append_printf(out, "at %u bound %u\n",
 			    (unsigned)at, demand.largest_max);
 	}
 }
 
-/* stage: the host to copy the largest model to */
+/* stage: prints the next host that should get a copy, and of which model */
 static void
 exec_stage(const char *rest, GString *out)
 {
@@ -330,7 +334,7 @@
 	{ "donor", exec_donor },
 	{ "surplus", exec_surplus },
 	{ "end", exec_end },
-	{ "seen", exec_seen },
+	{ "sample", exec_sample },
 	{ "stage", exec_stage },
 	{ "memory", exec_memory },
 	{ "warm", exec_warm },
@@ -340,7 +344,7 @@
 int
 main(void)
 {
-	int rc = script_main("form", commands, reset);
+	int rc = script_main("planner", commands, reset);
 
 	reset();
 	g_clear_pointer(&catalog, catalog_unref);
