--- a/src/call-end.c
+++ b/src/call-end.c
@@ -1,13 +1,16 @@
-/* How a call to an endpoint ended, and what follows. */
+/* Decides what follows the end of a call to an endpoint. */
 #include "call-end.h"
 
 static bool
-status_transient(int status)
+status_is_transient(int status)
 {
 	return (status == 502 || status == 503 || status == 504);
 }
 
-/* A call that provably did not run may be tried elsewhere, by anyone. */
+/*
+ * The endpoint provably did not run the request. It may be retried at another
+ * endpoint, whether it is idempotent or not.
+ */
 static struct call_verdict
 verdict_not_run(const struct call_end *end)
 {
@@ -25,7 +28,10 @@
 	return (v);
 }
 
-/* A call that may have run; tried again only if that does no harm. */
+/*
+ * The endpoint may have run the request. It is retried only if it is
+ * idempotent.
+ */
 static struct call_verdict
 verdict_may_have_run(const struct call_end *end)
 {
@@ -46,11 +52,11 @@
 }
 
 /**
- * call_end_decide() - what follows the end of a call.
- * @end: how it ended
+ * call_end_decide() - decide what follows the end of a call.
+ * @end: how the call ended
  *
- * "Not run" is concluded only when nothing can have reached the endpoint, or
- * when the endpoint itself said that it did not start.
+ * The outcome is "not run" only if nothing of the request can have reached the
+ * endpoint, or if the endpoint itself states that it did not start it.
  */
 struct call_verdict
 call_end_decide(const struct call_end *end)
@@ -63,7 +69,8 @@
 		return (verdict_not_run(end));
 	if (end->phase != CALL_COMPLETE || end->malformed)
 		return (verdict_may_have_run(end));
-	if (end->idempotent && status_transient(end->status) && !end->expired)
+	if (end->idempotent && status_is_transient(end->status) &&
+	    !end->expired)
 		return (verdict_may_have_run(end));
 	return (pass);
 }
--- a/src/call-end.h
+++ b/src/call-end.h
@@ -1,4 +1,7 @@
-/* How a call to an endpoint ended, and what follows. Pure decisions. */
+/*
+ * Decides what follows the end of a call to an endpoint. Keeps no state and has
+ * no side effects.
+ */
 #ifndef BL_CALL_END_H
 #define BL_CALL_END_H
 
@@ -7,11 +10,11 @@
 #include "error.h"
 
 /**
- * enum call_phase - how far a call had come when it ended.
- * @CALL_CONNECTING: not connected, so nothing was sent
- * @CALL_SENT: something of the request may have been sent
- * @CALL_RESPONDING: the head of the answer was received
- * @CALL_COMPLETE: the whole answer was received
+ * enum call_phase - progress of a call when it ended.
+ * @CALL_CONNECTING: not connected; no byte of the request was sent
+ * @CALL_SENT: some of the request may have been sent
+ * @CALL_RESPONDING: the head of the response was received
+ * @CALL_COMPLETE: the complete response was received
  */
 enum call_phase {
 	CALL_CONNECTING,
@@ -21,15 +24,15 @@
 };
 
 /**
- * struct call_end - all that the decision looks at.
- * @phase: how far the call had come
- * @status: HTTP status, when the head was received
- * @not_started: the endpoint said that it did not start the request
- * @malformed: the answer breaks the protocol
+ * struct call_end - how a call ended; input of call_end_decide().
+ * @phase: progress of the call
+ * @status: HTTP status, 0 if the head was not received
+ * @not_started: the endpoint states that it did not start the request
+ * @malformed: the response violates the protocol
  * @expired: the request's deadline has passed
- * @idempotent: the request may run more than once
- * @delivered: part of the answer was given to the caller already
- * @resumable: the endpoint's resume guarantees the same text
+ * @idempotent: the request may be executed more than once
+ * @delivered: part of the response was already delivered to the client
+ * @resumable: a resumed stream is guaranteed to have the same text
  */
 struct call_end {
 	enum call_phase phase;
@@ -50,10 +53,11 @@
 };
 
 /**
- * struct call_verdict - what follows.
- * @action: pass the answer on, try another endpoint, resume, or fail
- * @outcome: what is known of the request if nothing more is tried
- * @error: the type to fail with if nothing more is tried
+ * struct call_verdict - what to do after the end of a call.
+ * @action: pass the response on, retry at another endpoint, resume the
+ *	stream at another endpoint, or fail
+ * @outcome: outcome to report if there is no further attempt
+ * @error: error to report if there is no further attempt
  */
 struct call_verdict {
 	enum call_action action;
--- a/src/call.c
+++ b/src/call.c
@@ -1,29 +1,31 @@
-/* One call to an endpoint, driven by the thread that wants its answer. */
+/* One HTTP call to an endpoint. */
 #include <curl/curl.h>
 #include <string.h>
 
 #include "call.h"
 #include "clock.h"
 
+/* Longest single wait in curl_multi_poll(). */
 #define POLL_MAX_MS 1000
-/* Statuses with which an endpoint turns a request away. */
+/* Statuses by which an endpoint refuses a request for the time being. */
 #define HTTP_TOO_MANY 429
 #define HTTP_UNAVAILABLE 503
-/* An answer larger than this is not buffered; the call fails. */
+/* A call fails when more than this of its body is buffered. */
 #define BODY_MAX_BYTES (32u * 1024 * 1024)
 
 /**
  * struct call - one call.
- * @multi: drives the transfer
- * @easy: the transfer
+ * @multi: libcurl handle that drives the transfer
+ * @easy: libcurl handle of the transfer
  * @slist: headers of the request
- * @body: what was received and not yet taken
- * @headers: lower-case name to value, of the answer
- * @status: HTTP status once the head was received
- * @started_us: when it began
- * @first_us: when the first byte of the body came, 0 before
- * @ended: the transfer is over
- * @rc: how it ended
+ * @body: received bytes of the body that were not yet taken
+ * @headers: headers of the response, lower-case name to value
+ * @status: HTTP status of the latest head, 0 before the first
+ * @head_received: the head of the final response was received
+ * @started_us: monotonic time at which the call was created
+ * @first_us: monotonic time of the first byte of the body, 0 before
+ * @ended: the transfer has ended
+ * @rc: result of the transfer once it has ended
  */
 struct call {
 	CURLM *multi;
@@ -32,7 +34,7 @@
 	GByteArray *body;
 	GHashTable *headers;
 	int status;
-	bool answering;
+	bool head_received;
 	uint64_t started_us;
 	uint64_t first_us;
 	bool ended;
@@ -66,8 +68,8 @@
 
 		curl_easy_getinfo(call->easy, CURLINFO_RESPONSE_CODE, &status);
 		call->status = (int)status;
-		/* An interim answer is not the answer. */
-		call->answering = status >= 200;
+		/* A 1xx response is not the final response. */
+		call->head_received = status >= 200;
 	} else if (colon != NULL) {
 		*colon = '\0';
 		g_hash_table_replace(call->headers, g_ascii_strdown(line, -1),
@@ -78,7 +80,7 @@
 
 static void
 call_set_options(struct call *call, const char *method, const char *url,
-    const void *body, size_t len, bool repeatable)
+    const void *body, size_t len, bool may_resend)
 {
 	curl_easy_setopt(call->easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(call->easy, CURLOPT_PROXY, "");
@@ -97,29 +99,31 @@
 		curl_easy_setopt(call->easy, CURLOPT_NOBODY, 1L);
 	}
 	/*
-	 * On a connection used again, libcurl repeats a request by itself when
-	 * the endpoint closes without an answer, though the endpoint may have
-	 * run it. So every call gets a connection of its own.
+	 * On a reused connection, libcurl resends a request by itself when the
+	 * endpoint closes the connection without a response, although the
+	 * endpoint may have run the request. Every such call therefore gets a
+	 * connection of its own.
 	 */
-	if (!repeatable) {
+	if (!may_resend) {
 		curl_easy_setopt(call->easy, CURLOPT_FRESH_CONNECT, 1L);
 		curl_easy_setopt(call->easy, CURLOPT_FORBID_REUSE, 1L);
 	}
 }
 
 /**
- * call_start() - begin a call; nothing is sent before call_poll().
+ * call_start() - create a call; nothing is sent before call_poll().
  * @method: HTTP method
  * @url: the URL
- * @headers: ended by a NULL name
+ * @headers: headers of the request, ended by an entry with a NULL name
  * @body: body of the request, or NULL; copied
- * @len: its length in bytes
- * @repeatable: libcurl may repeat it by itself
+ * @len: length of @body, in bytes
+ * @may_resend: allow reused connections, on which libcurl may resend the
+ *	request by itself
  */
 struct call *
 call_start(const char *method, const char *url,
     const struct call_header *headers, const void *body, size_t len,
-    bool repeatable)
+    bool may_resend)
 {
 	struct call *call;
 
@@ -136,14 +140,15 @@
 
 		call->slist = curl_slist_append(call->slist, line);
 	}
-	call_set_options(call, method, url, body, len, repeatable);
+	call_set_options(call, method, url, body, len, may_resend);
 	curl_multi_add_handle(call->multi, call->easy);
 	call->started_us = clock_now_us();
 	return (call);
 }
 
 /**
- * call_free() - end a call; one in progress is cut off, which cancels it.
+ * call_free() - free a call; a transfer in progress is aborted, which cancels
+ * the request at the endpoint.
  * @call: the call
  */
 void
@@ -159,8 +164,8 @@
 }
 
 /**
- * call_cleanup() - clean-up attribute for a call.
- * @call: the variable
+ * call_cleanup() - free a call at the end of its scope (cleanup attribute).
+ * @call: the variable; may hold NULL
  */
 void
 call_cleanup(struct call **call)
@@ -169,8 +174,9 @@
 		call_free(*call);
 }
 
+/* Records the end of the transfer, if it has ended. */
 static void
-call_note_end(struct call *call)
+call_check_end(struct call *call)
 {
 	CURLMsg *msg;
 	int left;
@@ -184,26 +190,26 @@
 }
 
 /**
- * call_poll() - drive the call until something new is there.
+ * call_poll() - drive the transfer until there is progress.
  * @call: the call
- * @until_ms: monotonic time at which to give up
+ * @until_ms: monotonic time at which to stop waiting, in ms
  *
- * Return: false when nothing new came in time. Otherwise the head or some of
- * the body was received, or the call has ended.
+ * Return: true if the head or some of the body was received, or if the call has
+ * ended; false if there was no progress before @until_ms.
  */
 bool
 call_poll(struct call *call, uint64_t until_ms)
 {
 	guint before = call->body->len;
-	bool was_answering = call->answering;
+	bool had_head = call->head_received;
 	uint64_t now;
 	int running;
 
 	for (;;) {
 		curl_multi_perform(call->multi, &running);
-		call_note_end(call);
+		call_check_end(call);
 		if (call->ended || call->body->len != before ||
-		    call->answering != was_answering)
+		    call->head_received != had_head)
 			return (true);
 		now = clock_now_ms();
 		if (now >= until_ms)
@@ -214,8 +220,10 @@
 }
 
 /**
- * call_body() - what was received; the caller takes from its front.
+ * call_body() - received bytes of the body.
  * @call: the call
+ *
+ * The user of the call removes the bytes that it has processed from the front.
  */
 GByteArray *
 call_body(struct call *call)
@@ -224,17 +232,18 @@
 }
 
 /**
- * call_head_received() - whether the head of the answer was received.
+ * call_head_received() - whether the head of the final response was
+ * received.
  * @call: the call
  */
 bool
 call_head_received(const struct call *call)
 {
-	return (call->answering);
+	return (call->head_received);
 }
 
 /**
- * call_ended() - whether the call is over, well or badly.
+ * call_ended() - whether the call has ended, successfully or not.
  * @call: the call
  */
 bool
@@ -244,10 +253,10 @@
 }
 
 /**
- * call_phase() - how far the call came.
+ * call_phase() - progress of the call.
  * @call: the call
  *
- * Not one byte of the request was sent as long as libcurl counts none.
+ * No byte of the request was sent as long as CURLINFO_REQUEST_SIZE is 0.
  */
 enum call_phase
 call_phase(const struct call *call)
@@ -256,14 +265,14 @@
 
 	if (call->ended && call->rc == CURLE_OK)
 		return (CALL_COMPLETE);
-	if (call->answering)
+	if (call->head_received)
 		return (CALL_RESPONDING);
 	curl_easy_getinfo(call->easy, CURLINFO_REQUEST_SIZE, &sent);
 	return (sent > 0 ? CALL_SENT : CALL_CONNECTING);
 }
 
 /**
- * call_status() - HTTP status of the answer, 0 before its head.
+ * call_status() - HTTP status of the response, 0 before its head.
  * @call: the call
  */
 int
@@ -273,9 +282,9 @@
 }
 
 /**
- * call_header() - a header of the answer, or NULL.
+ * call_header() - value of a header of the response, or NULL.
  * @call: the call
- * @name: its name in lower case
+ * @name: header name in lower case
  */
 const char *
 call_header(const struct call *call, const char *name)
@@ -284,9 +293,11 @@
 }
 
 /**
- * call_retry_after() - the rest that the endpoint asks for, in seconds, or
- * NULL.
+ * call_retry_after() - the backoff that the endpoint asks for.
  * @call: the call
+ *
+ * Return: the value of Retry-After, in seconds, of a response with status 429
+ * or 503; otherwise NULL.
  */
 const char *
 call_retry_after(const struct call *call)
@@ -297,8 +308,11 @@
 }
 
 /**
- * call_limit() - the requests a second that the endpoint takes, or NULL.
+ * call_limit() - the rate limit that the endpoint announces.
  * @call: the call
+ *
+ * Return: the value of the header banklift-limit, in requests per second, or
+ * NULL.
  */
 const char *
 call_limit(const struct call *call)
@@ -307,7 +321,7 @@
 }
 
 /**
- * call_started_ms() - when the call began, in monotonic milliseconds.
+ * call_started_ms() - monotonic time at which the call was created, in ms.
  * @call: the call
  */
 uint64_t
@@ -317,10 +331,10 @@
 }
 
 /**
- * call_each_header() - go through the headers of the answer.
+ * call_each_header() - call a function for each header of the response.
  * @call: the call
- * @fn: called with a name in lower case, its value and @arg
- * @arg: for @fn
+ * @fn: called with the name in lower case, the value and @arg
+ * @arg: passed to @fn
  */
 void
 call_each_header(const struct call *call,
@@ -335,8 +349,8 @@
 }
 
 /**
- * call_first_byte_us() - time from the start to the first byte of the body,
- * in microseconds; 0 before.
+ * call_first_byte_us() - time from the creation of the call to the first byte
+ * of the body, in microseconds; 0 before that byte.
  * @call: the call
  */
 uint64_t
--- a/src/call.h
+++ b/src/call.h
@@ -1,4 +1,7 @@
-/* One call to an endpoint, driven by the thread that wants its answer. */
+/*
+ * One HTTP call to an endpoint. The thread that waits for the response drives
+ * the transfer.
+ */
 #ifndef BL_CALL_H
 #define BL_CALL_H
 
@@ -10,9 +13,9 @@
 #include "call-end.h"
 
 /**
- * struct call_header - one header of the request.
- * @name: its name
- * @value: its value
+ * struct call_header - one HTTP header of the request.
+ * @name: header name
+ * @value: header value
  */
 struct call_header {
 	const char *name;
--- a/src/chunk-order.c
+++ b/src/chunk-order.c
@@ -1,12 +1,12 @@
-/* Puts the chunks of a stream in order, each once. */
+/* Puts the chunks of a stream in index order and drops duplicates. */
 #include "chunk-order.h"
 
-/* A stream that runs further ahead than this breaks the protocol. */
-#define HELD_MAX 256
+/* A chunk further ahead of the next in order violates the protocol. */
+#define CHUNKS_AHEAD_MAX 256
 
 /**
- * chunk_order_init() - begin before the first chunk.
- * @order: the order
+ * chunk_order_init() - initialize, to expect the first chunk.
+ * @order: the reorder buffer
  */
 void
 chunk_order_init(struct chunk_order *order)
@@ -18,8 +18,8 @@
 }
 
 /**
- * chunk_order_clear() - free what is held.
- * @order: the order
+ * chunk_order_clear() - free the chunks that were not taken.
+ * @order: the reorder buffer
  */
 void
 chunk_order_clear(struct chunk_order *order)
@@ -28,19 +28,20 @@
 }
 
 /**
- * chunk_order_add() - take a chunk as it came.
- * @order: the order
- * @index: its index
- * @text: its text; copied
+ * chunk_order_add() - add a received chunk.
+ * @order: the reorder buffer
+ * @index: index of the chunk
+ * @text: text of the chunk; copied
  *
- * A chunk that came before is dropped.
+ * A duplicate is dropped.
  *
- * Return: false when the stream breaks the protocol.
+ * Return: false if the chunk violates the protocol: its index is negative, too
+ * far ahead or beyond the end marker.
  */
 bool
 chunk_order_add(struct chunk_order *order, int64_t index, const char *text)
 {
-	if (index < 0 || index >= order->next + HELD_MAX ||
+	if (index < 0 || index >= order->next + CHUNKS_AHEAD_MAX ||
 	    (order->end >= 0 && index >= order->end))
 		return (false);
 	if (index < order->next || g_hash_table_contains(order->held, &index))
@@ -51,11 +52,12 @@
 }
 
 /**
- * chunk_order_set_end() - take the end mark.
- * @order: the order
- * @count: how many chunks the stream has in all
+ * chunk_order_set_end() - process the end marker.
+ * @order: the reorder buffer
+ * @count: number of chunks of the whole stream
  *
- * Return: false when more came already.
+ * Return: false if more chunks were taken already, or if an earlier end marker
+ * had a different count.
  */
 bool
 chunk_order_set_end(struct chunk_order *order, int64_t count)
@@ -67,8 +69,11 @@
 }
 
 /**
- * chunk_order_take() - the next chunk, if it is there; free with g_free().
- * @order: the order
+ * chunk_order_take() - take the next chunk in order.
+ * @order: the reorder buffer
+ *
+ * Return: the text, to be freed with g_free(), or NULL if the chunk was not
+ * received yet.
  */
 char *
 chunk_order_take(struct chunk_order *order)
@@ -84,9 +89,9 @@
 }
 
 /**
- * chunk_order_complete() - whether the end mark and all before it were given
- * on.
- * @order: the order
+ * chunk_order_complete() - whether the end marker was received and all chunks
+ * before it were taken.
+ * @order: the reorder buffer
  */
 bool
 chunk_order_complete(const struct chunk_order *order)
--- a/src/chunk-order.h
+++ b/src/chunk-order.h
@@ -1,4 +1,7 @@
-/* Puts the chunks of a stream in order, each once. Pure. */
+/*
+ * Puts the chunks of a stream in index order and drops duplicates. Has no side
+ * effects outside the struct.
+ */
 #ifndef BL_CHUNK_ORDER_H
 #define BL_CHUNK_ORDER_H
 
@@ -7,10 +10,10 @@
 #include <stdint.h>
 
 /**
- * struct chunk_order - chunks that came, and those given on.
- * @next: index of the chunk to be given next
- * @held: index to text of chunks that came too early
- * @end: count of chunks by the end mark, -1 before it came
+ * struct chunk_order - reorder buffer for the chunks of one stream.
+ * @next: index of the next chunk in order
+ * @held: index to text of the chunks that are received but not taken
+ * @end: number of chunks according to the end marker, -1 before it
  */
 struct chunk_order {
 	int64_t next;
--- a/src/client-api-completion.c
+++ b/src/client-api-completion.c
@@ -1,4 +1,4 @@
-/* POST /v1/completions and /v1/chat/completions, streamed and not. */
+/* Handlers of POST /v1/completions and /v1/chat/completions. */
 #include <string.h>
 #include <xxhash.h>
 
@@ -11,12 +11,15 @@
 #define MAX_TOKENS_DEFAULT 256
 #define MAX_TOKENS_MAX 32768
 #define PRIORITY_MAX 9
-/* Prompts that agree in this many bytes go to the same replica. */
+/*
+ * Prompts that agree in this many bytes have the same prefix hash, by which the
+ * routing policy may send them to the same replica.
+ */
 #define PREFIX_BYTES 256
-#define STREAM_BLOCK 4096
+#define STREAM_BLOCK_BYTES 4096
 
-/* What a caller asks, after the checks. */
-struct ask {
+/* Parameters of a completion, after validation. */
+struct completion_params {
 	const char *model;
 	char *prompt;
 	json_int_t max_tokens;
@@ -25,8 +28,8 @@
 	bool chat;
 };
 
-/* A streamed answer on its way to the caller. */
-struct stream {
+/* State of a streamed response; @pending is still to be sent. */
+struct completion_stream {
 	struct completion *completion;
 	char *id;
 	bool chat;
@@ -35,9 +38,9 @@
 };
 
 static void
-ask_clear(struct ask *ask)
+params_clear(struct completion_params *p)
 {
-	g_free(ask->prompt);
+	g_free(p->prompt);
 }
 
 static bool
@@ -47,7 +50,7 @@
 	return (false);
 }
 
-/* Joins the messages of a chat into one prompt. */
+/* Joins the messages of a chat into one prompt; NULL if they are malformed. */
 static char *
 chat_prompt(json_t *messages)
 {
@@ -68,25 +71,27 @@
 }
 
 static bool
-ask_numbers(struct ask *ask, json_t *body, struct failure *f)
+params_parse_numbers(struct completion_params *p, json_t *body,
+    struct failure *f)
 {
 	json_t *max = json_object_get(body, "max_tokens");
 	json_t *stream = json_object_get(body, "stream");
 
-	ask->max_tokens = MAX_TOKENS_DEFAULT;
+	p->max_tokens = MAX_TOKENS_DEFAULT;
 	if (max != NULL) {
-		ask->max_tokens = json_integer_value(max);
-		if (ask->max_tokens < 1 || ask->max_tokens > MAX_TOKENS_MAX)
+		p->max_tokens = json_integer_value(max);
+		if (p->max_tokens < 1 || p->max_tokens > MAX_TOKENS_MAX)
 			return (bad_field(f, "max_tokens: must be 1 to 32768"));
 	}
 	if (stream != NULL && !json_is_boolean(stream))
 		return (bad_field(f, "stream: must be true or false"));
-	ask->stream = json_is_true(stream);
+	p->stream = json_is_true(stream);
 	return (true);
 }
 
 static bool
-ask_priority(struct ask *ask, const struct _u_request *in, struct failure *f)
+params_parse_priority(struct completion_params *p, const struct _u_request *in,
+    struct failure *f)
 {
 	const char *text = u_map_get_case(in->map_header, "Banklift-Priority");
 	guint64 priority = 5;
@@ -98,37 +103,37 @@
 		    "Banklift-Priority: must be 0 to %d", PRIORITY_MAX);
 		return (false);
 	}
-	ask->priority = (json_int_t)priority;
+	p->priority = (json_int_t)priority;
 	return (true);
 }
 
-/* Checks the body of a completion. */
+/* Parses and validates the body of a completion and its priority. */
 static bool
-ask_parse(struct ask *ask, json_t *body, const struct _u_request *in,
-    struct failure *f)
+params_parse(struct completion_params *p, json_t *body,
+    const struct _u_request *in, struct failure *f)
 {
 	if (!json_is_object(body)) {
 		failure_set(f, ERROR_BAD_JSON, OUTCOME_NOT_RUN, 0,
 		    "the body must be a JSON object");
 		return (false);
 	}
-	ask->model = json_string_value(json_object_get(body, "model"));
-	if (ask->model == NULL)
+	p->model = json_string_value(json_object_get(body, "model"));
+	if (p->model == NULL)
 		return (bad_field(f, "model: must be a string"));
-	if (ask->chat)
-		ask->prompt = chat_prompt(json_object_get(body, "messages"));
+	if (p->chat)
+		p->prompt = chat_prompt(json_object_get(body, "messages"));
 	else
-		ask->prompt = g_strdup(
+		p->prompt = g_strdup(
 		    json_string_value(json_object_get(body, "prompt")));
-	if (ask->prompt == NULL)
+	if (p->prompt == NULL)
 		return (bad_field(f,
-		    ask->chat ?
-			"messages: must be objects of role and content" :
-			"prompt: must be a string"));
-	return (ask_numbers(ask, body, f) && ask_priority(ask, in, f));
+		    p->chat ? "messages: must be objects of role and content" :
+			      "prompt: must be a string"));
+	return (params_parse_numbers(p, body, f) &&
+	    params_parse_priority(p, in, f));
 }
 
-/* The piece of an OpenAI-style answer that carries some text. */
+/* The choice object of an OpenAI-style response, with some text. */
 static json_t *
 choice_json(bool chat, bool streamed, const char *text, const char *finish)
 {
@@ -145,14 +150,14 @@
 }
 
 static json_t *
-answer_json(const char *id, bool chat, json_t *choice)
+response_json(const char *id, bool chat, json_t *choice)
 {
 	return (json_pack("{s:s, s:s, s:[o]}", "id", id, "object",
 	    chat ? "chat.completion" : "text_completion", "choices", choice));
 }
 
 static void
-stream_event(struct stream *s, json_t *json)
+stream_append_event(struct completion_stream *s, json_t *json)
 {
 	char *text = json_dumps(json, JSON_COMPACT);
 
@@ -161,39 +166,39 @@
 	json_decref(json);
 }
 
-/* Waits for the next chunk and queues what the caller is to get. */
+/* Waits for the next chunk and queues the event for the client. */
 static void
-stream_advance(struct stream *s)
+stream_advance(struct completion_stream *s)
 {
 	CLEANUP(failure_clear) struct failure f = { 0 };
 	g_autofree char *text = NULL;
 
 	switch (completion_next(s->completion, &text, &f)) {
 	case COMPLETION_CHUNK:
-		stream_event(s,
-		    answer_json(s->id, s->chat,
+		stream_append_event(s,
+		    response_json(s->id, s->chat,
 			choice_json(s->chat, true, text, NULL)));
 		return;
 	case COMPLETION_END:
-		stream_event(s,
-		    answer_json(s->id, s->chat,
+		stream_append_event(s,
+		    response_json(s->id, s->chat,
 			choice_json(s->chat, true, "", "stop")));
-		/* The end mark: sent only when the answer is whole. */
+		/* The end marker: sent only if the completion is complete. */
 		g_string_append(s->pending, "data: [DONE]\n\n");
 		break;
 	case COMPLETION_FAILED:
 		g_string_append(s->pending, "event: error\n");
-		stream_event(s, http_failure_json(&f, s->id));
+		stream_append_event(s, http_failure_json(&f, s->id));
 		break;
 	}
 	s->ended = true;
 }
 
-/* Called by the HTTP server whenever the caller can take more. */
+/* Called by the HTTP server whenever more can be sent to the client. */
 static ssize_t
 stream_read(void *arg, uint64_t offset, char *out, size_t max)
 {
-	struct stream *s = arg;
+	struct completion_stream *s = arg;
 
 	if (s->pending->len == 0 && s->ended)
 		return (U_STREAM_END);
@@ -202,11 +207,14 @@
 	return (text_stream_take(s->pending, out, max));
 }
 
-/* Called once the caller has all, or has gone away. */
+/*
+ * Called by the HTTP server once everything is sent or the client has
+ * disconnected.
+ */
 static void
 stream_free(void *arg)
 {
-	struct stream *s = arg;
+	struct completion_stream *s = arg;
 
 	completion_free(s->completion);
 	g_string_free(s->pending, TRUE);
@@ -215,8 +223,8 @@
 }
 
 /*
- * Begins a stream. The first chunk is waited for, so that a failure before it
- * is answered with a status of its own.
+ * Starts a streamed response. Waits for the first chunk, so that a failure
+ * before it can be reported by an HTTP status.
  */
 static void
 reply_stream(struct completion *c, const struct request *req, bool chat,
@@ -225,7 +233,7 @@
 	CLEANUP(failure_clear) struct failure f = { 0 };
 	g_autofree char *text = NULL;
 	enum completion_result step;
-	struct stream *s;
+	struct completion_stream *s;
 
 	step = completion_next(c, &text, &f);
 	if (step == COMPLETION_FAILED) {
@@ -233,14 +241,14 @@
 		completion_free(c);
 		return;
 	}
-	s = g_new0(struct stream, 1);
+	s = g_new0(struct completion_stream, 1);
 	s->completion = c;
 	s->id = g_strdup(req->id);
 	s->chat = chat;
 	s->pending = g_string_new(NULL);
 	if (step == COMPLETION_CHUNK) {
-		stream_event(s,
-		    answer_json(s->id, chat,
+		stream_append_event(s,
+		    response_json(s->id, chat,
 			choice_json(chat, true, text, NULL)));
 	} else {
 		g_string_append(s->pending, "data: [DONE]\n\n");
@@ -248,36 +256,36 @@
 	}
 	u_map_put(res->map_header, "Content-Type", "text/event-stream");
 	ulfius_set_stream_response(res, 200, stream_read, stream_free,
-	    U_STREAM_SIZE_UNKNOWN, STREAM_BLOCK, s);
+	    U_STREAM_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, s);
 }
 
-/* Waits for the whole answer and gives it at once. */
+/* Waits for the complete text and sends it in one response. */
 static void
-reply_whole(struct completion *c, const struct request *req, bool chat,
+reply_complete(struct completion *c, const struct request *req, bool chat,
     struct _u_response *res)
 {
-	g_autoptr(GString) answer = g_string_new(NULL);
+	g_autoptr(GString) output = g_string_new(NULL);
 	CLEANUP(failure_clear) struct failure f = { 0 };
 	enum completion_result step;
 	char *text;
 
 	while ((step = completion_next(c, &text, &f)) == COMPLETION_CHUNK) {
-		g_string_append(answer, text);
+		g_string_append(output, text);
 		g_free(text);
 	}
 	if (step == COMPLETION_END)
 		http_reply_json(res, 200,
-		    answer_json(req->id, chat,
-			choice_json(chat, false, answer->str, "stop")));
+		    response_json(req->id, chat,
+			choice_json(chat, false, output->str, "stop")));
 	else
 		http_reply_failure(res, &f, req->id);
 	completion_free(c);
 }
 
-/* Serves an admitted request; it is taken over. */
+/* Serves an admitted request and takes ownership of it. */
 static void
-serve(struct request *req, const struct ask *ask, const struct _u_request *in,
-    struct _u_response *res)
+serve_completion(struct request *req, const struct completion_params *p,
+    const struct _u_request *in, struct _u_response *res)
 {
 	json_auto_t *body = NULL;
 	struct completion *c;
@@ -287,22 +295,22 @@
 		return;
 	}
 	req->prefix =
-	    XXH64(ask->prompt, MIN(strlen(ask->prompt), PREFIX_BYTES), 0) | 1;
-	body = json_pack("{s:s, s:I, s:I}", "prompt", ask->prompt, "max_tokens",
-	    ask->max_tokens, "priority", ask->priority);
+	    XXH64(p->prompt, MIN(strlen(p->prompt), PREFIX_BYTES), 0) | 1;
+	body = json_pack("{s:s, s:I, s:I}", "prompt", p->prompt, "max_tokens",
+	    p->max_tokens, "priority", p->priority);
 	c = completion_create(req, body);
-	if (ask->stream)
-		reply_stream(c, req, ask->chat, res);
+	if (p->stream)
+		reply_stream(c, req, p->chat, res);
 	else
-		reply_whole(c, req, ask->chat, res);
+		reply_complete(c, req, p->chat, res);
 }
 
 static int
-handle(const struct _u_request *in, struct _u_response *res,
+handle_completion(const struct _u_request *in, struct _u_response *res,
     struct server *server, bool chat)
 {
 	CLEANUP(failure_clear) struct failure f = { 0 };
-	CLEANUP(ask_clear) struct ask ask = { .chat = chat };
+	CLEANUP(params_clear) struct completion_params p = { .chat = chat };
 	json_auto_t *body = NULL;
 	struct request *req;
 
@@ -313,8 +321,8 @@
 	}
 	u_map_put(res->map_header, "Banklift-Request-Id", req->id);
 	body = json_loadb(in->binary_body, in->binary_body_length, 0, NULL);
-	if (!ask_parse(&ask, body, in, &f) ||
-	    !client_api_set_service(req, ask.model, false, &f) ||
+	if (!params_parse(&p, body, in, &f) ||
+	    !client_api_set_service(req, p.model, false, &f) ||
 	    !client_api_header_bool(in, "Banklift-Idempotent", true,
 		&req->idempotent, &f) ||
 	    !request_admit(req, &f)) {
@@ -323,31 +331,31 @@
 		request_free(req);
 		return (U_CALLBACK_COMPLETE);
 	}
-	serve(req, &ask, in, res);
+	serve_completion(req, &p, in, res);
 	return (U_CALLBACK_COMPLETE);
 }
 
 /**
  * client_api_completion() - handler of POST /v1/completions.
- * @in: the request
- * @res: the answer
- * @arg: the daemon
+ * @in: the request as received
+ * @res: the response
+ * @arg: struct server
  */
 int
 client_api_completion(const struct _u_request *in, struct _u_response *res,
     void *arg)
 {
-	return (handle(in, res, arg, false));
+	return (handle_completion(in, res, arg, false));
 }
 
 /**
  * client_api_chat() - handler of POST /v1/chat/completions.
- * @in: the request
- * @res: the answer
- * @arg: the daemon
+ * @in: the request as received
+ * @res: the response
+ * @arg: struct server
  */
 int
 client_api_chat(const struct _u_request *in, struct _u_response *res, void *arg)
 {
-	return (handle(in, res, arg, true));
+	return (handle_completion(in, res, arg, true));
 }
--- a/src/client-api-service.c
+++ b/src/client-api-service.c
@@ -1,4 +1,4 @@
-/* /s/NAME/...: calls of plain services, passed through. */
+/* Handler of /s/NAME/...: forwards requests to plain services. */
 #include <string.h>
 #include <urcu-bp.h>
 
@@ -14,9 +14,9 @@
 #define PATH_PREFIX "/s/"
 #define RETRY_AFTER_MS 1000
 
-/* Splits "/s/NAME/rest?query" into the name and "/rest?query". */
+/* Splits "/s/NAME/path?query" into the name and "/path?query". */
 static bool
-split_path(const struct _u_request *in, char **name, char **rest)
+split_path(const struct _u_request *in, char **name, char **suffix)
 {
 	const char *path = in->http_url, *slash;
 
@@ -25,42 +25,43 @@
 	path += strlen(PATH_PREFIX);
 	slash = path + strcspn(path, "/?");
 	*name = g_strndup(path, (gsize)(slash - path));
-	*rest = g_strconcat(*slash == '/' ? "" : "/", slash, NULL);
+	*suffix = g_strconcat(*slash == '/' ? "" : "/", slash, NULL);
 	return (true);
 }
 
-/* Whether the method may run more than once, by the service's declaration. */
+/* Whether the service declares the method as idempotent. */
 static bool
 method_idempotent(struct request *req, const char *method)
 {
 	struct route_set *set;
 	struct view *view;
-	bool yes = false;
+	bool idempotent = false;
 
 	rcu_read_lock();
 	view = rcu_dereference(req->server->view);
 	set = g_hash_table_lookup(view->services, req->service);
 	if (set != NULL)
-		yes = route_set_idempotent(set, method);
+		idempotent = route_set_idempotent(set, method);
 	rcu_read_unlock();
-	return (yes);
+	return (idempotent);
 }
 
+/* Creates the call of a request to a target. */
 static struct call *
-open_call(struct request *req, struct target *target,
-    const struct _u_request *in, const char *rest)
+service_call_start(struct request *req, struct target *target,
+    const struct _u_request *in, const char *suffix)
 {
-	g_autofree char *url = g_strconcat(target->url, rest, NULL);
+	g_autofree char *url = g_strconcat(target->url, suffix, NULL);
 	uint64_t now = clock_now_ms();
-	g_autofree char *left = g_strdup_printf("%" G_GUINT64_FORMAT,
+	g_autofree char *timeout_ms = g_strdup_printf("%" G_GUINT64_FORMAT,
 	    req->deadline_ms > now ? req->deadline_ms - now : 0);
-	const struct call_header own[] = {
+	const struct call_header added[] = {
 		{ "Banklift-Request-Id", req->id },
 		{ "Banklift-Customer", req->customer->name },
-		{ "Banklift-Deadline-Ms", left },
+		{ "Banklift-Deadline-Ms", timeout_ms },
 		{ NULL, NULL },
 	};
-	g_autoptr(GArray) headers = header_filter_request(in, own);
+	g_autoptr(GArray) headers = header_filter_request(in, added);
 	bool has_body = in->binary_body_length > 0 ||
 	    strcmp(in->http_verb, "POST") == 0 ||
 	    strcmp(in->http_verb, "PUT") == 0;
@@ -74,9 +75,12 @@
 	    in->binary_body_length, false));
 }
 
-/* Drives a call to its end; returns how it ended. */
+/*
+ * Drives a call until it ends, makes no progress for too long, or the deadline
+ * passes. Returns how it ended.
+ */
 static struct call_end
-drive(struct request *req, struct call *call)
+call_run(struct request *req, struct call *call)
 {
 	const char *not_started;
 	struct call_end end = { 0 };
@@ -96,9 +100,9 @@
 	return (end);
 }
 
-/* Gives the endpoint's own answer to the caller. */
+/* Passes the endpoint's response on to the client. */
 static void
-pass_answer(struct request *req, struct call *call, struct _u_response *res)
+pass_response(struct request *req, struct call *call, struct _u_response *res)
 {
 	GByteArray *body = call_body(call);
 	g_autofree char *text = NULL;
@@ -115,7 +119,7 @@
 }
 
 static void
-reply_failed(struct request *req, struct _u_response *res,
+reply_failure(struct request *req, struct _u_response *res,
     enum error_code error, enum outcome outcome, const char *why)
 {
 	CLEANUP(failure_clear) struct failure f = { 0 };
@@ -128,25 +132,28 @@
 	request_end(req, outcome, (int)res->status, NULL);
 }
 
-/* Whether the call gave an answer that may be passed on, if need be. */
+/*
+ * Whether the call gave a response that is passed on to the client if there is
+ * no further attempt.
+ */
 static bool
-answer_whole(const struct call_end *end)
+response_complete(const struct call_end *end)
 {
 	return (end->phase == CALL_COMPLETE && !end->not_started);
 }
 
-/* Calls one target and waits for the end. */
+/* Calls one target, waits for the end of the call and records its result. */
 static struct call *
-attempt(struct request *req, struct target *target, const struct _u_request *in,
-    const char *rest, struct call_end *end)
+call_target(struct request *req, struct target *target,
+    const struct _u_request *in, const char *suffix, struct call_end *end)
 {
 	struct call *call;
 
 	atomic_fetch_add(&target->inflight, 1);
-	call = open_call(req, target, in, rest);
-	*end = drive(req, call);
+	call = service_call_start(req, target, in, suffix);
+	*end = call_run(req, call);
 	atomic_fetch_sub(&target->inflight, 1);
-	if (answer_whole(end))
+	if (response_complete(end))
 		target_latency(target, call_first_byte_us(call),
 		    clock_now_ms());
 	else
@@ -155,9 +162,12 @@
 	return (call);
 }
 
-/* Dispatches the request until it has an answer or nothing is left to try. */
+/*
+ * Calls one target after another until a call gives the final response, the
+ * request may not be retried, or no target is left. Responds to the client.
+ */
 static void
-dispatch(struct request *req, const struct _u_request *in, const char *rest,
+dispatch(struct request *req, const struct _u_request *in, const char *suffix,
     struct _u_response *res)
 {
 	CLEANUP(call_cleanup) struct call *call = NULL;
@@ -168,7 +178,7 @@
 
 	while (target != NULL) {
 		call_cleanup(&call);
-		call = attempt(req, target, in, rest, &end);
+		call = call_target(req, target, in, suffix, &end);
 		v = call_end_decide(&end);
 		log_debug("call_end", "target=%s phase=%d status=%d action=%d",
 		    target->name, (int)end.phase, end.status, (int)v.action);
@@ -180,18 +190,18 @@
 	}
 	if (v.error == ERROR_NO_ENDPOINT && request_expired(req))
 		v.error = ERROR_DEADLINE;
-	if (answer_whole(&end))
-		pass_answer(req, call, res);
+	if (response_complete(&end))
+		pass_response(req, call, res);
 	else
-		reply_failed(req, res, v.error, v.outcome,
-		    "no endpoint gave a whole answer");
+		reply_failure(req, res, v.error, v.outcome,
+		    "no endpoint gave a complete response");
 }
 
 /**
  * client_api_service() - handler of /s/NAME/...
- * @in: the request
- * @res: the answer
- * @arg: the daemon
+ * @in: the request as received
+ * @res: the response
+ * @arg: struct server
  */
 int
 client_api_service(const struct _u_request *in, struct _u_response *res,
@@ -199,7 +209,7 @@
 {
 	CLEANUP(failure_clear) struct failure f = { 0 };
 	CLEANUP(request_cleanup) struct request *req = NULL;
-	g_autofree char *name = NULL, *rest = NULL;
+	g_autofree char *name = NULL, *suffix = NULL;
 	bool by_method;
 
 	req = client_api_begin(arg, in, &f);
@@ -208,7 +218,7 @@
 		return (U_CALLBACK_COMPLETE);
 	}
 	u_map_put(res->map_header, "Banklift-Request-Id", req->id);
-	if (!split_path(in, &name, &rest) ||
+	if (!split_path(in, &name, &suffix) ||
 	    !client_api_set_service(req, name, true, &f)) {
 		http_reply_failure(res, &f, req->id);
 		request_end(req, OUTCOME_NOT_RUN, (int)res->status, NULL);
@@ -222,6 +232,6 @@
 		return (U_CALLBACK_COMPLETE);
 	}
 	if (client_api_claim(req, in, res))
-		dispatch(req, in, rest, res);
+		dispatch(req, in, suffix, res);
 	return (U_CALLBACK_COMPLETE);
 }
--- a/src/client-api.c
+++ b/src/client-api.c
@@ -1,6 +1,7 @@
 /*
- * The interface for callers: what its handlers share. Authentication comes
- * first, then limits, then what the request asks, then the claim on its id.
+ * HTTP interface for clients: what its handlers share. A request is
+ * authenticated first, then checked against the customer's limits, then parsed;
+ * its id is claimed last.
  */
 #include <string.h>
 #include <urcu-bp.h>
@@ -13,27 +14,28 @@
 #include "http-reply.h"
 #include "random.h"
 
-#define BEARER "Bearer "
+#define BEARER_PREFIX "Bearer "
 #define REQUEST_ID_MAX 100
 #define DEADLINE_MAX_MS 3600000
-#define LOG_RETRY_MS 2000
-#define RUNNING_RETRY_MS 1000
-#define LEAVING_RETRY_MS 1000
+/* When a client may send a refused request again. */
+#define LOG_RETRY_AFTER_MS 2000
+#define RUNNING_RETRY_AFTER_MS 1000
+#define LEAVING_RETRY_AFTER_MS 1000
 
-/* The customer whose key the request carries, with a reference, or NULL. */
+/* Returns a reference to the customer with the request's API key, or NULL. */
 static struct customer *
-find_customer(struct server *server, const struct _u_request *in)
+customer_find(struct server *server, const struct _u_request *in)
 {
 	const char *auth = u_map_get_case(in->map_header, "Authorization");
 	g_autofree char *hash = NULL;
 	struct customer *customer = NULL;
 	struct view *view;
 
-	if (auth == NULL || !g_str_has_prefix(auth, BEARER))
+	if (auth == NULL || !g_str_has_prefix(auth, BEARER_PREFIX))
 		return (NULL);
-	/* Looked up by its hash, so the time taken says nothing of the key. */
+	/* Looked up by its hash, so that the time taken reveals no key. */
 	hash = g_compute_checksum_for_string(G_CHECKSUM_SHA256,
-	    auth + strlen(BEARER), -1);
+	    auth + strlen(BEARER_PREFIX), -1);
 	rcu_read_lock();
 	view = rcu_dereference(server->view);
 	if (view != NULL)
@@ -58,9 +60,12 @@
 	return (true);
 }
 
-/* Reads the headers that every request may carry. */
+/*
+ * Reads the request id, which may be NULL, and the time until the deadline, 0
+ * if the client names none.
+ */
 static bool
-read_headers(const struct _u_request *in, const char **id, guint64 *left_ms,
+headers_read(const struct _u_request *in, const char **id, guint64 *timeout_ms,
     struct failure *f)
 {
 	const char *deadline;
@@ -73,11 +78,11 @@
 		    REQUEST_ID_MAX);
 		return (false);
 	}
-	*left_ms = 0;
+	*timeout_ms = 0;
 	deadline = u_map_get_case(in->map_header, "Banklift-Deadline-Ms");
 	if (deadline != NULL &&
 	    !g_ascii_string_to_unsigned(deadline, 10, 1, DEADLINE_MAX_MS,
-		left_ms, NULL)) {
+		timeout_ms, NULL)) {
 		failure_set(f, ERROR_BAD_HEADER, OUTCOME_NOT_RUN, 0,
 		    "Banklift-Deadline-Ms: must be 1 to %d", DEADLINE_MAX_MS);
 		return (false);
@@ -86,12 +91,14 @@
 }
 
 /**
- * client_api_header_bool() - read a header that says yes or no.
- * @in: the request
- * @name: the header
- * @fallback: value when it is absent
- * @value: set
- * @f: set when it is neither
+ * client_api_header_bool() - read a header whose value is yes or no.
+ * @in: the request as received
+ * @name: name of the header
+ * @fallback: value to use if the header is absent
+ * @value: set to the value
+ * @f: set if the header has any other value
+ *
+ * Return: false if @f was set.
  */
 bool
 client_api_header_bool(const struct _u_request *in, const char *name,
@@ -110,14 +117,15 @@
 	return (false);
 }
 
-/* Checks what needs no customer. */
+/* Makes the checks that need no authentication. */
 static bool
-check_input(struct server *server, const struct _u_request *in,
+input_check(struct server *server, const struct _u_request *in,
     struct failure *f)
 {
 	if (atomic_load(&server->refusing)) {
-		failure_set(f, ERROR_LEAVING, OUTCOME_NOT_RUN, LEAVING_RETRY_MS,
-		    "this daemon is stopping; another one will serve");
+		failure_set(f, ERROR_LEAVING, OUTCOME_NOT_RUN,
+		    LEAVING_RETRY_AFTER_MS,
+		    "this daemon is shutting down; send the request to another");
 		return (false);
 	}
 	if (in->binary_body_length > (size_t)server->set.body_bytes) {
@@ -130,12 +138,13 @@
 }
 
 /**
- * client_api_begin() - authenticate, read the common headers, apply the limits.
+ * client_api_begin() - authenticate a request, read the headers common to all
+ * requests and apply the customer's limits.
  * @server: this daemon
  * @in: the request as received
- * @f: set when it is refused
+ * @f: set if the request is refused
  *
- * Return: the request, or NULL.
+ * Return: the request, or NULL if @f was set.
  */
 struct request *
 client_api_begin(struct server *server, const struct _u_request *in,
@@ -144,37 +153,41 @@
 	struct customer *customer;
 	struct request *req;
 	uint64_t wait_us = 0;
-	guint64 left_ms;
+	guint64 timeout_ms;
 	const char *id;
 
-	if (!check_input(server, in, f) || !read_headers(in, &id, &left_ms, f))
+	if (!input_check(server, in, f) ||
+	    !headers_read(in, &id, &timeout_ms, f))
 		return (NULL);
-	customer = find_customer(server, in);
+	customer = customer_find(server, in);
 	if (customer == NULL) {
 		failure_set(f, ERROR_UNAUTHORIZED, OUTCOME_NOT_RUN, 0,
-		    "no customer has this key");
+		    "no customer has this API key");
 		return (NULL);
 	}
 	if (!limit_admit(&customer->limit, clock_now_us(), &wait_us)) {
 		atomic_fetch_add(&customer->series.refused, 1);
 		failure_set(f, ERROR_RATE_LIMITED, OUTCOME_NOT_RUN,
-		    wait_us / 1000 + 1, "the customer's limit is reached");
+		    wait_us / 1000 + 1,
+		    "the customer's rate or concurrency limit is reached");
 		customer_unref(customer);
 		return (NULL);
 	}
 	req = request_create(server, customer, id);
-	if (left_ms == 0)
-		left_ms = (guint64)server->set.call_timeout_ms;
-	req->deadline_ms = clock_now_ms() + left_ms;
+	if (timeout_ms == 0)
+		timeout_ms = (guint64)server->set.call_timeout_ms;
+	req->deadline_ms = clock_now_ms() + timeout_ms;
 	return (req);
 }
 
 /**
- * client_api_set_service() - name the deployment or service of a request.
+ * client_api_set_service() - set the deployment or service of a request.
  * @req: the request
- * @service: its name
- * @is_service: a plain service rather than a deployment
- * @f: set when there is no such thing
+ * @service: name of the deployment or service
+ * @is_service: true for a plain service, false for a deployment
+ * @f: set if it is not declared
+ *
+ * Return: false if @f was set.
  */
 bool
 client_api_set_service(struct request *req, const char *service,
@@ -191,9 +204,12 @@
 	return (false);
 }
 
-/* A hash of all that makes two requests the same. */
+/*
+ * Hash of the method, path, service and body, which tells a request sent again
+ * from a different request with the same id.
+ */
 static uint64_t
-fingerprint(const struct request *req, const struct _u_request *in)
+request_fingerprint(const struct request *req, const struct _u_request *in)
 {
 	XXH64_hash_t h;
 
@@ -205,9 +221,9 @@
 	return (h);
 }
 
-/* Answers a request whose id another attempt has. */
+/* Responds to a request whose id could not be claimed. */
 static void
-reply_repeated(struct request *req, const struct claim_result *result,
+reply_duplicate(struct request *req, const struct claim_result *result,
     struct _u_response *res)
 {
 	CLEANUP(failure_clear) struct failure f = { 0 };
@@ -221,23 +237,23 @@
 			return;
 		}
 		failure_set(&f, ERROR_REQUEST_REPEATED, OUTCOME_WHOLE, 0,
-		    "this request ran before, with status %d; its answer was "
+		    "this request ran before, with status %d; its response was "
 		    "not kept",
 		    result->status);
 		break;
 	case CLAIM_REUSED:
 		failure_set(&f, ERROR_REQUEST_ID_REUSED, OUTCOME_NOT_RUN, 0,
-		    "this id belongs to a different request");
+		    "this request id was used for a different request");
 		break;
 	case CLAIM_RUNNING:
 		failure_set(&f, ERROR_REQUEST_REPEATED, OUTCOME_UNKNOWN,
-		    RUNNING_RETRY_MS,
+		    RUNNING_RETRY_AFTER_MS,
 		    "a request with this id is in progress, "
-		    "or its outcome is not known");
+		    "or its outcome is unknown");
 		break;
 	default:
 		failure_set(&f, ERROR_LOG_UNAVAILABLE, OUTCOME_NOT_RUN,
-		    LOG_RETRY_MS, "the id could not be claimed");
+		    LOG_RETRY_AFTER_MS, "the request id could not be claimed");
 		break;
 	}
 	http_reply_failure(res, &f, req->id);
@@ -247,9 +263,9 @@
  * client_api_claim() - claim the id of a non-idempotent request.
  * @req: the request
  * @in: the request as received
- * @res: answered when it must not run here
+ * @res: the response; filled in if the request must not be dispatched
  *
- * Return: whether it may be dispatched.
+ * Return: whether the request may be dispatched.
  */
 bool
 client_api_claim(struct request *req, const struct _u_request *in,
@@ -263,7 +279,7 @@
 	claim_id = g_strconcat(req->customer->name, "/", req->id, NULL);
 	req->token = random_id();
 	claims_acquire(req->server->claims, claim_id, req->token,
-	    fingerprint(req, in), req->deadline_ms, &result);
+	    request_fingerprint(req, in), req->deadline_ms, &result);
 	if (result.verdict == CLAIM_GRANTED) {
 		req->claim_id = g_steal_pointer(&claim_id);
 		return (true);
@@ -271,7 +287,7 @@
 	if (result.verdict == CLAIM_UNAVAILABLE)
 		claims_report(req->server->claims, CLAIM_OP_RELEASE, claim_id,
 		    req->token, 0, NULL);
-	reply_repeated(req, &result, res);
+	reply_duplicate(req, &result, res);
 	request_end(req,
 	    result.verdict == CLAIM_RUNNING ? OUTCOME_UNKNOWN : OUTCOME_NOT_RUN,
 	    (int)res->status, NULL);
--- a/src/client-api.h
+++ b/src/client-api.h
@@ -1,4 +1,4 @@
-/* The interface for callers: what its handlers share. */
+/* HTTP interface for clients: handlers, and what they share. */
 #ifndef BL_CLIENT_API_H
 #define BL_CLIENT_API_H
 
--- a/src/completion.c
+++ b/src/completion.c
@@ -1,7 +1,7 @@
 /*
- * A completion: a prompt's answer, fetched as a stream from replicas. The
- * thread that serves the caller drives it. When a call ends badly, the
- * decision of call-end.c says whether to go on elsewhere.
+ * A completion of a prompt, read as a stream from replicas. The thread that
+ * serves the client drives it. When a call fails, call_end_decide() says
+ * whether to retry or resume at another replica.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -17,16 +17,16 @@
 #define RETRY_AFTER_MS 1000
 
 /**
- * struct completion - one answer in progress.
+ * struct completion - one completion in progress.
  * @req: the request; owned
- * @body: what the engine is asked
+ * @body: body of the request to the engine
  * @call: the call in progress, or NULL
- * @target: where it goes
- * @order: chunks of the whole answer, over all calls
- * @given: chunks that the caller has
- * @resumable: the engine of the latest call guarantees the same text
- * @garbage: the latest answer broke the protocol
- * @last_us: when the latest chunk was given
+ * @target: target of the latest call
+ * @order: chunks of the text, over all calls
+ * @n_delivered: number of chunks delivered to the client
+ * @resumable: the engine of the latest call guarantees the same text on resume
+ * @malformed: the response of the latest call violates the protocol
+ * @last_chunk_us: monotonic time at which the latest chunk was delivered
  */
 struct completion {
 	struct request *req;
@@ -34,16 +34,17 @@
 	struct call *call;
 	struct target *target;
 	struct chunk_order order;
-	int64_t given;
+	int64_t n_delivered;
 	bool resumable;
-	bool garbage;
-	uint64_t last_us;
+	bool malformed;
+	uint64_t last_chunk_us;
 };
 
 /**
- * completion_create() - begin a completion; nothing is sent yet.
- * @req: the request; taken over
- * @body: what the engine is asked; a reference is taken
+ * completion_create() - create a completion; nothing is sent before
+ * completion_next().
+ * @req: the request; ownership is taken
+ * @body: body of the request to the engine; a reference is taken
  */
 struct completion *
 completion_create(struct request *req, json_t *body)
@@ -58,7 +59,7 @@
 }
 
 static void
-call_close(struct completion *c)
+close_call(struct completion *c)
 {
 	if (c->call == NULL)
 		return;
@@ -68,43 +69,44 @@
 }
 
 /**
- * completion_free() - end a completion; a call in progress is cancelled.
+ * completion_free() - free a completion; a call in progress is cancelled.
  * @c: the completion
  */
 void
 completion_free(struct completion *c)
 {
-	call_close(c);
+	close_call(c);
 	chunk_order_clear(&c->order);
 	json_decref(c->body);
 	request_free(c->req);
 	g_free(c);
 }
 
-/* Sends the request to a target, from the first chunk not yet given. */
+/* Calls a target for the chunks that are not yet delivered to the client. */
 static void
-call_open(struct completion *c, struct target *target)
+open_call(struct completion *c, struct target *target)
 {
 	g_autofree char *url =
 	    g_strconcat(target->url, "/v1/completions", NULL);
 	g_autofree char *epoch = g_strdup_printf("%" PRIu64, target->epoch);
 	uint64_t now = clock_now_ms();
-	g_autofree char *left = g_strdup_printf("%" PRIu64,
+	g_autofree char *timeout_ms = g_strdup_printf("%" PRIu64,
 	    c->req->deadline_ms > now ? c->req->deadline_ms - now : 0);
 	const struct call_header headers[] = {
 		{ "Content-Type", "application/json" },
 		{ "Banklift-Epoch", epoch },
 		{ "Banklift-Request-Id", c->req->id },
-		{ "Banklift-Deadline-Ms", left },
+		{ "Banklift-Deadline-Ms", timeout_ms },
 		{ NULL, NULL },
 	};
 	g_autofree char *text = NULL;
 
-	json_object_set_new(c->body, "resume_from", json_integer(c->given));
+	json_object_set_new(c->body, "resume_from",
+	    json_integer(c->n_delivered));
 	text = json_dumps(c->body, JSON_COMPACT);
 	c->target = target;
-	c->garbage = false;
-	/* Chunks that came too early belong to the call that ended. */
+	c->malformed = false;
+	/* Chunks received out of order belong to the call that ended. */
 	g_hash_table_remove_all(c->order.held);
 	c->order.end = -1;
 	atomic_fetch_add(&target->inflight, 1);
@@ -113,9 +115,9 @@
 	atomic_fetch_add(&c->req->customer->series.calls, 1);
 }
 
-/* Takes one event of the engine's stream. */
+/* Processes one event of the engine's stream; false if it is malformed. */
 static bool
-take_event(struct completion *c, const char *data)
+handle_event(struct completion *c, const char *data)
 {
 	json_auto_t *event = json_loads(data, 0, NULL);
 	json_int_t index, tokens;
@@ -131,22 +133,24 @@
 	return (false);
 }
 
+/* Processes the complete events that were received. */
 static void
-take_events(struct completion *c)
+handle_events(struct completion *c)
 {
 	const char *resumes = call_header(c->call, "engine-resumes");
 	char *data;
 
 	c->resumable = resumes != NULL && strcmp(resumes, "exact") == 0;
-	while (!c->garbage &&
+	while (!c->malformed &&
 	    (data = event_stream_take(call_body(c->call))) != NULL) {
-		c->garbage = !take_event(c, data);
+		c->malformed = !handle_event(c, data);
 		g_free(data);
 	}
 }
 
+/* Counts a delivered chunk in the metrics. */
 static void
-count_chunk(struct completion *c)
+series_count_chunk(struct completion *c)
 {
 	struct series *all[] = { &c->req->customer->series,
 		policy_series(c->req->policy),
@@ -155,32 +159,32 @@
 
 	for (size_t i = 0; i < G_N_ELEMENTS(all); i++) {
 		atomic_fetch_add(&all[i]->tokens, 1);
-		if (c->given == 1)
+		if (c->n_delivered == 1)
 			histogram_add(&all[i]->first_us,
 			    now - c->req->started_us);
 		else
-			histogram_add(&all[i]->gap_us, now - c->last_us);
+			histogram_add(&all[i]->gap_us, now - c->last_chunk_us);
 	}
-	c->last_us = now;
+	c->last_chunk_us = now;
 }
 
-/* How the call ended, for the decision. */
+/* Describes the end of the call for call_end_decide(). */
 static struct call_end
-describe_end(struct completion *c, bool stalled)
+call_end_describe(struct completion *c, bool stalled)
 {
 	const char *not_started = call_header(c->call, "not-started");
 	struct call_end end = {
 		.phase = call_phase(c->call),
 		.status = call_status(c->call),
 		.not_started = not_started != NULL,
-		.malformed = c->garbage,
+		.malformed = c->malformed,
 		.expired = clock_now_ms() >= c->req->deadline_ms,
 		.idempotent = c->req->idempotent,
-		.delivered = c->given > 0,
+		.delivered = c->n_delivered > 0,
 		.resumable = c->resumable,
 	};
 
-	/* A stream that closed before its end mark is not whole. */
+	/* A stream that is closed before its end marker is incomplete. */
 	if (end.phase == CALL_COMPLETE && end.status == 200)
 		end.malformed = true;
 	if (stalled && end.phase == CALL_COMPLETE)
@@ -188,9 +192,12 @@
 	return (end);
 }
 
-/* Fails with what the last call taught, and what earlier ones left open. */
+/*
+ * Ends the request as failed. Its outcome is unknown if the last call or an
+ * earlier one may have run it.
+ */
 static enum completion_result
-fail(struct completion *c, struct failure *f, enum error_code error,
+completion_fail(struct completion *c, struct failure *f, enum error_code error,
     enum outcome outcome, const char *why)
 {
 	if (c->req->may_have_run)
@@ -201,104 +208,112 @@
 	return (COMPLETION_FAILED);
 }
 
-/* Chooses a target and calls it; false when there is none left. */
+/* Chooses a target and calls it; false if no target is left. */
 static bool
-open_next(struct completion *c)
+call_next_target(struct completion *c)
 {
 	struct target *target = request_next_target(c->req);
 
 	if (target == NULL)
 		return (false);
-	call_open(c, target);
+	open_call(c, target);
 	return (true);
 }
 
-/* The call ended without the whole answer: go on elsewhere, or fail. */
+/*
+ * Handles a call that ended before the completion was complete: retries or
+ * resumes at another target and returns true, or fails and returns false.
+ */
 static bool
-go_on(struct completion *c, bool stalled, struct failure *f)
+retry_or_fail(struct completion *c, bool stalled, struct failure *f)
 {
-	struct call_end end = describe_end(c, stalled);
+	struct call_end end = call_end_describe(c, stalled);
 	struct call_verdict v = call_end_decide(&end);
 
 	log_debug("call_end", "target=%s phase=%d status=%d action=%d",
 	    c->target->name, (int)end.phase, end.status, (int)v.action);
 	target_heard(c->target, c->call);
-	call_close(c);
+	close_call(c);
 	target_failed(c->target, clock_now_ms());
 	if (v.outcome == OUTCOME_UNKNOWN)
 		c->req->may_have_run = true;
 	if (v.action == CALL_PASS) {
-		/* A status of the engine's own that is no stream. */
+		/* The engine's response is complete but not a stream. */
 		v.error = ERROR_ENDPOINT_FAILED;
 		v.outcome = OUTCOME_UNKNOWN;
 		v.action = CALL_FAIL;
 	}
 	if (v.action != CALL_FAIL && request_retry_allowed(c->req) &&
-	    open_next(c))
+	    call_next_target(c))
 		return (true);
-	fail(c, f, v.error, v.outcome,
-	    "the replica's answer did not come whole");
+	completion_fail(c, f, v.error, v.outcome,
+	    "no replica completed the response");
 	return (false);
 }
 
-/* Drives the call; false when it gave nothing and has ended or stalled. */
+/*
+ * Waits for progress of the call and processes the events received. Returns
+ * false if the call has ended, stalled or violated the protocol.
+ */
 static bool
-drive(struct completion *c, bool *stalled)
+read_more(struct completion *c, bool *stalled)
 {
-	uint64_t stall =
+	uint64_t stall_at_ms =
 	    clock_now_ms() + (uint64_t)c->req->server->set.stall_ms;
-	uint64_t until = MIN(stall, c->req->deadline_ms);
+	uint64_t until_ms = MIN(stall_at_ms, c->req->deadline_ms);
 
 	*stalled = false;
 	if (call_ended(c->call))
 		return (false);
-	if (!call_poll(c->call, until)) {
+	if (!call_poll(c->call, until_ms)) {
 		*stalled = true;
 		return (false);
 	}
 	if (call_head_received(c->call) && call_status(c->call) == 200)
-		take_events(c);
-	return (!c->garbage);
+		handle_events(c);
+	return (!c->malformed);
 }
 
+/* Ends the request as completed. */
 static enum completion_result
-finish(struct completion *c)
+completion_finish(struct completion *c)
 {
 	target_latency(c->target, call_first_byte_us(c->call), clock_now_ms());
 	target_heard(c->target, c->call);
-	call_close(c);
+	close_call(c);
 	request_end(c->req, OUTCOME_WHOLE, 200, NULL);
 	return (COMPLETION_END);
 }
 
 /**
- * completion_next() - wait for the next chunk of the answer.
+ * completion_next() - wait for the next chunk of the text.
  * @c: the completion
- * @text: set to the chunk; free with g_free()
- * @f: set when it failed
+ * @text: set to the chunk, or NULL; free with g_free()
+ * @f: set if the completion failed
  */
 enum completion_result
 completion_next(struct completion *c, char **text, struct failure *f)
 {
 	bool stalled;
 
-	if (c->call == NULL && !open_next(c)) {
+	if (c->call == NULL && !call_next_target(c)) {
 		if (request_expired(c->req))
-			return (fail(c, f, ERROR_DEADLINE, OUTCOME_NOT_RUN,
-			    "the time was up before it was sent"));
-		return (fail(c, f, ERROR_NO_ENDPOINT, OUTCOME_NOT_RUN,
-		    "no whole replica can be reached"));
+			return (completion_fail(c, f, ERROR_DEADLINE,
+			    OUTCOME_NOT_RUN,
+			    "the deadline passed before the request was sent"));
+		return (completion_fail(c, f, ERROR_NO_ENDPOINT,
+		    OUTCOME_NOT_RUN, "no replica is available"));
 	}
 	for (;;) {
 		*text = chunk_order_take(&c->order);
 		if (*text != NULL) {
-			c->given++;
-			count_chunk(c);
+			c->n_delivered++;
+			series_count_chunk(c);
 			return (COMPLETION_CHUNK);
 		}
 		if (chunk_order_complete(&c->order))
-			return (finish(c));
-		if (!drive(c, &stalled) && !go_on(c, stalled, f))
+			return (completion_finish(c));
+		if (!read_more(c, &stalled) && !retry_or_fail(c, stalled, f))
 			return (COMPLETION_FAILED);
 	}
 }
--- a/src/completion.h
+++ b/src/completion.h
@@ -1,4 +1,4 @@
-/* A completion: a prompt's answer, fetched as a stream from replicas. */
+/* A completion of a prompt, read as a stream from replicas. */
 #ifndef BL_COMPLETION_H
 #define BL_COMPLETION_H
 
@@ -7,10 +7,10 @@
 #include "request.h"
 
 /**
- * enum completion_result - what completion_next() came to.
- * @COMPLETION_CHUNK: the next chunk of the answer
- * @COMPLETION_END: the answer is whole
- * @COMPLETION_FAILED: nothing more will come
+ * enum completion_result - result of completion_next().
+ * @COMPLETION_CHUNK: the next chunk of the text is returned
+ * @COMPLETION_END: the text is complete
+ * @COMPLETION_FAILED: the completion failed; there are no more chunks
  */
 enum completion_result {
 	COMPLETION_CHUNK,
--- a/src/event-stream.c
+++ b/src/event-stream.c
@@ -1,4 +1,4 @@
-/* Splits a server-sent event stream into the data of its events. */
+/* Parser of server-sent events (text/event-stream). */
 #include <string.h>
 
 #include "event-stream.h"
@@ -7,11 +7,11 @@
 #define EVENT_END "\n\n"
 
 /**
- * event_stream_take() - take the first whole event off a buffer.
- * @buffer: what was received
+ * event_stream_take() - remove the first complete event from a buffer.
+ * @buffer: received bytes
  *
- * Return: the text after "data:", free with g_free(); NULL when no whole event
- * is there. An event without data gives "".
+ * Return: the text after "data:", to be freed with g_free(); "" for an event
+ * without data; NULL if the buffer has no complete event.
  */
 char *
 event_stream_take(GByteArray *buffer)
--- a/src/event-stream.h
+++ b/src/event-stream.h
@@ -1,4 +1,4 @@
-/* Splits a server-sent event stream into the data of its events. Pure. */
+/* Parser of server-sent events (text/event-stream). */
 #ifndef BL_EVENT_STREAM_H
 #define BL_EVENT_STREAM_H
 
--- a/src/header-filter.h
+++ b/src/header-filter.h
@@ -1,4 +1,4 @@
-/* Which headers pass between a caller and a plain service. */
+/* Filters the headers passed between clients and plain services. */
 #ifndef BL_HEADER_FILTER_H
 #define BL_HEADER_FILTER_H
 
--- a/src/text-stream.c
+++ b/src/text-stream.c
@@ -1,4 +1,4 @@
-/* Text that waits to be taken by the HTTP server, piece by piece. */
+/* Text that is queued until the HTTP server can send it. */
 #include <string.h>
 
 #include "text-stream.h"
@@ -6,10 +6,10 @@
 /**
  * text_stream_take() - move text from the front of a buffer.
  * @pending: the buffer
- * @out: where the text goes
- * @max: room there, in bytes
+ * @out: destination
+ * @max: size of @out, in bytes
  *
- * Return: how many bytes were moved.
+ * Return: number of bytes moved.
  */
 ssize_t
 text_stream_take(GString *pending, char *out, size_t max)
--- a/src/text-stream.h
+++ b/src/text-stream.h
@@ -1,4 +1,4 @@
-/* Text that waits to be taken by the HTTP server, piece by piece. */
+/* Text that is queued until the HTTP server can send it. */
 #ifndef BL_TEXT_STREAM_H
 #define BL_TEXT_STREAM_H
 
