--- a/src/claim-index.c
+++ b/src/claim-index.c
@@ -1,7 +1,8 @@
 /*
- * The claims on request ids. The order of the log decides: the first claim on
- * an id wins, whoever wrote it, so a daemon that was paused or replaced can
- * never win an id that another has. No clock and no owner is needed for that.
+ * Index of the claims on request ids. The order of the log decides: the first
+ * claim on an id wins, whichever daemon wrote it, so a daemon that was paused
+ * or replaced can never win an id that another attempt holds. This needs
+ * neither a clock nor an owner.
  */
 #include <string.h>
 
@@ -19,7 +20,7 @@
 }
 
 /**
- * claim_index_init() - begin with no claims, before the first record.
+ * claim_index_init() - initialize an empty index, before the first record.
  * @index: the index
  */
 void
@@ -33,7 +34,7 @@
 }
 
 /**
- * claim_index_destroy() - free the claims.
+ * claim_index_destroy() - free the content of an index.
  * @index: the index
  */
 void
@@ -111,10 +112,10 @@
 }
 
 /**
- * claim_index_apply() - replay one record.
- * @index: the index; moves on to the next offset
- * @offset: offset of the record; not before @index's next
- * @record: the record, or NULL when it did not parse
+ * claim_index_apply() - apply one record.
+ * @index: the index; expects the following offset next
+ * @offset: offset of the record; not below @index's next
+ * @record: the record, or NULL if it could not be parsed
  */
 void
 claim_index_apply(struct claim_index *index, uint64_t offset, json_t *record)
@@ -143,7 +144,8 @@
 }
 
 /**
- * claim_index_expire() - forget what the log no longer keeps.
+ * claim_index_expire() - drop the claims and releases whose records the log no
+ * longer keeps.
  * @index: the index
  * @first: oldest offset that the log keeps
  */
@@ -155,14 +157,14 @@
 }
 
 /**
- * claim_index_verdict() - what the stream says of an attempt's claim.
- * @index: replayed beyond the attempt's own record
- * @id: the request id
- * @token: the attempt
+ * claim_index_verdict() - look up the result of an attempt's claim.
+ * @index: the index; the record of the attempt's claim is applied
+ * @id: customer and request id
+ * @token: token of the attempt
  * @fingerprint: hash of the request
- * @claim: set to the claim that stands, or NULL
+ * @claim: set to the claim on the id, or NULL
  *
- * Return: CLAIM_PENDING when nobody has the id.
+ * Return: CLAIM_PENDING if nobody holds the id.
  */
 enum claim_verdict
 claim_index_verdict(const struct claim_index *index, const char *id,
@@ -179,13 +181,15 @@
 }
 
 /**
- * claim_op_dump() - an operation as it stands in a record.
+ * claim_op_dump() - encode an operation for a record.
  * @kind: the operation
- * @id: the request id
- * @token: the attempt
- * @fingerprint: hash of the request, to claim
- * @status: HTTP status, to finish
- * @body: the answer, to finish, or NULL
+ * @id: customer and request id
+ * @token: token of the attempt
+ * @fingerprint: hash of the request, for CLAIM_OP_CLAIM
+ * @status: HTTP status of the response, for CLAIM_OP_FINISH
+ * @body: body of the response, for CLAIM_OP_FINISH, or NULL
+ *
+ * Return: the operation, or NULL if a string is not valid UTF-8.
  */
 json_t *
 claim_op_dump(enum claim_op_kind kind, const char *id, const char *token,
--- a/src/claim-index.h
+++ b/src/claim-index.h
@@ -1,4 +1,7 @@
-/* The claims on request ids: a pure function of a prefix of a claim stream. */
+/*
+ * Index of the claims on request ids. Its content is determined by the records
+ * of one claim stream up to an offset, so all daemons compute the same.
+ */
 #ifndef BL_CLAIM_INDEX_H
 #define BL_CLAIM_INDEX_H
 
@@ -7,13 +10,15 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/* Longest response that is recorded for a claim, in bytes. */
 #define CLAIM_BODY_MAX 1024
 
 /**
  * enum claim_op_kind - operations on a request id.
  * @CLAIM_OP_CLAIM: claim it; the first in the stream wins
- * @CLAIM_OP_FINISH: record the outcome, by the claim's token
- * @CLAIM_OP_RELEASE: give it back, by the claim's token: it did not run
+ * @CLAIM_OP_FINISH: record the response; needs the claim's token
+ * @CLAIM_OP_RELEASE: release it, as the request did not run; needs the claim's
+ *	token
  */
 enum claim_op_kind {
 	CLAIM_OP_CLAIM = 1,
@@ -22,13 +27,14 @@
 };
 
 /**
- * enum claim_verdict - what is known of an operation.
+ * enum claim_verdict - result of an operation.
  * @CLAIM_PENDING: not decided yet; ask again
- * @CLAIM_GRANTED: the token has the id, or the operation is recorded
- * @CLAIM_RUNNING: another token has the id, and no outcome is recorded
- * @CLAIM_DONE: another token has the id; the outcome is given
- * @CLAIM_REUSED: another token has the id, for a different request
- * @CLAIM_UNAVAILABLE: the log could not be reached; it may be decided later
+ * @CLAIM_GRANTED: the token holds the id, or the operation is recorded
+ * @CLAIM_RUNNING: another token holds the id, and no response is recorded
+ * @CLAIM_DONE: another token holds the id, and its response is recorded
+ * @CLAIM_REUSED: another token holds the id, for a different request
+ * @CLAIM_UNAVAILABLE: the log could not be reached; the operation may still
+ *	take effect later
  */
 enum claim_verdict {
 	CLAIM_PENDING,
@@ -40,14 +46,14 @@
 };
 
 /**
- * struct claim - who has a request id.
+ * struct claim - the claim on a request id.
  * @id: customer and request id
- * @token: names the attempt that has it; never used again
+ * @token: identifies the attempt that holds the claim; never reused
  * @fingerprint: hash of the request
- * @offset: offset of the record that claimed it
- * @done: the outcome is recorded
- * @status: HTTP status of the recorded answer
- * @body: the recorded answer, NULL when it was too long to keep
+ * @offset: offset of the record that claimed the id
+ * @done: the response is recorded
+ * @status: HTTP status of the recorded response
+ * @body: body of the recorded response, NULL if it was too long to be kept
  */
 struct claim {
 	char *id;
@@ -63,7 +69,8 @@
  * struct claim_index - the claims of one stream.
  * @next: first offset that is not applied yet
  * @by_id: id to struct claim
- * @released: tokens that were released, with the offset; they claim no more
+ * @released: released tokens, to the offset of the release; a released token
+ *	can claim nothing any more
  */
 struct claim_index {
 	uint64_t next;
--- a/src/claim-item.c
+++ b/src/claim-item.c
@@ -1,9 +1,9 @@
-/* One operation on a request id, waiting to be written to the log. */
+/* An operation on a request id that is queued for the log. */
 #include "claim-item.h"
 
 /**
- * claim_item_create() - make an item from a request.
- * @req: the request, from this daemon or another
+ * claim_item_create() - create an item from a claim request.
+ * @req: the request, from this daemon or another; copied
  */
 struct claim_item *
 claim_item_create(const struct claim_request *req)
--- a/src/claim-item.h
+++ b/src/claim-item.h
@@ -1,4 +1,4 @@
-/* One operation on a request id, waiting to be written to the log. */
+/* An operation on a request id that is queued for the log. */
 #ifndef BL_CLAIM_ITEM_H
 #define BL_CLAIM_ITEM_H
 
@@ -10,13 +10,14 @@
 /**
  * struct claim_item - one operation in a partition's queue.
  * @kind: the operation
- * @id: the request id
- * @token: the attempt
+ * @id: customer and request id
+ * @token: token of the attempt
  * @fingerprint: hash of the request
- * @status: recorded status
- * @body: recorded answer, or NULL
- * @reply_ip: daemon to tell the decision; 0 for this one
- * @reply_port: its port
+ * @status: HTTP status of the response, for CLAIM_OP_FINISH
+ * @body: body of the response, for CLAIM_OP_FINISH, or NULL
+ * @reply_ip: address of the daemon to notify of the result; 0 for this daemon
+ * @reply_port: port of that daemon
+ * @entry: entry in the queue or in a batch
  */
 struct claim_item {
 	enum claim_op_kind kind;
--- a/src/claim-partition.c
+++ b/src/claim-partition.c
@@ -1,8 +1,9 @@
 /*
- * One claim stream. A thread takes what has gathered in the queue, appends it
- * as one record (group commit), reads the stream up to that record, and only
- * then decides. Any daemon may do so for any stream at any time; that one
- * daemon does it for most requests only saves appends and reads.
+ * One partition of the claims, with a log stream of its own. A thread takes the
+ * operations from the queue, appends them as one record (group commit), reads
+ * the stream up to that record, and only then decides them. Any daemon may do
+ * so for any partition at any time; that one daemon does it for most requests
+ * only saves appends and reads.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -13,12 +14,12 @@
 #include "error.h"
 #include "event-log.h"
 
-/* Most operations in one record. */
+/* Largest number of operations in one record. */
 #define BATCH_MAX 256
-/* After a failure of the log, requests are refused at once for this long. */
-#define LOG_REST_MS 500
-/* How long the read back to the own record may take. */
-#define READ_BACK_MS 1500
+/* After a failure of the log, operations are refused at once for this long. */
+#define LOG_BACKOFF_MS 500
+/* How long reading back the appended record may take. */
+#define READ_BACK_TIMEOUT_MS 1500
 
 struct claim_partition {
 	GMutex lock;
@@ -27,7 +28,7 @@
 	bool stopping;
 	struct claim_item_list queue;
 	unsigned queued;
-	uint64_t rest_until_ms;
+	uint64_t backoff_until_ms;
 	char *stream;
 	uint64_t interval_ms;
 	struct log_client *log;
@@ -37,10 +38,10 @@
 };
 
 /**
- * claim_answer_fill() - put a verdict into an answer.
- * @answer: filled in; free with xdr_free()
+ * claim_answer_fill() - set an answer to a verdict.
+ * @answer: set; free with xdr_free()
  * @verdict: the verdict
- * @claim: the claim that stands, or NULL
+ * @claim: the claim on the id, whose response is copied for CLAIM_DONE; or NULL
  */
 void
 claim_answer_fill(struct claim_answer *answer, enum claim_verdict verdict,
@@ -57,8 +58,9 @@
 	}
 }
 
+/* Passes the verdict on an operation to the sink. */
 static void
-partition_tell(struct claim_partition *p, const struct claim_item *item,
+partition_notify(struct claim_partition *p, const struct claim_item *item,
     enum claim_verdict verdict, const struct claim *claim)
 {
 	struct claim_answer answer;
@@ -68,14 +70,17 @@
 	xdr_free((xdrproc_t)xdr_claim_answer, &answer);
 }
 
-/* Replays the stream up to an offset, or to its end when that is 0. */
+/*
+ * Replays the stream up to an offset, or to its end if the offset is 0. Returns
+ * whether it got there in time.
+ */
 static bool
-partition_read(struct claim_partition *p, uint64_t upto)
+partition_replay(struct claim_partition *p, uint64_t upto)
 {
-	uint64_t until = clock_now_ms() + READ_BACK_MS;
+	uint64_t until_ms = clock_now_ms() + READ_BACK_TIMEOUT_MS;
 	g_autoptr(GError) error = NULL;
 
-	while (clock_now_ms() < until) {
+	while (clock_now_ms() < until_ms) {
 		CLEANUP(log_batch_clear) struct log_batch batch = { 0 };
 
 		g_clear_error(&error);
@@ -102,7 +107,7 @@
 	return (false);
 }
 
-/* Decides one operation by the index, after its record was read back. */
+/* Decides one operation from the index, after its record was read back. */
 static void
 partition_decide(struct claim_partition *p, const struct claim_item *item)
 {
@@ -112,12 +117,13 @@
 	if (item->kind == CLAIM_OP_CLAIM)
 		verdict = claim_index_verdict(&p->index, item->id, item->token,
 		    item->fingerprint, &claim);
-	/* A token that was released meanwhile has nothing, and never will. */
+	/* A token that was released meanwhile never gets the id. */
 	if (verdict == CLAIM_PENDING)
 		verdict = CLAIM_UNAVAILABLE;
-	partition_tell(p, item, verdict, claim);
+	partition_notify(p, item, verdict, claim);
 }
 
+/* Encodes a batch as one record. */
 static json_t *
 batch_record(struct claim_item_list *items)
 {
@@ -128,7 +134,7 @@
 		json_t *op = claim_op_dump(item->kind, item->id, item->token,
 		    item->fingerprint, item->status, item->body);
 
-		/* An answer that is not UTF-8 is not kept, the outcome is. */
+		/* A response that is not UTF-8 is not kept, its status is. */
 		if (op == NULL)
 			op = claim_op_dump(item->kind, item->id, item->token,
 			    item->fingerprint, item->status, NULL);
@@ -138,7 +144,10 @@
 	return (json_pack("{s:s, s:o}", "kind", "claims", "ops", ops));
 }
 
-/* Appends a batch, reads it back, decides; returns whether the log answered. */
+/*
+ * Appends a batch, reads it back and decides its operations. Returns false if
+ * the log failed.
+ */
 static bool
 partition_commit(struct claim_partition *p, struct claim_item_list *items)
 {
@@ -148,12 +157,12 @@
 	bool ok;
 
 	ok = p->log->ops->append(p->log, p->stream, record, &offset, NULL) &&
-	    partition_read(p, offset);
+	    partition_replay(p, offset);
 	TAILQ_FOREACH(item, items, entry) {
 		if (ok)
 			partition_decide(p, item);
 		else
-			partition_tell(p, item, CLAIM_UNAVAILABLE, NULL);
+			partition_notify(p, item, CLAIM_UNAVAILABLE, NULL);
 	}
 	if (!ok)
 		event_log(LOG_WARNING, "claims_log_failed", "stream=%s",
@@ -161,7 +170,10 @@
 	return (ok);
 }
 
-/* Takes up to BATCH_MAX operations off the queue; waits for the first. */
+/*
+ * Takes up to BATCH_MAX operations off the queue; waits for the first. Returns
+ * false if the queue is empty and the partition is being freed.
+ */
 static bool
 partition_take(struct claim_partition *p, struct claim_item_list *items)
 {
@@ -192,11 +204,12 @@
 	}
 }
 
+/* Refuses new operations for a while after a failure of the log. */
 static void
-partition_rest(struct claim_partition *p)
+partition_back_off(struct claim_partition *p)
 {
 	g_mutex_lock(&p->lock);
-	p->rest_until_ms = clock_now_ms() + LOG_REST_MS;
+	p->backoff_until_ms = clock_now_ms() + LOG_BACKOFF_MS;
 	g_mutex_unlock(&p->lock);
 }
 
@@ -205,26 +218,26 @@
 {
 	struct claim_partition *p = arg;
 	struct claim_item_list items;
-	uint64_t began, spent;
+	uint64_t started_ms, spent_ms;
 
 	while (partition_take(p, &items)) {
-		began = clock_now_ms();
+		started_ms = clock_now_ms();
 		if (!partition_commit(p, &items))
-			partition_rest(p);
+			partition_back_off(p);
 		items_free(&items);
-		spent = clock_now_ms() - began;
-		if (spent < p->interval_ms)
-			g_usleep((p->interval_ms - spent) * 1000);
+		spent_ms = clock_now_ms() - started_ms;
+		if (spent_ms < p->interval_ms)
+			g_usleep((p->interval_ms - spent_ms) * 1000);
 	}
 	return (NULL);
 }
 
 /**
- * claim_partition_create() - begin on one stream; its thread starts.
- * @log: the platform's log
+ * claim_partition_create() - create a partition and start its thread.
+ * @log: client of the log service
  * @number: number of the partition
- * @interval_ms: least time from one append to the next
- * @sink: who is told decisions; copied
+ * @interval_ms: minimum time between two appends
+ * @sink: receiver of the results; copied
  */
 struct claim_partition *
 claim_partition_create(struct log_client *log, unsigned number,
@@ -247,7 +260,8 @@
 }
 
 /**
- * claim_partition_free() - end the thread, after what is queued, and free.
+ * claim_partition_free() - process the queued operations, stop the thread and
+ * free.
  * @p: the partition
  */
 void
@@ -266,7 +280,7 @@
 	g_free(p);
 }
 
-/* Whether the operation waits in the queue already; p->lock is held. */
+/* Whether the same operation is queued already; p->lock is held. */
 static bool
 partition_queued(struct claim_partition *p, const struct claim_item *item)
 {
@@ -280,7 +294,10 @@
 	return (false);
 }
 
-/* A claim that this token has already needs no further record. */
+/*
+ * Whether the operation is a claim that its token already holds, so that it
+ * needs no further record.
+ */
 static bool
 partition_granted(struct claim_partition *p, const struct claim_item *item)
 {
@@ -296,13 +313,16 @@
 }
 
 /**
- * claim_partition_submit() - hand an operation over.
+ * claim_partition_submit() - queue an operation, unless it is decided already.
  * @p: the partition
- * @item: the operation; taken over
- * @answer: filled in
+ * @item: the operation; ownership is taken
+ * @answer: set; free with xdr_free()
+ *
+ * Does not wait for the log. CLAIM_PENDING means that the sink will be called.
+ * During the backoff after a failure of the log, the verdict is
+ * CLAIM_UNAVAILABLE at once.
  *
- * Never waits. CLAIM_PENDING means that the sink will be told. While the log
- * is known to be down the answer is CLAIM_UNAVAILABLE at once.
+ * Return: the verdict in @answer.
  */
 enum claim_verdict
 claim_partition_submit(struct claim_partition *p, struct claim_item *item,
@@ -313,7 +333,7 @@
 	if (partition_granted(p, item))
 		verdict = CLAIM_GRANTED;
 	g_mutex_lock(&p->lock);
-	if (verdict == CLAIM_PENDING && clock_now_ms() < p->rest_until_ms)
+	if (verdict == CLAIM_PENDING && clock_now_ms() < p->backoff_until_ms)
 		verdict = CLAIM_UNAVAILABLE;
 	if (verdict == CLAIM_PENDING && !partition_queued(p, item)) {
 		TAILQ_INSERT_TAIL(&p->queue, item, entry);
--- a/src/claim-partition.h
+++ b/src/claim-partition.h
@@ -1,4 +1,7 @@
-/* One claim stream: batches operations, appends them, decides by replay. */
+/*
+ * One partition of the claims, with a log stream of its own: batches
+ * operations, appends them to the stream and decides them by replaying it.
+ */
 #ifndef BL_CLAIM_PARTITION_H
 #define BL_CLAIM_PARTITION_H
 
@@ -6,8 +9,10 @@
 #include "log-client.h"
 
 /**
- * struct claim_sink - who is told decisions.
- * @decided: called by the partition's thread without its lock
+ * struct claim_sink - receiver of the results.
+ * @decided: called for each decided operation, by the partition's thread
+ *	without its lock
+ * @arg: first argument of @decided
  */
 struct claim_sink {
 	void (*decided)(void *, const struct claim_item *,
--- a/src/claims.c
+++ b/src/claims.c
@@ -1,8 +1,8 @@
 /*
  * Claims on request ids. An attempt claims the id under a token of its own at
- * the daemon that comes first for the id's partition, and asks again, there or
- * elsewhere, under the same token until it is decided. Asking twice does no
- * harm, since the token names the attempt.
+ * the daemon that owns the id's partition, and sends the claim again, to that
+ * daemon or another, under the same token until it is decided. Sending it twice
+ * does no harm, since the token identifies the attempt.
  */
 #include <string.h>
 #include <xxhash.h>
@@ -16,24 +16,27 @@
 #include "route.h"
 #include "server.h"
 
-/* An attempt waits for its claim at most this long. */
-#define ACQUIRE_MS 4000
-/* It asks again when it has heard nothing for this long. */
-#define ASK_AGAIN_MS 500
+/* How long an attempt waits for the result of its claim. */
+#define ACQUIRE_TIMEOUT_MS 4000
+/* Without a result, an operation is sent again after this time. */
+#define RESEND_MS 500
+/* Timeout of a call to another daemon. */
 #define CALL_TIMEOUT_MS 300
-/* Outcomes and releases are reported for at most this long. */
-#define REPORT_MS 60000
-#define REPORT_PAUSE_MS 200
+/* How long recording a finish or a release is retried. */
+#define REPORT_TIMEOUT_MS 60000
+/* Pause after a failed attempt to record a finish or a release. */
+#define REPORT_RETRY_MS 200
+/* Largest number of finishes and releases that wait to be recorded. */
 #define REPORTS_MAX 10000
 
-/* One operation that waits for its decision. */
+/* A thread that waits for the result of an operation. */
 struct waiter {
 	char *key;
 	atomic_bool decided;
 	struct claim_result result;
 };
 
-/* An outcome or release that is still to be recorded. */
+/* A finish or release that is still to be recorded. */
 struct report {
 	struct claim_request req;
 	uint64_t until_ms;
@@ -59,7 +62,7 @@
 static void *reporter_run(void *);
 
 static void
-answer_take(struct claim_result *result, const struct claim_answer *answer)
+result_set(struct claim_result *result, const struct claim_answer *answer)
 {
 	result->verdict = (enum claim_verdict)answer->verdict;
 	result->status = answer->status;
@@ -70,8 +73,8 @@
 }
 
 /*
- * The key of a waiter. An attempt's claim and its release have the same token,
- * and a late answer to one must not be taken for the other's.
+ * The key of a waiter. The claim and the release of an attempt have the same
+ * token, and a late answer to one must not be taken for an answer to the other.
  */
 static char *
 waiter_key(enum claim_op_kind kind, const char *token)
@@ -80,11 +83,11 @@
 }
 
 /**
- * claims_decided() - an operation of this daemon was decided.
+ * claims_decided() - pass on the result of an operation of this daemon.
  * @claims: the claims
  * @kind: the operation
- * @token: the attempt
- * @answer: the decision
+ * @token: token of the attempt
+ * @answer: the result; copied to whoever waits for it
  */
 void
 claims_decided(struct claims *claims, enum claim_op_kind kind,
@@ -96,14 +99,14 @@
 	g_mutex_lock(&claims->lock);
 	waiter = g_hash_table_lookup(claims->waiters, key);
 	if (waiter != NULL && !atomic_load(&waiter->decided)) {
-		answer_take(&waiter->result, answer);
+		result_set(&waiter->result, answer);
 		atomic_store(&waiter->decided, true);
 		g_cond_broadcast(&claims->decided);
 	}
 	g_mutex_unlock(&claims->lock);
 }
 
-/* Passes a partition's decision to the daemon whose attempt it is. */
+/* Passes a result from a partition to the daemon that sent the operation. */
 static void
 sink_decided(void *arg, const struct claim_item *item,
     const struct claim_answer *answer)
@@ -117,7 +120,7 @@
 		peer_decided(item->reply_ip, item->reply_port, &decision);
 }
 
-/* The partition of a number; its thread starts at the first use. */
+/* Returns the partition of a number; creates it at its first use. */
 static struct claim_partition *
 claims_partition(struct claims *claims, unsigned number)
 {
@@ -135,15 +138,16 @@
 	return (p);
 }
 
+/* The number of the partition that an id belongs to. */
 static unsigned
-claims_number(struct claims *claims, const char *id)
+claims_partition_number(struct claims *claims, const char *id)
 {
 	return ((unsigned)(XXH64(id, strlen(id), 0) %
 	    (uint64_t)claims->server->set.claim_partitions));
 }
 
 /**
- * claims_create() - make the claims of a daemon.
+ * claims_create() - create the claims of a daemon.
  * @server: the daemon
  */
 struct claims *
@@ -175,7 +179,7 @@
 }
 
 /**
- * claims_free() - report what is left once, and free.
+ * claims_free() - try once more to record the pending reports, and free.
  * @claims: the claims
  */
 void
@@ -206,28 +210,31 @@
 }
 
 /**
- * claims_serve() - take an operation from another daemon.
+ * claims_serve() - submit an operation to its partition at this daemon.
  * @claims: the claims
- * @req: the operation
- * @answer: filled in, CLAIM_PENDING when the daemon will be told later
+ * @req: the operation, from this daemon or another
+ * @answer: set; CLAIM_PENDING if the result will be sent later
  */
 void
 claims_serve(struct claims *claims, const struct claim_request *req,
     struct claim_answer *answer)
 {
-	unsigned number = claims_number(claims, req->item.id);
+	unsigned number = claims_partition_number(claims, req->item.id);
 
 	claim_partition_submit(claims_partition(claims, number),
 	    claim_item_create(req), answer);
 }
 
-/* Hands an operation to the daemon that comes first; false: no answer. */
+/*
+ * Sends an operation to the daemon that owns its partition, or serves it here.
+ * If that daemon does not answer, excludes it and returns false.
+ */
 static bool
 claims_send(struct claims *claims, struct claim_request *req, GArray *excluded,
     struct claim_answer *answer)
 {
 	struct members *ms = &claims->server->members;
-	unsigned number = claims_number(claims, req->item.id);
+	unsigned number = claims_partition_number(claims, req->item.id);
 	struct member owner;
 
 	if (!members_owner(ms, route_mix(number + 1), clock_now_ms(), excluded,
@@ -245,12 +252,12 @@
 	return (false);
 }
 
-/* Waits a while for the decision. */
+/* Waits for the result, for at most RESEND_MS; returns whether it came. */
 static bool
 waiter_wait(struct claims *claims, struct waiter *waiter, uint64_t until_ms)
 {
 	uint64_t now = clock_now_ms();
-	uint64_t ms = until_ms > now ? MIN(until_ms - now, ASK_AGAIN_MS) : 0;
+	uint64_t ms = until_ms > now ? MIN(until_ms - now, RESEND_MS) : 0;
 	gint64 until = g_get_monotonic_time() + (gint64)ms * 1000;
 
 	g_mutex_lock(&claims->lock);
@@ -262,7 +269,7 @@
 }
 
 static void
-waiter_begin(struct claims *claims, struct waiter *waiter,
+waiter_register(struct claims *claims, struct waiter *waiter,
     const struct claim_request *req)
 {
 	waiter->key =
@@ -274,7 +281,7 @@
 }
 
 static void
-waiter_end(struct claims *claims, struct waiter *waiter)
+waiter_unregister(struct claims *claims, struct waiter *waiter)
 {
 	g_mutex_lock(&claims->lock);
 	g_hash_table_remove(claims->waiters, waiter->key);
@@ -282,10 +289,10 @@
 	g_free(waiter->key);
 }
 
-/* Hands an operation over once and waits a while for its decision. */
+/* Sends an operation once and waits for its result; see waiter_wait(). */
 static bool
-claims_ask(struct claims *claims, struct claim_request *req, GArray *excluded,
-    struct waiter *waiter, uint64_t until_ms)
+claims_send_and_wait(struct claims *claims, struct claim_request *req,
+    GArray *excluded, struct waiter *waiter, uint64_t until_ms)
 {
 	struct claim_answer answer;
 
@@ -302,13 +309,14 @@
  * claims_acquire() - claim a request id for one attempt.
  * @claims: the claims
  * @id: customer and request id
- * @token: the attempt; never used again
+ * @token: token of the attempt; never reused
  * @fingerprint: hash of the request
- * @deadline_ms: monotonic time at which the request's time is up
- * @result: what was learnt; CLAIM_UNAVAILABLE when the log or the time failed
+ * @deadline_ms: deadline of the request, monotonic time in ms
+ * @result: set; CLAIM_UNAVAILABLE if the log failed or there was no result in
+ *	time
  *
- * After CLAIM_UNAVAILABLE the claim may still come to stand. The attempt must
- * not dispatch, and hands in CLAIM_OP_RELEASE by claims_report().
+ * After CLAIM_UNAVAILABLE the claim may still take effect. The attempt must not
+ * dispatch the request, and must submit CLAIM_OP_RELEASE by claims_report().
  */
 void
 claims_acquire(struct claims *claims, const char *id, const char *token,
@@ -316,7 +324,7 @@
 {
 	g_autoptr(GArray) excluded =
 	    g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	uint64_t until = MIN(deadline_ms, clock_now_ms() + ACQUIRE_MS);
+	uint64_t until = MIN(deadline_ms, clock_now_ms() + ACQUIRE_TIMEOUT_MS);
 	struct claim_request req = { 0 };
 	struct waiter waiter = { 0 };
 
@@ -324,23 +332,25 @@
 	req.item.id = (char *)id;
 	req.item.token = (char *)token;
 	req.item.fingerprint = fingerprint;
-	waiter_begin(claims, &waiter, &req);
+	waiter_register(claims, &waiter, &req);
 	while (clock_now_ms() < until) {
-		if (claims_ask(claims, &req, excluded, &waiter, until))
+		if (claims_send_and_wait(claims, &req, excluded, &waiter,
+			until))
 			break;
 	}
-	waiter_end(claims, &waiter);
+	waiter_unregister(claims, &waiter);
 	*result = waiter.result;
 }
 
 /**
- * claims_report() - have an outcome or a release recorded, in the background.
+ * claims_report() - record a finish or a release, in the background.
  * @claims: the claims
  * @kind: CLAIM_OP_FINISH or CLAIM_OP_RELEASE
  * @id: customer and request id
- * @token: the attempt that has it
- * @status: HTTP status, to finish
- * @body: the answer, or NULL; kept only up to CLAIM_BODY_MAX bytes
+ * @token: token of the attempt
+ * @status: HTTP status of the response, for CLAIM_OP_FINISH
+ * @body: body of the response, or NULL; dropped if longer than CLAIM_BODY_MAX
+ *	bytes
  */
 void
 claims_report(struct claims *claims, enum claim_op_kind kind, const char *id,
@@ -350,7 +360,7 @@
 	struct report *report;
 
 	report = g_new0(struct report, 1);
-	report->until_ms = clock_now_ms() + REPORT_MS;
+	report->until_ms = clock_now_ms() + REPORT_TIMEOUT_MS;
 	report->req.item.op = kind;
 	report->req.item.id = g_strdup(id);
 	report->req.item.token = g_strdup(token);
@@ -373,7 +383,7 @@
 	}
 }
 
-/* Sends one report; true when it is recorded. */
+/* Sends a report once; returns whether it was recorded. */
 static bool
 report_send(struct claims *claims, struct report *report)
 {
@@ -381,13 +391,15 @@
 	    g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	struct waiter waiter = { 0 };
 
-	waiter_begin(claims, &waiter, &report->req);
-	claims_ask(claims, &report->req, excluded, &waiter, UINT64_MAX);
-	waiter_end(claims, &waiter);
+	waiter_register(claims, &waiter, &report->req);
+	claims_send_and_wait(claims, &report->req, excluded, &waiter,
+	    UINT64_MAX);
+	waiter_unregister(claims, &waiter);
 	g_free(waiter.result.body);
 	return (waiter.result.verdict == CLAIM_GRANTED);
 }
 
+/* Takes the next report; waits for one. NULL when the daemon stops. */
 static struct report *
 reporter_take(struct claims *claims)
 {
@@ -406,29 +418,30 @@
 }
 
 /*
- * Puts a report that failed back at the end, unless its time is up. Returns
- * false when the daemon ends: without the log the others would fail as well.
+ * Puts a report that was not recorded back at the end of the queue, unless it
+ * has timed out. Returns false if the daemon is stopping: without the log, the
+ * other reports would fail as well.
  */
 static bool
-reporter_again(struct claims *claims, struct report *report)
+reporter_requeue(struct claims *claims, struct report *report)
 {
-	bool kept, stopping;
+	bool requeued, stopping;
 
 	g_mutex_lock(&claims->lock);
 	stopping = claims->stopping;
-	kept = !stopping && clock_now_ms() < report->until_ms;
-	if (kept) {
+	requeued = !stopping && clock_now_ms() < report->until_ms;
+	if (requeued) {
 		TAILQ_INSERT_TAIL(&claims->reports, report, entry);
 		claims->n_reports++;
 	}
 	g_mutex_unlock(&claims->lock);
-	if (!kept) {
+	if (!requeued) {
 		event_log(LOG_WARNING, "claim_report_given_up", "op=%u",
 		    report->req.item.op);
 		report_free(report);
 	}
 	if (!stopping)
-		g_usleep(REPORT_PAUSE_MS * 1000);
+		g_usleep(REPORT_RETRY_MS * 1000);
 	return (!stopping);
 }
 
@@ -441,7 +454,7 @@
 	while ((report = reporter_take(claims)) != NULL) {
 		if (report_send(claims, report))
 			report_free(report);
-		else if (!reporter_again(claims, report))
+		else if (!reporter_requeue(claims, report))
 			break;
 	}
 	return (NULL);
--- a/src/claims.h
+++ b/src/claims.h
@@ -1,4 +1,4 @@
-/* Claims on request ids, so that a non-idempotent request runs at most once. */
+/* Claims on request ids: a non-idempotent request runs at most once. */
 #ifndef BL_CLAIMS_H
 #define BL_CLAIMS_H
 
@@ -12,10 +12,11 @@
 struct server;
 
 /**
- * struct claim_result - what an attempt learnt.
- * @verdict: CLAIM_GRANTED, or why it must not dispatch
- * @status: recorded status, for CLAIM_DONE
- * @body: recorded answer, for CLAIM_DONE, or NULL; free with g_free()
+ * struct claim_result - result of a claim.
+ * @verdict: CLAIM_GRANTED, or why the request must not be dispatched
+ * @status: HTTP status of the recorded response, for CLAIM_DONE
+ * @body: body of the recorded response, for CLAIM_DONE, or NULL; free with
+ *	g_free()
  */
 struct claim_result {
 	enum claim_verdict verdict;
--- a/src/request.c
+++ b/src/request.c
@@ -1,4 +1,4 @@
-/* One request of a caller: who, until when, and what became of it. */
+/* A client's request, from admission to its outcome. */
 #include <stdarg.h>
 #include <string.h>
 #include <urcu-bp.h>
@@ -9,15 +9,15 @@
 #include "random.h"
 #include "request.h"
 
-/* How long a request waits for news of other failure domains. */
+/* How long a request waits for state from other failure domains. */
 #define REMOTE_WAIT_MS 600
-#define REMOTE_STEP_MS 20
+#define REMOTE_POLL_MS 20
 
 /**
- * request_create() - begin a request that was admitted.
+ * request_create() - create a request that passed the customer's limits.
  * @server: this daemon
- * @customer: whose it is; the reference is taken over
- * @id: the caller's request id, or NULL to make one
+ * @customer: the customer that sent it; ownership of the reference is taken
+ * @id: the client's request id, or NULL to generate one
  */
 struct request *
 request_create(struct server *server, struct customer *customer, const char *id)
@@ -36,13 +36,14 @@
 }
 
 /**
- * request_free() - end a request; gives back what it held.
+ * request_free() - free a request and release its slot and its part of the
+ * customer's limits.
  * @req: the request
  */
 void
 request_free(struct request *req)
 {
-	/* A caller that went away: the request may have run. */
+	/* The client has disconnected: the request may have run. */
 	if (!req->counted)
 		request_end(req, OUTCOME_UNKNOWN, 0, NULL);
 	if (req->admission != NULL) {
@@ -61,8 +62,9 @@
 }
 
 /**
- * request_cleanup() - clean-up attribute for a request.
- * @req: the variable
+ * request_cleanup() - free a request at the end of its scope (cleanup
+ * attribute).
+ * @req: the variable; may hold NULL
  */
 void
 request_cleanup(struct request **req)
@@ -71,9 +73,12 @@
 		request_free(*req);
 }
 
-/* The set that the request is routed by; within a read section. */
+/*
+ * Returns the route set of the request's deployment or service, or NULL. Called
+ * within an RCU read-side section.
+ */
 static struct route_set *
-request_set(struct request *req, const struct view *view)
+request_route_set(struct request *req, const struct view *view)
 {
 	if (view == NULL)
 		return (NULL);
@@ -83,7 +88,7 @@
 }
 
 /**
- * request_service_declared() - whether its deployment or service is declared.
+ * request_service_declared() - whether the deployment or service is declared.
  * @req: the request
  * @leaving: set to whether this daemon refuses new requests
  */
@@ -93,21 +98,22 @@
 	bool known;
 
 	rcu_read_lock();
-	known = request_set(req, rcu_dereference(req->server->view)) != NULL;
+	known =
+	    request_route_set(req, rcu_dereference(req->server->view)) != NULL;
 	rcu_read_unlock();
 	*leaving = atomic_load(&req->server->refusing);
 	return (known);
 }
 
-/* The queue of the request's deployment, with a reference, or NULL. */
+/* Returns a reference to the admission queue of the deployment, or NULL. */
 static struct admission *
-request_queue(struct request *req)
+request_admission(struct request *req)
 {
 	struct admission *a = NULL;
 	struct route_set *set;
 
 	rcu_read_lock();
-	set = request_set(req, rcu_dereference(req->server->view));
+	set = request_route_set(req, rcu_dereference(req->server->view));
 	if (set != NULL && set->admission != NULL)
 		a = admission_ref(set->admission);
 	rcu_read_unlock();
@@ -117,12 +123,14 @@
 /**
  * request_admit() - wait for a slot at the deployment's replicas.
  * @req: the request
- * @f: set when it is refused, at once or because its time is up
+ * @f: set if the request is refused, at once or at its deadline
+ *
+ * Return: false if @f was set.
  */
 bool
 request_admit(struct request *req, struct failure *f)
 {
-	struct admission *a = request_queue(req);
+	struct admission *a = request_admission(req);
 	uint64_t retry_ms = 0;
 
 	if (a == NULL)
@@ -140,13 +148,13 @@
 	admission_unref(a);
 	request_count_refused(req);
 	failure_set(f, ERROR_OVERLOADED, OUTCOME_NOT_RUN, retry_ms + 1,
-	    "the replicas are busy, and the queue is full or too long");
+	    "all replicas are busy and the queue is full or too long");
 	return (false);
 }
 
-/* Chooses among the targets that may be sent to now. */
+/* Chooses one of the targets that are valid now; NULL if there is none. */
 static struct target *
-request_choose(struct request *req)
+request_choose_target(struct request *req)
 {
 	struct route_request rr = { .prefix = req->prefix };
 	struct target *target = NULL;
@@ -154,7 +162,7 @@
 
 	rr.random = ((uint64_t)g_random_int() << 32) | g_random_int();
 	rcu_read_lock();
-	set = request_set(req, rcu_dereference(req->server->view));
+	set = request_route_set(req, rcu_dereference(req->server->view));
 	if (set != NULL)
 		target = route_set_choose(set, &rr, req->tried, clock_now_ms(),
 		    &req->policy);
@@ -165,7 +173,10 @@
 	return (target);
 }
 
-/* Whether other targets exist that could become valid by news of others. */
+/*
+ * Whether there are further targets that could become valid by state from other
+ * failure domains.
+ */
 static bool
 request_has_remote(struct request *req)
 {
@@ -173,34 +184,38 @@
 	bool has = false;
 
 	rcu_read_lock();
-	set = request_set(req, rcu_dereference(req->server->view));
+	set = request_route_set(req, rcu_dereference(req->server->view));
 	if (set != NULL)
 		has = route_set_has_remote(set, req->tried);
 	rcu_read_unlock();
 	return (has);
 }
 
-/* Asks the other failure domains for news, and waits a little for it. */
+/*
+ * Requests state from the other failure domains and waits for it, for at most
+ * REMOTE_WAIT_MS.
+ */
 static struct target *
 request_choose_remote(struct request *req)
 {
-	uint64_t until = MIN(clock_now_ms() + REMOTE_WAIT_MS, req->deadline_ms);
+	uint64_t until_ms =
+	    MIN(clock_now_ms() + REMOTE_WAIT_MS, req->deadline_ms);
 	struct target *target = NULL;
 
-	while (target == NULL && clock_now_ms() < until) {
+	while (target == NULL && clock_now_ms() < until_ms) {
 		atomic_store(&req->server->want_remote, true);
-		g_usleep(REMOTE_STEP_MS * 1000);
-		target = request_choose(req);
+		g_usleep(REMOTE_POLL_MS * 1000);
+		target = request_choose_target(req);
 	}
 	return (target);
 }
 
 /**
- * request_expired() - whether the request's time is up.
+ * request_expired() - whether the deadline of the request has passed.
  * @req: the request
  *
- * Looked at before every dispatch: a daemon that was frozen must not run what
- * the caller has given up on.
+ * Checked before every dispatch: a daemon that was suspended must not dispatch
+ * a request that the client has given up on.
  */
 bool
 request_expired(const struct request *req)
@@ -212,11 +227,12 @@
  * request_next_target() - choose the next target.
  * @req: the request
  *
- * News of other failure domains come rarely, since they are rarely needed.
- * When nothing of the own domain is left, they are asked for, once a request.
+ * State from other failure domains is exchanged rarely, since it is rarely
+ * needed. If no target in the daemon's own failure domain is left, it is
+ * requested, once per request.
  *
- * Return: a target that it was not sent to before, kept in @tried; NULL when
- * there is none or the time is up.
+ * Return: a target that the request was not sent to before, owned by @tried;
+ * NULL if there is none or the deadline has passed.
  */
 struct target *
 request_next_target(struct request *req)
@@ -225,7 +241,7 @@
 
 	if (request_expired(req))
 		return (NULL);
-	target = request_choose(req);
+	target = request_choose_target(req);
 	if (target == NULL && !req->asked_remote && request_has_remote(req)) {
 		req->asked_remote = true;
 		target = request_choose_remote(req);
@@ -236,8 +252,10 @@
 }
 
 /**
- * request_retry_allowed() - take one retry off the customer's budget.
+ * request_retry_allowed() - take one retry from the customer's retry budget.
  * @req: the request
+ *
+ * Return: false if the budget is exhausted.
  */
 bool
 request_retry_allowed(struct request *req)
@@ -246,8 +264,9 @@
 	    retry_budget_take(customer_budget(req->customer, req->service)));
 }
 
+/* Counts the end of a request in one series of the metrics. */
 static void
-count_end(struct series *s, enum outcome outcome, uint64_t us)
+series_count_end(struct series *s, enum outcome outcome, uint64_t us)
 {
 	switch (outcome) {
 	case OUTCOME_WHOLE:
@@ -263,9 +282,12 @@
 	}
 }
 
-/* Records what became of a claimed id. */
+/*
+ * Records the end of a request whose id was claimed. If its outcome is unknown,
+ * the claim stays as it is, so that the request is not run again.
+ */
 static void
-end_claim(struct request *req, enum outcome outcome, int status,
+request_end_claim(struct request *req, enum outcome outcome, int status,
     const char *body)
 {
 	if (req->claim_id == NULL)
@@ -279,11 +301,12 @@
 }
 
 /**
- * request_end() - count the end, and record it for a claimed id.
+ * request_end() - count and log the end of a request, and record it if the id
+ * is claimed. Does nothing if the request was ended before.
  * @req: the request
- * @outcome: what is known
- * @status: HTTP status of the answer
- * @body: the answer if it is text, or NULL
+ * @outcome: its outcome
+ * @status: HTTP status of the response
+ * @body: body of the response if it is text, or NULL
  */
 void
 request_end(struct request *req, enum outcome outcome, int status,
@@ -296,13 +319,13 @@
 	if (req->counted)
 		return;
 	req->counted = true;
-	count_end(&req->customer->series, outcome, us);
-	count_end(policy_series(req->policy), outcome, us);
-	count_end(class_series(batch), outcome, us);
+	series_count_end(&req->customer->series, outcome, us);
+	series_count_end(policy_series(req->policy), outcome, us);
+	series_count_end(class_series(batch), outcome, us);
 	if (outcome == OUTCOME_WHOLE && req->service != NULL)
 		retry_budget_success(
 		    customer_budget(req->customer, req->service));
-	end_claim(req, outcome, status, body);
+	request_end_claim(req, outcome, status, body);
 	event_log(outcome == OUTCOME_UNKNOWN ? LOG_NOTICE : LOG_INFO,
 	    "request_end",
 	    "request=%s customer=%s service=%s outcome=%s "
@@ -312,7 +335,7 @@
 }
 
 /**
- * request_count_refused() - count that a limit refused it.
+ * request_count_refused() - count a request that was refused by a limit.
  * @req: the request
  */
 void
@@ -323,11 +346,11 @@
 
 /**
  * failure_set() - set why a request failed.
- * @f: the failure; what it held is freed
- * @error: the type
- * @outcome: what is known of the request
- * @retry_after_ms: when to come back, 0 for not at all
- * @fmt: message for people
+ * @f: the failure; its previous message is freed
+ * @error: error code
+ * @outcome: what is known of whether the request ran
+ * @retry_after_ms: delay after which the client may retry, 0 if it should not
+ * @fmt: format of a human-readable message
  */
 void
 failure_set(struct failure *f, enum error_code error, enum outcome outcome,
@@ -345,7 +368,7 @@
 }
 
 /**
- * failure_clear() - clean-up attribute for a failure.
+ * failure_clear() - free the content of a failure (cleanup attribute).
  * @f: the failure
  */
 void
--- a/src/request.h
+++ b/src/request.h
@@ -1,4 +1,4 @@
-/* One request of a caller: who, until when, and what became of it. */
+/* A client's request, from admission to its outcome. */
 #ifndef BL_REQUEST_H
 #define BL_REQUEST_H
 
@@ -15,24 +15,24 @@
 /**
  * struct request - one request.
  * @server: this daemon
- * @customer: whose it is; a reference
- * @id: the caller's request id, or one made here
- * @claim_id: customer and @id, once claimed, else NULL
- * @token: this attempt at @claim_id
+ * @customer: the customer that sent the request; a reference
+ * @id: the client's request id, or a generated one
+ * @claim_id: customer and @id once they are claimed, else NULL
+ * @token: token of this attempt to claim @claim_id
  * @service: name of the deployment or service
- * @is_service: a plain service rather than a deployment
- * @idempotent: it may run more than once
- * @deadline_ms: monotonic time at which its time is up
- * @started_us: when it came in
- * @prefix: hash of the prompt's prefix, or 0
- * @tried: targets it was sent to, with references
- * @policy: the policy that chose the latest target
- * @asked_remote: news of other failure domains were asked for
- * @may_have_run: some call ended so that it may have run
- * @admission: the queue that gave it a slot, or NULL; a reference
- * @ticket: its place there
- * @slot_ms: when it got the slot
- * @counted: its end was counted
+ * @is_service: true for a plain service, false for a deployment
+ * @idempotent: the request may be executed more than once
+ * @deadline_ms: monotonic time of the deadline, in ms
+ * @started_us: monotonic time at which the request was received, in us
+ * @prefix: hash of the first bytes of the prompt, or 0
+ * @tried: targets that the request was sent to, with references
+ * @policy: routing policy that chose the latest target
+ * @asked_remote: state was requested from the other failure domains
+ * @may_have_run: a call ended in such a way that the request may have run
+ * @admission: queue that granted a slot, or NULL; a reference
+ * @ticket: entry in that queue
+ * @slot_ms: monotonic time at which the slot was granted, in ms
+ * @counted: the end of the request was counted
  */
 struct request {
 	struct server *server;
@@ -57,11 +57,11 @@
 };
 
 /**
- * struct failure - why a request failed, as told to the caller.
- * @error: the type
- * @outcome: what is known of the request
- * @retry_after_ms: when to come back, 0 for not at all
- * @message: for people; free with g_free()
+ * struct failure - why a request failed, as reported to the client.
+ * @error: error code
+ * @outcome: what is known of whether the request ran
+ * @retry_after_ms: delay after which the client may retry, 0 if it should not
+ * @message: human-readable message; free with g_free()
  */
 struct failure {
 	enum error_code error;
