--- a/tests/test-calls.c
+++ b/tests/test-calls.c
@@ -1,4 +1,4 @@
-/* Scripts over the ends of calls: what follows, and what is known. */
+/* Scripted tests of what follows the end of a call (call_end_decide()). */
 #include "call-end.h"
 #include "script.h"
 
@@ -13,7 +13,7 @@
 	return (script_number(line, name, 0) != 0);
 }
 
-/* end phase=P [status=N] [flag=1...]: action, outcome and error */
+/* end phase=P [status=N] [flag=1...]: prints action, outcome and error */
 static void
 exec_end(const char *rest, GString *out)
 {
@@ -25,10 +25,10 @@
 	end.phase = (enum call_phase)script_number(rest, "phase", 0);
 	end.status = (int)script_number(rest, "status", 0);
 	end.not_started = flag(rest, "not_started");
-	end.malformed = flag(rest, "garbage");
-	end.expired = flag(rest, "deadline");
+	end.malformed = flag(rest, "malformed");
+	end.expired = flag(rest, "expired");
 	end.idempotent = flag(rest, "idempotent");
-	end.delivered = flag(rest, "given");
+	end.delivered = flag(rest, "delivered");
 	end.resumable = flag(rest, "resumable");
 	v = call_end_decide(&end);
 	g_string_append_printf(out, "%s %s %s\n", actions[v.action],
--- a/tests/test-chunks.c
+++ b/tests/test-chunks.c
@@ -1,4 +1,4 @@
-/* Scripts over the order of a stream's chunks. */
+/* Scripted tests of the reorder buffer and the parser of events. */
 #include <string.h>
 
 #include "chunk-order.h"
@@ -28,10 +28,10 @@
 		g_free(text);
 	}
 	if (chunk_order_complete(&order))
-		g_string_append(out, "whole\n");
+		g_string_append(out, "complete\n");
 }
 
-/* add INDEX TEXT: a chunk comes */
+/* add INDEX TEXT: a chunk is received */
 static void
 exec_add(const char *rest, GString *out)
 {
@@ -42,7 +42,7 @@
 	print_ready(out);
 }
 
-/* end COUNT: the end mark comes */
+/* end COUNT: the end marker is received */
 static void
 exec_end(const char *rest, GString *out)
 {
@@ -51,7 +51,7 @@
 	print_ready(out);
 }
 
-/* bytes TEXT: bytes come, with \n for a new line; prints whole events */
+/* bytes TEXT: bytes are received, \n is a newline; prints complete events */
 static void
 exec_bytes(const char *rest, GString *out)
 {
--- a/tests/test-claims.c
+++ b/tests/test-claims.c
@@ -1,20 +1,20 @@
-/* Scripts over the claims on request ids. */
+/* Scripted tests of the index of claims on request ids. */
 #include "claim-index.h"
 #include "script.h"
 
 static struct claim_index index_;
-static gboolean made;
+static gboolean initialized;
 
 static void
 reset(void)
 {
-	if (made)
+	if (initialized)
 		claim_index_destroy(&index_);
 	claim_index_init(&index_);
-	made = TRUE;
+	initialized = TRUE;
 }
 
-/* ops JSON: replays a record with these operations. */
+/* ops JSON: applies a record with these operations */
 static void
 exec_ops(const char *rest, GString *out)
 {
@@ -25,7 +25,7 @@
 	claim_index_apply(&index_, index_.next, record);
 }
 
-/* ask ID TOKEN FINGERPRINT: the verdict for an attempt. */
+/* ask ID TOKEN FINGERPRINT: prints the verdict on the claim of an attempt */
 static void
 exec_ask(const char *rest, GString *out)
 {
@@ -44,7 +44,7 @@
 	g_string_append_c(out, '\n');
 }
 
-/* expire FIRST: the log keeps nothing older. */
+/* expire FIRST: the log keeps no record before this offset */
 static void
 exec_expire(const char *rest, GString *out)
 {
@@ -63,7 +63,7 @@
 {
 	int rc = script_main("claims", commands, reset);
 
-	if (made)
+	if (initialized)
 		claim_index_destroy(&index_);
 	return (rc);
 }
