--- a/src/client-api-service.c
+++ b/src/client-api-service.c
@@ -80,7 +80,7 @@
  * passes. Returns how it ended.
  */
 static struct call_end
-call_run(struct request *req, struct call *call)
+service_call_run(struct request *req, struct call *call)
 {
 	const char *not_started;
 	struct call_end end = { 0 };
@@ -144,14 +144,14 @@
 
 /* Calls one target, waits for the end of the call and records its result. */
 static struct call *
-call_target(struct request *req, struct target *target,
+service_call_target(struct request *req, struct target *target,
     const struct _u_request *in, const char *suffix, struct call_end *end)
 {
 	struct call *call;
 
 	atomic_fetch_add(&target->inflight, 1);
 	call = service_call_start(req, target, in, suffix);
-	*end = call_run(req, call);
+	*end = service_call_run(req, call);
 	atomic_fetch_sub(&target->inflight, 1);
 	if (response_complete(end))
 		target_latency(target, call_first_byte_us(call),
@@ -178,7 +178,7 @@
 
 	while (target != NULL) {
 		call_cleanup(&call);
-		call = call_target(req, target, in, suffix, &end);
+		call = service_call_target(req, target, in, suffix, &end);
 		v = call_end_decide(&end);
 		log_debug("call_end", "target=%s phase=%d status=%d action=%d",
 		    target->name, (int)end.phase, end.status, (int)v.action);
--- a/src/client-api.c
+++ b/src/client-api.c
@@ -22,9 +22,9 @@
 #define RUNNING_RETRY_AFTER_MS 1000
 #define LEAVING_RETRY_AFTER_MS 1000
 
-/* Returns a reference to the customer with the request's API key, or NULL. */
+/* Returns a reference to the customer of the request's API key, or NULL. */
 static struct customer *
-customer_find(struct server *server, const struct _u_request *in)
+authenticate(struct server *server, const struct _u_request *in)
 {
 	const char *auth = u_map_get_case(in->map_header, "Authorization");
 	g_autofree char *hash = NULL;
@@ -159,7 +159,7 @@
 	if (!input_check(server, in, f) ||
 	    !headers_read(in, &id, &timeout_ms, f))
 		return (NULL);
-	customer = customer_find(server, in);
+	customer = authenticate(server, in);
 	if (customer == NULL) {
 		failure_set(f, ERROR_UNAUTHORIZED, OUTCOME_NOT_RUN, 0,
 		    "no customer has this API key");
--- a/src/completion.c
+++ b/src/completion.c
@@ -59,7 +59,7 @@
 }
 
 static void
-close_call(struct completion *c)
+completion_close_call(struct completion *c)
 {
 	if (c->call == NULL)
 		return;
@@ -75,7 +75,7 @@
 void
 completion_free(struct completion *c)
 {
-	close_call(c);
+	completion_close_call(c);
 	chunk_order_clear(&c->order);
 	json_decref(c->body);
 	request_free(c->req);
@@ -84,7 +84,7 @@
 
 /* Calls a target for the chunks that are not yet delivered to the client. */
 static void
-open_call(struct completion *c, struct target *target)
+completion_open_call(struct completion *c, struct target *target)
 {
 	g_autofree char *url =
 	    g_strconcat(target->url, "/v1/completions", NULL);
@@ -117,7 +117,7 @@
 
 /* Processes one event of the engine's stream; false if it is malformed. */
 static bool
-handle_event(struct completion *c, const char *data)
+completion_handle_event(struct completion *c, const char *data)
 {
 	json_auto_t *event = json_loads(data, 0, NULL);
 	json_int_t index, tokens;
@@ -135,7 +135,7 @@
 
 /* Processes the complete events that were received. */
 static void
-handle_events(struct completion *c)
+completion_handle_events(struct completion *c)
 {
 	const char *resumes = call_header(c->call, "engine-resumes");
 	char *data;
@@ -143,14 +143,14 @@
 	c->resumable = resumes != NULL && strcmp(resumes, "exact") == 0;
 	while (!c->malformed &&
 	    (data = event_stream_take(call_body(c->call))) != NULL) {
-		c->malformed = !handle_event(c, data);
+		c->malformed = !completion_handle_event(c, data);
 		g_free(data);
 	}
 }
 
 /* Counts a delivered chunk in the metrics. */
 static void
-series_count_chunk(struct completion *c)
+count_chunk(struct completion *c)
 {
 	struct series *all[] = { &c->req->customer->series,
 		policy_series(c->req->policy),
@@ -170,7 +170,7 @@
 
 /* Describes the end of the call for call_end_decide(). */
 static struct call_end
-call_end_describe(struct completion *c, bool stalled)
+completion_describe_end(struct completion *c, bool stalled)
 {
 	const char *not_started = call_header(c->call, "not-started");
 	struct call_end end = {
@@ -210,13 +210,13 @@
 
 /* Chooses a target and calls it; false if no target is left. */
 static bool
-call_next_target(struct completion *c)
+completion_call_next(struct completion *c)
 {
 	struct target *target = request_next_target(c->req);
 
 	if (target == NULL)
 		return (false);
-	open_call(c, target);
+	completion_open_call(c, target);
 	return (true);
 }
 
@@ -225,15 +225,15 @@
  * resumes at another target and returns true, or fails and returns false.
  */
 static bool
-retry_or_fail(struct completion *c, bool stalled, struct failure *f)
+completion_retry_or_fail(struct completion *c, bool stalled, struct failure *f)
 {
-	struct call_end end = call_end_describe(c, stalled);
+	struct call_end end = completion_describe_end(c, stalled);
 	struct call_verdict v = call_end_decide(&end);
 
 	log_debug("call_end", "target=%s phase=%d status=%d action=%d",
 	    c->target->name, (int)end.phase, end.status, (int)v.action);
 	target_heard(c->target, c->call);
-	close_call(c);
+	completion_close_call(c);
 	target_failed(c->target, clock_now_ms());
 	if (v.outcome == OUTCOME_UNKNOWN)
 		c->req->may_have_run = true;
@@ -244,7 +244,7 @@
 		v.action = CALL_FAIL;
 	}
 	if (v.action != CALL_FAIL && request_retry_allowed(c->req) &&
-	    call_next_target(c))
+	    completion_call_next(c))
 		return (true);
 	completion_fail(c, f, v.error, v.outcome,
 	    "no replica completed the response");
@@ -256,7 +256,7 @@
  * false if the call has ended, stalled or violated the protocol.
  */
 static bool
-read_more(struct completion *c, bool *stalled)
+completion_read(struct completion *c, bool *stalled)
 {
 	uint64_t stall_at_ms =
 	    clock_now_ms() + (uint64_t)c->req->server->set.stall_ms;
@@ -270,7 +270,7 @@
 		return (false);
 	}
 	if (call_head_received(c->call) && call_status(c->call) == 200)
-		handle_events(c);
+		completion_handle_events(c);
 	return (!c->malformed);
 }
 
@@ -280,7 +280,7 @@
 {
 	target_latency(c->target, call_first_byte_us(c->call), clock_now_ms());
 	target_heard(c->target, c->call);
-	close_call(c);
+	completion_close_call(c);
 	request_end(c->req, OUTCOME_WHOLE, 200, NULL);
 	return (COMPLETION_END);
 }
@@ -296,7 +296,7 @@
 {
 	bool stalled;
 
-	if (c->call == NULL && !call_next_target(c)) {
+	if (c->call == NULL && !completion_call_next(c)) {
 		if (request_expired(c->req))
 			return (completion_fail(c, f, ERROR_DEADLINE,
 			    OUTCOME_NOT_RUN,
@@ -308,12 +308,13 @@
 		*text = chunk_order_take(&c->order);
 		if (*text != NULL) {
 			c->n_delivered++;
-			series_count_chunk(c);
+			count_chunk(c);
 			return (COMPLETION_CHUNK);
 		}
 		if (chunk_order_complete(&c->order))
 			return (completion_finish(c));
-		if (!read_more(c, &stalled) && !retry_or_fail(c, stalled, f))
+		if (!completion_read(c, &stalled) &&
+		    !completion_retry_or_fail(c, stalled, f))
 			return (COMPLETION_FAILED);
 	}
 }
--- a/src/request.c
+++ b/src/request.c
@@ -266,7 +266,7 @@
 
 /* Counts the end of a request in one series of the metrics. */
 static void
-series_count_end(struct series *s, enum outcome outcome, uint64_t us)
+count_end(struct series *s, enum outcome outcome, uint64_t us)
 {
 	switch (outcome) {
 	case OUTCOME_WHOLE:
@@ -319,9 +319,9 @@
 	if (req->counted)
 		return;
 	req->counted = true;
-	series_count_end(&req->customer->series, outcome, us);
-	series_count_end(policy_series(req->policy), outcome, us);
-	series_count_end(class_series(batch), outcome, us);
+	count_end(&req->customer->series, outcome, us);
+	count_end(policy_series(req->policy), outcome, us);
+	count_end(class_series(batch), outcome, us);
 	if (outcome == OUTCOME_WHOLE && req->service != NULL)
 		retry_budget_success(
 		    customer_budget(req->customer, req->service));
