--- a/src/claim-index.c
+++ b/src/claim-index.c
@@ -157,7 +157,7 @@
 }
 
 /**
- * claim_index_verdict() - look up the result of an attempt's claim.
+ * claim_index_verdict() - look up the verdict on an attempt's claim.
  * @index: the index; the record of the attempt's claim is applied
  * @id: customer and request id
  * @token: token of the attempt
--- a/src/claim-index.h
+++ b/src/claim-index.h
@@ -27,7 +27,7 @@
 };
 
 /**
- * enum claim_verdict - result of an operation.
+ * enum claim_verdict - verdict on an operation.
  * @CLAIM_PENDING: not decided yet; ask again
  * @CLAIM_GRANTED: the token holds the id, or the operation is recorded
  * @CLAIM_RUNNING: another token holds the id, and no response is recorded
--- a/src/claim-item.h
+++ b/src/claim-item.h
@@ -15,7 +15,7 @@
  * @fingerprint: hash of the request
  * @status: HTTP status of the response, for CLAIM_OP_FINISH
  * @body: body of the response, for CLAIM_OP_FINISH, or NULL
- * @reply_ip: address of the daemon to notify of the result; 0 for this daemon
+ * @reply_ip: address of the daemon to send the decision to; 0 for this daemon
  * @reply_port: port of that daemon
  * @entry: entry in the queue or in a batch
  */
--- a/src/claim-partition.c
+++ b/src/claim-partition.c
@@ -237,7 +237,7 @@
  * @log: client of the log service
  * @number: number of the partition
  * @interval_ms: minimum time between two appends
- * @sink: receiver of the results; copied
+ * @sink: receiver of the decisions; copied
  */
 struct claim_partition *
 claim_partition_create(struct log_client *log, unsigned number,
--- a/src/claim-partition.h
+++ b/src/claim-partition.h
@@ -9,7 +9,7 @@
 #include "log-client.h"
 
 /**
- * struct claim_sink - receiver of the results.
+ * struct claim_sink - receiver of the decisions.
  * @decided: called for each decided operation, by the partition's thread
  *	without its lock
  * @arg: first argument of @decided
--- a/src/claims.c
+++ b/src/claims.c
@@ -16,9 +16,9 @@
 #include "route.h"
 #include "server.h"
 
-/* How long an attempt waits for the result of its claim. */
+/* How long an attempt waits for the decision on its claim. */
 #define ACQUIRE_TIMEOUT_MS 4000
-/* Without a result, an operation is sent again after this time. */
+/* Without a decision, an operation is sent again after this time. */
 #define RESEND_MS 500
 /* Timeout of a call to another daemon. */
 #define CALL_TIMEOUT_MS 300
@@ -29,7 +29,7 @@
 /* Largest number of finishes and releases that wait to be recorded. */
 #define REPORTS_MAX 10000
 
-/* A thread that waits for the result of an operation. */
+/* A thread that waits for the decision on an operation. */
 struct waiter {
 	char *key;
 	atomic_bool decided;
@@ -83,14 +83,14 @@
 }
 
 /**
- * claims_decided() - pass on the result of an operation of this daemon.
+ * claims_note_decision() - note the decision on an operation of this daemon.
  * @claims: the claims
  * @kind: the operation
  * @token: token of the attempt
- * @answer: the result; copied to whoever waits for it
+ * @answer: the decision; copied to the thread that waits for it
  */
 void
-claims_decided(struct claims *claims, enum claim_op_kind kind,
+claims_note_decision(struct claims *claims, enum claim_op_kind kind,
     const char *token, const struct claim_answer *answer)
 {
 	g_autofree char *key = waiter_key(kind, token);
@@ -106,7 +106,7 @@
 	g_mutex_unlock(&claims->lock);
 }
 
-/* Passes a result from a partition to the daemon that sent the operation. */
+/* Passes a decision of a partition to the daemon that sent the operation. */
 static void
 sink_decided(void *arg, const struct claim_item *item,
     const struct claim_answer *answer)
@@ -115,7 +115,7 @@
 	struct claim_decision decision = { item->kind, item->token, *answer };
 
 	if (item->reply_ip == 0)
-		claims_decided(claims, item->kind, item->token, answer);
+		claims_note_decision(claims, item->kind, item->token, answer);
 	else
 		peer_decided(item->reply_ip, item->reply_port, &decision);
 }
@@ -213,7 +213,7 @@
  * claims_serve() - submit an operation to its partition at this daemon.
  * @claims: the claims
  * @req: the operation, from this daemon or another
- * @answer: set; CLAIM_PENDING if the result will be sent later
+ * @answer: set; CLAIM_PENDING if the decision will be sent later
  */
 void
 claims_serve(struct claims *claims, const struct claim_request *req,
@@ -252,7 +252,7 @@
 	return (false);
 }
 
-/* Waits for the result, for at most RESEND_MS; returns whether it came. */
+/* Waits for the decision for at most RESEND_MS; returns whether it is made. */
 static bool
 waiter_wait(struct claims *claims, struct waiter *waiter, uint64_t until_ms)
 {
@@ -289,7 +289,7 @@
 	g_free(waiter->key);
 }
 
-/* Sends an operation once and waits for its result; see waiter_wait(). */
+/* Sends an operation once and waits for the decision; see waiter_wait(). */
 static bool
 claims_send_and_wait(struct claims *claims, struct claim_request *req,
     GArray *excluded, struct waiter *waiter, uint64_t until_ms)
@@ -299,7 +299,7 @@
 	if (!claims_send(claims, req, excluded, &answer))
 		return (false);
 	if (answer.verdict != CLAIM_PENDING)
-		claims_decided(claims, (enum claim_op_kind)req->item.op,
+		claims_note_decision(claims, (enum claim_op_kind)req->item.op,
 		    req->item.token, &answer);
 	xdr_free((xdrproc_t)xdr_claim_answer, &answer);
 	return (waiter_wait(claims, waiter, until_ms));
@@ -312,8 +312,8 @@
  * @token: token of the attempt; never reused
  * @fingerprint: hash of the request
  * @deadline_ms: deadline of the request, monotonic time in ms
- * @result: set; CLAIM_UNAVAILABLE if the log failed or there was no result in
- *	time
+ * @result: set; CLAIM_UNAVAILABLE if the log failed or there was no decision
+ *	in time
  *
  * After CLAIM_UNAVAILABLE the claim may still take effect. The attempt must not
  * dispatch the request, and must submit CLAIM_OP_RELEASE by claims_report().
--- a/src/request.c
+++ b/src/request.c
@@ -9,7 +9,7 @@
 #include "random.h"
 #include "request.h"
 
-/* How long a request waits for state from other failure domains. */
+/* How long a request waits for gossip from other failure domains. */
 #define REMOTE_WAIT_MS 600
 #define REMOTE_POLL_MS 20
 
@@ -174,8 +174,8 @@
 }
 
 /*
- * Whether there are further targets that could become valid by state from other
- * failure domains.
+ * Whether there are further targets that could become valid by gossip from
+ * other failure domains.
  */
 static bool
 request_has_remote(struct request *req)
@@ -192,7 +192,7 @@
 }
 
 /*
- * Requests state from the other failure domains and waits for it, for at most
+ * Requests gossip from the other failure domains and waits for it, for at most
  * REMOTE_WAIT_MS.
  */
 static struct target *
@@ -227,7 +227,7 @@
  * request_next_target() - choose the next target.
  * @req: the request
  *
- * State from other failure domains is exchanged rarely, since it is rarely
+ * Gossip from other failure domains is exchanged rarely, since it is rarely
  * needed. If no target in the daemon's own failure domain is left, it is
  * requested, once per request.
  *
--- a/src/request.h
+++ b/src/request.h
@@ -27,7 +27,7 @@
  * @prefix: hash of the first bytes of the prompt, or 0
  * @tried: targets that the request was sent to, with references
  * @policy: routing policy that chose the latest target
- * @asked_remote: state was requested from the other failure domains
+ * @asked_remote: gossip was requested from the other failure domains
  * @may_have_run: a call ended in such a way that the request may have run
  * @admission: queue that granted a slot, or NULL; a reference
  * @ticket: entry in that queue
