--- a/src/client-api-service.c
+++ b/src/client-api-service.c
@@ -194,7 +194,7 @@
 		pass_response(req, call, res);
 	else
 		reply_failure(req, res, v.error, v.outcome,
-		    "no endpoint gave a complete response");
+		    "no endpoint gave a whole answer");
 }
 
 /**
--- a/src/client-api.c
+++ b/src/client-api.c
@@ -125,7 +125,7 @@
 	if (atomic_load(&server->refusing)) {
 		failure_set(f, ERROR_LEAVING, OUTCOME_NOT_RUN,
 		    LEAVING_RETRY_AFTER_MS,
-		    "this daemon is shutting down; send the request to another");
+		    "this daemon is stopping; another one will serve");
 		return (false);
 	}
 	if (in->binary_body_length > (size_t)server->set.body_bytes) {
@@ -162,14 +162,13 @@
 	customer = authenticate(server, in);
 	if (customer == NULL) {
 		failure_set(f, ERROR_UNAUTHORIZED, OUTCOME_NOT_RUN, 0,
-		    "no customer has this API key");
+		    "no customer has this key");
 		return (NULL);
 	}
 	if (!limit_admit(&customer->limit, clock_now_us(), &wait_us)) {
 		atomic_fetch_add(&customer->series.refused, 1);
 		failure_set(f, ERROR_RATE_LIMITED, OUTCOME_NOT_RUN,
-		    wait_us / 1000 + 1,
-		    "the customer's rate or concurrency limit is reached");
+		    wait_us / 1000 + 1, "the customer's limit is reached");
 		customer_unref(customer);
 		return (NULL);
 	}
@@ -237,23 +236,21 @@
 			return;
 		}
 		failure_set(&f, ERROR_REQUEST_REPEATED, OUTCOME_WHOLE, 0,
-		    "this request ran before, with status %d; its response was "
-		    "not kept",
+		    "this request ran before, with status %d; its answer was not kept",
 		    result->status);
 		break;
 	case CLAIM_REUSED:
 		failure_set(&f, ERROR_REQUEST_ID_REUSED, OUTCOME_NOT_RUN, 0,
-		    "this request id was used for a different request");
+		    "this id belongs to a different request");
 		break;
 	case CLAIM_RUNNING:
 		failure_set(&f, ERROR_REQUEST_REPEATED, OUTCOME_UNKNOWN,
 		    RUNNING_RETRY_AFTER_MS,
-		    "a request with this id is in progress, "
-		    "or its outcome is unknown");
+		    "a request with this id is in progress, or its outcome is not known");
 		break;
 	default:
 		failure_set(&f, ERROR_LOG_UNAVAILABLE, OUTCOME_NOT_RUN,
-		    LOG_RETRY_AFTER_MS, "the request id could not be claimed");
+		    LOG_RETRY_AFTER_MS, "the id could not be claimed");
 		break;
 	}
 	http_reply_failure(res, &f, req->id);
--- a/src/completion.c
+++ b/src/completion.c
@@ -247,7 +247,7 @@
 	    completion_call_next(c))
 		return (true);
 	completion_fail(c, f, v.error, v.outcome,
-	    "no replica completed the response");
+	    "the replica's answer did not come whole");
 	return (false);
 }
 
@@ -300,9 +300,9 @@
 		if (request_expired(c->req))
 			return (completion_fail(c, f, ERROR_DEADLINE,
 			    OUTCOME_NOT_RUN,
-			    "the deadline passed before the request was sent"));
+			    "the time was up before it was sent"));
 		return (completion_fail(c, f, ERROR_NO_ENDPOINT,
-		    OUTCOME_NOT_RUN, "no replica is available"));
+		    OUTCOME_NOT_RUN, "no whole replica can be reached"));
 	}
 	for (;;) {
 		*text = chunk_order_take(&c->order);
--- a/src/request.c
+++ b/src/request.c
@@ -148,7 +148,7 @@
 	admission_unref(a);
 	request_count_refused(req);
 	failure_set(f, ERROR_OVERLOADED, OUTCOME_NOT_RUN, retry_ms + 1,
-	    "all replicas are busy and the queue is full or too long");
+	    "the replicas are busy, and the queue is full or too long");
 	return (false);
 }
 
