--- a/src/admission.c
+++ b/src/admission.c
@@ -1,9 +1,9 @@
-/* Admission to one deployment: threads wait here for their slot. */
+/* Admission control of a deployment: request threads wait here for a slot. */
 #include "admission.h"
 #include "clock.h"
 
 /**
- * admission_create() - make an admission without bounds, with one reference.
+ * admission_create() - allocate with no bound on slots and one reference.
  * @name: name of the deployment
  */
 struct admission *
@@ -32,7 +32,7 @@
 }
 
 /**
- * admission_unref() - give a reference back.
+ * admission_unref() - drop a reference; the last one frees the admission.
  * @a: the admission
  */
 void
@@ -46,7 +46,7 @@
 	g_free(a);
 }
 
-/* Grants what can be granted; the lock is held. */
+/* Grants free slots to queued requests. The caller holds the lock. */
 static void
 admission_grant(struct admission *a)
 {
@@ -59,9 +59,9 @@
 }
 
 /**
- * admission_set_slots() - set how many requests are served at once.
+ * admission_set_slots() - set the number of slots and grant those now free.
  * @a: the admission
- * @slots: this daemon's share; 0 for any number
+ * @slots: this daemon's share of the replicas' capacity; 0 for no bound
  */
 void
 admission_set_slots(struct admission *a, unsigned slots)
@@ -73,13 +73,14 @@
 }
 
 /**
- * admission_acquire() - wait for a slot.
+ * admission_acquire() - wait for a slot, at most until the deadline.
  * @a: the admission
- * @t: the request's ticket, with weight, class and deadline
- * @flow: its customer's flow, of this deployment only
- * @retry_ms: set when it is refused: when to come back
+ * @t: ticket of the request; weight, class and deadline are set
+ * @flow: flow of the request's customer, of this deployment only
+ * @retry_ms: set if the request is refused: time after which to retry
  *
- * Return: FAIR_GRANTED, then admission_release() is owed; or FAIR_REFUSED.
+ * Return: FAIR_GRANTED, and the caller must call admission_release(); or
+ * FAIR_REFUSED.
  */
 enum fair_verdict
 admission_acquire(struct admission *a, struct fair_ticket *t,
@@ -106,9 +107,9 @@
 }
 
 /**
- * admission_release() - give a slot back.
+ * admission_release() - release a slot and grant it to a queued request.
  * @a: the admission
- * @held_ms: how long it was held
+ * @held_ms: time for which the slot was held
  */
 void
 admission_release(struct admission *a, uint64_t held_ms)
--- a/src/admission.h
+++ b/src/admission.h
@@ -1,4 +1,4 @@
-/* Admission to one deployment: threads wait here for their slot. */
+/* Admission control of a deployment: request threads wait here for a slot. */
 #ifndef BL_ADMISSION_H
 #define BL_ADMISSION_H
 
@@ -8,12 +8,12 @@
 #include "fair-queue.h"
 
 /**
- * struct admission - the queue of one deployment at this daemon.
- * @references: freed when it drops to 0
+ * struct admission - admission control of one deployment at this daemon.
+ * @references: reference count; the struct is freed when it drops to 0
  * @name: name of the deployment
  * @lock: guards @queue
- * @granted: signalled when a slot was granted
- * @queue: the queue
+ * @granted: broadcast after slots have been granted to queued requests
+ * @queue: slots in use and queued requests
  */
 struct admission {
 	atomic_uint references;
--- a/src/customer.c
+++ b/src/customer.c
@@ -1,12 +1,12 @@
-/* A customer at this daemon: limits, retry budgets and counts. */
+/* A customer at this daemon: limits, retry budgets and statistics. */
 #include <glib.h>
 #include <string.h>
 
 #include "customer.h"
 
 /**
- * customer_create() - make a customer with one reference.
- * @name: its name
+ * customer_create() - allocate a customer with one reference.
+ * @name: name of the customer
  */
 struct customer *
 customer_create(const char *name)
@@ -33,7 +33,7 @@
 }
 
 /**
- * customer_unref() - give a reference back.
+ * customer_unref() - drop a reference; the last one frees the customer.
  * @customer: the customer
  */
 void
@@ -46,8 +46,8 @@
 }
 
 /**
- * customer_cleanup() - clean-up attribute for a customer.
- * @customer: the variable
+ * customer_cleanup() - drop the reference in a variable that leaves scope.
+ * @customer: the variable, may hold NULL
  */
 void
 customer_cleanup(struct customer **customer)
@@ -57,10 +57,10 @@
 }
 
 /**
- * customer_update() - take the customer's declaration.
+ * customer_update() - apply class, weight and limits from the configuration.
  * @customer: the customer
- * @res: its resource
- * @daemons: how many daemons share its limits
+ * @res: resource that declares the customer
+ * @daemons: number of daemons that share its limits, at least 1
  */
 void
 customer_update(struct customer *customer, const struct resource *res,
@@ -76,9 +76,9 @@
 }
 
 /**
- * customer_retry_budget() - the retry budget toward a deployment or service.
+ * customer_retry_budget() - get the retry budget for a deployment or service.
  * @customer: the customer
- * @service: its name
+ * @service: name of the deployment or service
  */
 struct retry_budget *
 customer_retry_budget(struct customer *customer, const char *service)
@@ -88,9 +88,9 @@
 }
 
 /**
- * customer_flow() - the customer's place in the queue of a deployment.
+ * customer_flow() - get the customer's flow in the queue of a deployment.
  * @customer: the customer
- * @deployment: its name
+ * @deployment: name of the deployment
  */
 struct fair_flow *
 customer_flow(struct customer *customer, const char *deployment)
--- a/src/customer.h
+++ b/src/customer.h
@@ -1,4 +1,4 @@
-/* A customer at this daemon: limits, retry budgets and counts. */
+/* A customer at this daemon: limits, retry budgets and statistics. */
 #ifndef BL_CUSTOMER_H
 #define BL_CUSTOMER_H
 
@@ -10,19 +10,22 @@
 #include "retry-budget.h"
 #include "series.h"
 
-/* Services are spread over these slots; two in one slot share it. */
+/*
+ * Retry budgets and flows are kept by hash of the service's name; services in
+ * one bucket share them.
+ */
 #define CUSTOMER_BUCKETS 64
 
 /**
- * struct customer - one customer.
- * @references: freed when it drops to 0
- * @name: its name
- * @batch: whether it is of class batch rather than interactive
- * @limit: its limits at this daemon
- * @weight: share when replicas are short
- * @retry_budgets: retry budgets by hash of the service's name
- * @flows: places in the queues of deployments, likewise
- * @series: its counts
+ * struct customer - a customer's state at this daemon.
+ * @references: reference count; the struct is freed when it drops to 0
+ * @name: name of the customer
+ * @batch: its requests are of class batch, otherwise interactive
+ * @limit: this daemon's share of its limits
+ * @weight: relative share of slots when requests are queued
+ * @retry_budgets: retry budgets, by hash of the service's name
+ * @flows: flows in the queues of deployments, by hash of the deployment's name
+ * @series: counters and histograms of its requests
  */
 struct customer {
 	atomic_uint references;
--- a/src/fair-queue.c
+++ b/src/fair-queue.c
@@ -1,46 +1,47 @@
 /*
- * A bounded queue with weighted fair shares and classes. Requests are served by
- * start-time fair queueing: each customer's requests follow one another in
- * virtual time by 1/weight, so a flood waits behind itself. Interactive
- * requests go before batch ones, which still get one slot in some.
+ * A bounded queue with weighted fair shares and two classes. Requests are
+ * ordered by start-time fair queueing: in virtual time, the requests of one
+ * customer are 1/weight apart, so that a customer that sends too many delays
+ * only its own. Interactive requests go before batch requests, which still get
+ * one slot after every INTERACTIVE_PER_BATCH interactive ones.
  */
 #include <string.h>
 
 #include "fair-queue.h"
 
-/* Requests of one customer that may wait for each slot. */
-#define WAITING_PER_SLOT 8
-/* A batch request gets the slot after so many interactive ones. */
-#define BATCH_TURN 8
-/* How long a slot is held, before the first was given back. */
-#define FIRST_MEAN_MS 1000
-/* Weight of a new time in the moving mean is 1 / 2^MEAN_SHIFT. */
+/* Most queued requests of one customer, per slot. */
+#define QUEUED_PER_SLOT 8
+/* Interactive requests granted a slot before a queued batch request. */
+#define INTERACTIVE_PER_BATCH 8
+/* Assumed time for which a slot is held, until the first is released. */
+#define INITIAL_MEAN_MS 1000
+/* A new sample has the weight 1 / 2^MEAN_SHIFT in the moving mean. */
 #define MEAN_SHIFT 3
 
 /**
- * fair_queue_init() - begin with all slots free.
+ * fair_queue_init() - initialize an empty queue with all slots free.
  * @q: the queue
- * @slots: requests at once; 0 for any number
+ * @slots: number of slots; 0 for no bound
  */
 void
 fair_queue_init(struct fair_queue *q, unsigned slots)
 {
 	memset(q, 0, sizeof *q);
 	q->slots = slots;
-	q->mean_ms = FIRST_MEAN_MS;
+	q->mean_ms = INITIAL_MEAN_MS;
 	TAILQ_INIT(&q->queued[0]);
 	TAILQ_INIT(&q->queued[1]);
 }
 
 static bool
-slot_free(const struct fair_queue *q)
+has_free_slot(const struct fair_queue *q)
 {
 	return (q->slots == 0 || q->busy < q->slots);
 }
 
-/* Requests that would get their slot before the ticket. */
+/* Counts the queued requests that would be granted a slot before @t. */
 static unsigned
-ahead(const struct fair_queue *q, const struct fair_ticket *t)
+count_ahead(const struct fair_queue *q, const struct fair_ticket *t)
 {
 	const struct fair_ticket *other;
 	unsigned n = 0;
@@ -52,17 +53,17 @@
 	return (n);
 }
 
-/* Milliseconds until the ticket would get its slot. */
+/* Expected time until @t would be granted a slot, in ms. */
 static uint64_t
-wait_ms(const struct fair_queue *q, const struct fair_ticket *t)
+expected_wait_ms(const struct fair_queue *q, const struct fair_ticket *t)
 {
-	if (slot_free(q))
+	if (has_free_slot(q))
 		return (0);
-	return ((ahead(q, t) + 1) * q->mean_ms / q->slots);
+	return ((count_ahead(q, t) + 1) * q->mean_ms / q->slots);
 }
 
 static void
-grant(struct fair_queue *q, struct fair_ticket *t)
+grant_slot(struct fair_queue *q, struct fair_ticket *t)
 {
 	q->busy++;
 	t->granted = true;
@@ -70,9 +71,9 @@
 		q->virtual_time = t->start;
 }
 
-/* Puts a ticket into its class, in the order of start. */
+/* Adds a request to the queue of its class, ordered by virtual start time. */
 static void
-insert(struct fair_queue *q, struct fair_ticket *t)
+enqueue(struct fair_queue *q, struct fair_ticket *t)
 {
 	struct fair_ticket_list *list = &q->queued[t->batch];
 	struct fair_ticket *other;
@@ -90,16 +91,16 @@
 }
 
 /**
- * fair_queue_enter() - a request asks for a slot.
+ * fair_queue_enter() - grant a request a slot, queue it or refuse it.
  * @q: the queue
- * @t: its ticket, with weight, class and deadline
- * @flow: its customer's flow
- * @now: monotonic milliseconds
- * @retry_ms: set when it is refused: when to come back
+ * @t: ticket of the request; weight, class and deadline are set
+ * @flow: flow of the request's customer
+ * @now: monotonic time, in ms
+ * @retry_ms: set if the request is refused: time after which to retry
  *
- * A request that cannot get a slot before its deadline, or whose customer has
- * too many that wait, is refused at once. A flood fills only its own share of
- * the queue.
+ * A request is refused at once if it is not expected to get a slot before its
+ * deadline or if its customer has too many requests queued, so that a customer
+ * fills only its own share of the queue.
  */
 enum fair_verdict
 fair_queue_enter(struct fair_queue *q, struct fair_ticket *t,
@@ -111,40 +112,40 @@
 	t->flow = flow;
 	t->start =
 	    flow->finish > q->virtual_time ? flow->finish : q->virtual_time;
-	wait = wait_ms(q, t);
+	wait = expected_wait_ms(q, t);
 	if (wait > 0 &&
-	    (flow->n_queued >= q->slots * WAITING_PER_SLOT ||
+	    (flow->n_queued >= q->slots * QUEUED_PER_SLOT ||
 		now + wait >= t->deadline_ms)) {
 		*retry_ms = wait;
 		return (FAIR_REFUSED);
 	}
 	flow->finish = t->start + 1.0 / t->weight;
-	if (slot_free(q) && q->length == 0) {
-		grant(q, t);
+	if (has_free_slot(q) && q->length == 0) {
+		grant_slot(q, t);
 		return (FAIR_GRANTED);
 	}
-	insert(q, t);
+	enqueue(q, t);
 	return (FAIR_QUEUED);
 }
 
-/* Takes a ticket out of the queue. */
+/* Removes a request from the queue. */
 static void
-take_out(struct fair_queue *q, struct fair_ticket *t)
+dequeue(struct fair_queue *q, struct fair_ticket *t)
 {
 	TAILQ_REMOVE(&q->queued[t->batch], t, entry);
 	t->flow->n_queued--;
 	q->length--;
 }
 
-/* The class whose turn it is. */
+/* Picks the queued request that is granted the next slot. */
 static struct fair_ticket *
-next_ticket(struct fair_queue *q)
+pick_next(struct fair_queue *q)
 {
 	struct fair_ticket *interactive = TAILQ_FIRST(&q->queued[0]);
 	struct fair_ticket *batch = TAILQ_FIRST(&q->queued[1]);
 
 	if (interactive == NULL ||
-	    (batch != NULL && q->interactive_grants >= BATCH_TURN)) {
+	    (batch != NULL && q->interactive_grants >= INTERACTIVE_PER_BATCH)) {
 		q->interactive_grants = 0;
 		return (batch);
 	}
@@ -153,28 +154,28 @@
 }
 
 /**
- * fair_queue_grant_next() - grant a free slot to the request whose turn it is.
+ * fair_queue_grant_next() - grant a free slot to the next queued request.
  * @q: the queue
  *
- * Return: whether one was granted.
+ * Return: whether a slot was granted.
  */
 bool
 fair_queue_grant_next(struct fair_queue *q)
 {
 	struct fair_ticket *t;
 
-	if (!slot_free(q) || q->length == 0)
+	if (!has_free_slot(q) || q->length == 0)
 		return (false);
-	t = next_ticket(q);
-	take_out(q, t);
-	grant(q, t);
+	t = pick_next(q);
+	dequeue(q, t);
+	grant_slot(q, t);
 	return (true);
 }
 
 /**
- * fair_queue_release() - a request gives its slot back.
+ * fair_queue_release() - release a slot, without granting it.
  * @q: the queue
- * @held_ms: how long it had it
+ * @held_ms: time for which the slot was held
  */
 void
 fair_queue_release(struct fair_queue *q, uint64_t held_ms)
@@ -187,12 +188,12 @@
 }
 
 /**
- * fair_queue_cancel() - a request that waits gives up.
+ * fair_queue_cancel() - remove a request that no longer waits.
  * @q: the queue
- * @t: its ticket, which has no slot
+ * @t: its ticket, which is queued and holds no slot
  */
 void
 fair_queue_cancel(struct fair_queue *q, struct fair_ticket *t)
 {
-	take_out(q, t);
+	dequeue(q, t);
 }
--- a/src/fair-queue.h
+++ b/src/fair-queue.h
@@ -1,4 +1,7 @@
-/* A bounded queue with weighted fair shares and classes. Pure decisions. */
+/*
+ * A bounded queue with weighted fair shares and two classes. Reads no clock and
+ * takes no locks.
+ */
 #ifndef BL_FAIR_QUEUE_H
 #define BL_FAIR_QUEUE_H
 
@@ -8,9 +11,9 @@
 #include <stdint.h>
 
 /**
- * struct fair_flow - one customer's place in the order of service.
- * @finish: virtual time at which its latest request would end
- * @n_queued: its requests that wait
+ * struct fair_flow - scheduling state of one customer.
+ * @finish: virtual finish time of its latest request
+ * @n_queued: number of its requests in the queue
  */
 struct fair_flow {
 	double finish;
@@ -18,13 +21,14 @@
 };
 
 /**
- * struct fair_ticket - one request that has or waits for a slot.
- * @weight: share of its customer, at least 1
- * @batch: of class batch; interactive ones go first
- * @deadline_ms: monotonic time at which its time is up
- * @start: virtual time at which its turn comes
- * @flow: its customer's place
- * @granted: it has a slot
+ * struct fair_ticket - one request that holds a slot or is queued for one.
+ * @weight: weight of its customer, at least 1
+ * @batch: of class batch; interactive requests go first
+ * @deadline_ms: monotonic time of the request's deadline
+ * @start: virtual start time, by which requests of a class are ordered
+ * @flow: flow of its customer
+ * @granted: it holds a slot
+ * @entry: link in the queue of its class
  */
 struct fair_ticket {
 	unsigned weight;
@@ -38,6 +42,12 @@
 
 TAILQ_HEAD(fair_ticket_list, fair_ticket);
 
+/**
+ * enum fair_verdict - result of fair_queue_enter().
+ * @FAIR_GRANTED: the request holds a slot
+ * @FAIR_QUEUED: the request waits for a slot
+ * @FAIR_REFUSED: the request neither holds a slot nor waits for one
+ */
 enum fair_verdict {
 	FAIR_GRANTED,
 	FAIR_QUEUED,
@@ -45,15 +55,15 @@
 };
 
 /**
- * struct fair_queue - the slots and who waits for them.
- * @slots: requests at once; 0 for any number
- * @busy: slots taken
- * @length: requests that wait
- * @virtual_time: start of the request that was granted last
- * @mean_ms: moving mean of how long a slot is held
- * @interactive_grants: slots granted to interactive requests since the last
- * batch one
- * @queued: interactive and batch requests, each by @start
+ * struct fair_queue - slots and the requests queued for them.
+ * @slots: number of slots; 0 for no bound
+ * @busy: slots in use
+ * @length: number of queued requests
+ * @virtual_time: latest virtual start time of a request granted a slot
+ * @mean_ms: moving mean of the time for which a slot is held
+ * @interactive_grants: slots granted to queued interactive requests since the
+ *	last one granted to a batch request
+ * @queued: queued interactive [0] and batch [1] requests, by virtual start time
  */
 struct fair_queue {
 	unsigned slots;
--- a/src/limit.c
+++ b/src/limit.c
@@ -1,22 +1,24 @@
 /*
- * A customer's limits. The rate is kept by the generic cell rate algorithm,
- * whose whole state is one time, so that threads share it by one atomic.
+ * Limits on rate and concurrency. The rate is limited by the generic cell rate
+ * algorithm, whose state is a single time, so that threads share it through
+ * one atomic.
  */
 #include "limit.h"
 
-/* When to come back if only concurrency is short; requests end in a while. */
+/* Time to retry after at the concurrency limit; requests end meanwhile. */
 #define CONCURRENCY_RETRY_US 1000000
 
 /**
- * limit_set() - set the limits from the customer's, by this daemon's share.
- * @limit: the limits
- * @rate: requests a second over all daemons; 0 for unlimited
- * @burst: requests at once over all daemons
- * @concurrency: requests in progress over all daemons; 0 for unlimited
- * @daemons: how many daemons share it, at least 1
+ * limit_set() - set this daemon's share of limits over all daemons.
+ * @limit: the limit
+ * @rate: requests per second over all daemons; 0 for no limit
+ * @burst: requests in a burst over all daemons
+ * @concurrency: requests in progress over all daemons; 0 for no limit
+ * @daemons: number of daemons that share the limits, at least 1
  *
- * Every daemon rounds its share of concurrency and burst up to one, so that
- * a small customer is served at each entry host.
+ * A daemon's share of the burst is at least one and that of the concurrency is
+ * rounded up, so that a customer with small limits is served at each entry
+ * host.
  */
 void
 limit_set(struct limit *limit, double rate, double burst, unsigned concurrency,
@@ -37,36 +39,40 @@
 	atomic_store(&limit->concurrency, concurrency);
 }
 
-/* Takes one request off the rate, or says how long to wait. */
+/* Counts one request against the rate, or sets @wait_us if it is exceeded. */
 static bool
 limit_take_rate(struct limit *limit, uint64_t now_us, uint64_t *wait_us)
 {
 	uint64_t interval = atomic_load(&limit->interval_us);
 	uint64_t burst = atomic_load(&limit->burst_us);
 	uint64_t next = atomic_load(&limit->next_us);
-	uint64_t from;
+	uint64_t start;
 
-	/* Without a rate there is no time that another thread may be ahead. */
+	/*
+	 * With no rate, @next_us must not be compared: it may be ahead of
+	 * this thread's clock where another thread has read a later time.
+	 */
 	if (interval == 0)
 		return (true);
 	do {
-		from = next > now_us ? next : now_us;
-		if (from - now_us > burst) {
-			*wait_us = from - now_us - burst;
+		start = next > now_us ? next : now_us;
+		if (start - now_us > burst) {
+			*wait_us = start - now_us - burst;
 			return (false);
 		}
 	} while (!atomic_compare_exchange_weak(&limit->next_us, &next,
-	    from + interval));
+	    start + interval));
 	return (true);
 }
 
 /**
- * limit_admit() - admit one request, or say when to come back.
- * @limit: the limits
- * @now_us: monotonic microseconds
- * @wait_us: set when refused
+ * limit_admit() - admit one request if the limits allow it.
+ * @limit: the limit
+ * @now_us: monotonic time, in us
+ * @wait_us: set if the request is refused: time after which to retry
  *
- * Return: whether it is admitted; then limit_release() is owed.
+ * Return: whether the request is admitted; if so, the caller must call
+ * limit_release().
  */
 bool
 limit_admit(struct limit *limit, uint64_t now_us, uint64_t *wait_us)
@@ -87,8 +93,8 @@
 }
 
 /**
- * limit_release() - an admitted request has ended.
- * @limit: the limits
+ * limit_release() - note that an admitted request has ended.
+ * @limit: the limit
  */
 void
 limit_release(struct limit *limit)
--- a/src/limit.h
+++ b/src/limit.h
@@ -1,4 +1,4 @@
-/* A customer's limits at this daemon: rate and concurrency. */
+/* Limits at this daemon on a customer's or target's requests. */
 #ifndef BL_LIMIT_H
 #define BL_LIMIT_H
 
@@ -7,12 +7,13 @@
 #include <stdint.h>
 
 /**
- * struct limit - the limits of one customer at this daemon.
- * @interval_us: microseconds per request at this daemon's share; 0 unlimited
- * @burst_us: how far ahead of the clock the customer may run
- * @concurrency: requests at once at this daemon's share; 0 unlimited
- * @next_us: theoretical arrival time (generic cell rate algorithm)
- * @inflight: requests now
+ * struct limit - this daemon's share of a limit on rate and concurrency.
+ * @interval_us: time between requests at the limited rate; 0 for no limit
+ * @burst_us: how far @next_us may be ahead of the clock
+ * @concurrency: most requests in progress; 0 for no limit
+ * @next_us: theoretical arrival time of the next request, in monotonic time
+ *	(generic cell rate algorithm)
+ * @inflight: requests in progress
  */
 struct limit {
 	_Atomic uint64_t interval_us;
--- a/src/retry-budget.c
+++ b/src/retry-budget.c
@@ -1,14 +1,14 @@
-/* A retry budget: retries are a bounded share of successes. */
+/* A retry budget: bounds retries to a share of the successful requests. */
 #include "retry-budget.h"
 
-/* One retry costs this much; a success earns a tenth of it. */
+/* Credit that a retry uses; a success adds a tenth of it. */
 #define RETRY_COST 100
 #define SUCCESS_CREDIT 10
-/* At most ten retries are saved up, and a new budget starts with them. */
+/* At most ten retries are accumulated; a new budget starts with ten. */
 #define CREDIT_MAX (10 * RETRY_COST)
 
 /**
- * retry_budget_init() - start with a full budget.
+ * retry_budget_init() - initialize with the full credit.
  * @budget: the budget
  */
 void
@@ -18,7 +18,7 @@
 }
 
 /**
- * retry_budget_note_success() - a request succeeded.
+ * retry_budget_note_success() - add the credit of a successful request.
  * @budget: the budget
  */
 void
@@ -29,10 +29,10 @@
 }
 
 /**
- * retry_budget_take() - take one retry off the budget.
+ * retry_budget_take() - use the credit of one retry.
  * @budget: the budget
  *
- * Return: false when the budget is spent; the request then fails at once.
+ * Return: false if the budget is used up; the request then fails at once.
  */
 bool
 retry_budget_take(struct retry_budget *budget)
--- a/src/retry-budget.h
+++ b/src/retry-budget.h
@@ -1,4 +1,4 @@
-/* A retry budget: retries are a bounded share of successes. */
+/* A retry budget: bounds retries to a share of the successful requests. */
 #ifndef BL_RETRY_BUDGET_H
 #define BL_RETRY_BUDGET_H
 
@@ -6,8 +6,8 @@
 #include <stdbool.h>
 
 /**
- * struct retry_budget - the budget of one customer and service.
- * @credit: in hundredths of a retry
+ * struct retry_budget - retry budget of one customer for one service.
+ * @credit: retries left, in hundredths of a retry
  */
 struct retry_budget {
 	atomic_int credit;
