--- a/src/route-least-inflight.c
+++ b/src/route-least-inflight.c
@@ -1,4 +1,8 @@
-/* Least in flight: the fewest own requests, ties by chance. A baseline. */
+/*
+ * Least in flight: chooses the endpoint with the fewest requests of this
+ * daemon; the search starts at a random one, which breaks ties. A baseline to
+ * compare policies with.
+ */
 #include "route.h"
 
 static int
--- a/src/route-least-work.c
+++ b/src/route-least-work.c
@@ -1,12 +1,13 @@
 /*
- * Least expected work, corrected for the age of load reports. Among the
- * candidates near the least, one is taken by chance, so that daemons that
- * read the same reports do not all choose the same endpoint.
+ * Least expected work, corrected for the age of load reports. Chooses at random
+ * among the candidates whose work is near the least, so that daemons that read
+ * the same reports do not all choose the same endpoint.
  */
 #include "route.h"
 
-/* Candidates within this share above the least count as equal. */
+/* Candidates with up to this share of the least work count as equal. */
 #define NEAR_EQUAL_PERCENT 110
+/* As many as a route set offers; further ones would be ignored. */
 #define MAX_CANDIDATES 1024
 
 static int
@@ -14,7 +15,7 @@
     const struct route_candidate *c, size_t n)
 {
 	uint32_t work[MAX_CANDIDATES];
-	uint32_t mean, least = UINT32_MAX, limit;
+	uint32_t mean, least = UINT32_MAX, threshold;
 	size_t near = 0, pick;
 
 	if (n > MAX_CANDIDATES)
@@ -25,14 +26,14 @@
 		if (work[i] < least)
 			least = work[i];
 	}
-	limit = (uint32_t)((uint64_t)least * NEAR_EQUAL_PERCENT / 100);
+	threshold = (uint32_t)((uint64_t)least * NEAR_EQUAL_PERCENT / 100);
 	for (size_t i = 0; i < n; i++)
-		near += work[i] <= limit;
+		near += work[i] <= threshold;
 	if (near == 0)
 		return (0);
 	pick = req->random % near;
 	for (size_t i = 0; i < n; i++) {
-		if (work[i] <= limit && pick-- == 0)
+		if (work[i] <= threshold && pick-- == 0)
 			return ((int)i);
 	}
 	return (0);
--- a/src/route-round-robin.c
+++ b/src/route-round-robin.c
@@ -1,4 +1,4 @@
-/* Round robin: each candidate in turn. A baseline. */
+/* Round robin: each candidate in turn. A baseline to compare policies with. */
 #include "route.h"
 
 static int
--- a/src/route-set.c
+++ b/src/route-set.c
@@ -1,12 +1,13 @@
-/* What one deployment or service can send requests to, at one moment. */
+/* The targets of one deployment or service in one view of the configuration. */
 #include <string.h>
 
 #include "route-set.h"
 
+/* Targets of a set that are considered; further ones are ignored. */
 #define TARGETS_MAX 1024
 
 static void
-split_fill(struct route_set *set, const struct resource *routing)
+split_init(struct route_set *set, const struct resource *routing)
 {
 	const char *policy;
 	unsigned upto = 0;
@@ -28,7 +29,7 @@
 }
 
 static void
-methods_fill(struct route_set *set, const struct resource *res)
+methods_init(struct route_set *set, const struct resource *res)
 {
 	json_t *methods, *method;
 	size_t i;
@@ -43,11 +44,11 @@
 }
 
 /**
- * route_set_create() - make a set without targets.
- * @res: the deployment or service
+ * route_set_create() - allocate a set without targets.
+ * @res: resource of the deployment or service
  * @routing: its routing resource, or NULL for the default policy
  * @domain: failure domain of this daemon
- * @daemons: daemons that send to the targets, at least 1
+ * @daemons: number of daemons that send to the targets, at least 1
  */
 struct route_set *
 route_set_create(const struct resource *res, const struct resource *routing,
@@ -62,13 +63,13 @@
 	set->targets =
 	    g_ptr_array_new_with_free_func((GDestroyNotify)target_unref);
 	set->timeout_ms = resource_int(res, "timeout_ms", 0);
-	split_fill(set, routing);
-	methods_fill(set, res);
+	split_init(set, routing);
+	methods_init(set, res);
 	return (set);
 }
 
 /**
- * route_set_free() - free a set.
+ * route_set_free() - free a set and drop its references.
  * @set: the set
  */
 void
@@ -91,7 +92,7 @@
 }
 
 /**
- * route_set_update_median() - find the median latency anew.
+ * route_set_update_median() - compute the median latency of the targets.
  * @set: the set
  */
 void
@@ -126,14 +127,14 @@
 }
 
 /*
- * Which targets come first: those of the own failure domain, unless a call to
- * them has failed lately.
+ * Tiers of targets, by preference: those in this daemon's failure domain come
+ * first, and those in a cooldown after a failed call last.
  */
 enum tier {
 	TIER_LOCAL,
 	TIER_REMOTE,
-	TIER_LOCAL_RESTING,
-	TIER_REMOTE_RESTING,
+	TIER_LOCAL_COOLDOWN,
+	TIER_REMOTE_COOLDOWN,
 	TIERS,
 };
 
@@ -143,16 +144,20 @@
 	bool local = strcmp(target->domain, set->domain) == 0;
 
 	if (target_in_cooldown(target, now))
-		return (local ? TIER_LOCAL_RESTING : TIER_REMOTE_RESTING);
+		return (local ? TIER_LOCAL_COOLDOWN : TIER_REMOTE_COOLDOWN);
 	return (local ? TIER_LOCAL : TIER_REMOTE);
 }
 
 #define US_PER_MS 1000
 
-/* Gathers the targets of a tier; those that were tried are passed by. */
+/*
+ * Collects the targets of a tier that may be sent a request now, without those
+ * that were tried, and describes them as candidates.
+ */
 static size_t
-gather(struct route_set *set, const GPtrArray *tried, enum tier tier,
-    uint64_t now, struct route_candidate *c, struct target **from)
+collect_candidates(struct route_set *set, const GPtrArray *tried,
+    enum tier tier, uint64_t now, struct route_candidate *c,
+    struct target **targets)
 {
 	uint64_t median = atomic_load(&set->median_us);
 	size_t n = 0;
@@ -160,8 +165,11 @@
 	for (guint i = 0; i < set->targets->len && n < TARGETS_MAX; i++) {
 		struct target *target = set->targets->pdata[i];
 
-		/* A rest that was asked for holds where all others are out,
-		 * too: 35 calls went into the rests of two endpoints. */
+		/*
+		 * A target in a backoff is skipped even if no other is left.
+		 * Without this, 35 calls were sent to two endpoints during
+		 * backoffs that they had asked for.
+		 */
 		if (!target_valid(target, now) ||
 		    target_in_backoff(target, now) ||
 		    !target_has_permit(target, now * US_PER_MS))
@@ -172,30 +180,30 @@
 		    g_ptr_array_find((GPtrArray *)tried, target, NULL))
 			continue;
 		target_candidate(target, now, median, &c[n]);
-		from[n++] = target;
+		targets[n++] = target;
 	}
 	return (n);
 }
 
 /**
- * route_set_choose() - choose where a request goes.
- * @set: the set, within a read section or owned
- * @req: what is known of the request; @sequence and @daemons are filled in
- * @tried: targets that it must not go to again, or NULL
- * @now: monotonic milliseconds
- * @policy: set to the policy that chose
+ * route_set_choose() - choose the target for a request.
+ * @set: the set; owned by the caller or read in an RCU read-side section
+ * @req: the request; @sequence and @daemons are set here
+ * @tried: targets that the request must not be sent to again, or NULL
+ * @now: monotonic time, in ms
+ * @policy: set to the policy that is used
  *
- * Targets of this daemon's failure domain go first, and those whose calls
- * failed lately last.
+ * Targets in this daemon's failure domain are preferred; targets in a cooldown
+ * after a failed call are used only if there are no others.
  *
- * Return: a target with a reference, or NULL when none may be chosen.
+ * Return: a target with a reference, or NULL if none may be sent the request.
  */
 struct target *
 route_set_choose(struct route_set *set, struct route_request *req,
     const GPtrArray *tried, uint64_t now, const struct route_policy **policy)
 {
 	struct route_candidate c[TARGETS_MAX];
-	struct target *from[TARGETS_MAX];
+	struct target *targets[TARGETS_MAX];
 	size_t n = 0;
 
 	*policy = split_draw(set, req->random);
@@ -206,19 +214,20 @@
 
 		n = 0;
 		for (int tier = 0; n == 0 && tier < TIERS; tier++)
-			n = gather(set, tried, (enum tier)tier, now, c, from);
+			n = collect_candidates(set, tried, (enum tier)tier, now,
+			    c, targets);
 		if (n == 0)
 			return (NULL);
-		target = from[(*policy)->choose(req, c, n)];
-		/* Another thread may have taken the turn meanwhile. */
+		target = targets[(*policy)->choose(req, c, n)];
+		/* Another thread may have taken the permit meanwhile. */
 		if (target_take_permit(target, now * US_PER_MS))
 			return (target_ref(target));
 	}
 }
 
 /**
- * route_set_has_remote() - whether other failure domains have targets that
- * were not tried.
+ * route_set_has_remote() - whether the set has targets in other failure domains
+ * that were not tried.
  * @set: the set
  * @tried: targets that were tried
  */
@@ -236,17 +245,18 @@
 }
 
 /**
- * route_set_is_idempotent() - whether a method may run more than once.
- * @set: the service
+ * route_set_is_idempotent() - whether requests of a method may run repeatedly.
+ * @set: route set of the service
  * @method: HTTP method
  */
 bool
 route_set_is_idempotent(const struct route_set *set, const char *method)
 {
-	static const char *const usual[] = { "GET", "HEAD", "OPTIONS", NULL };
+	static const char *const default_methods[] = { "GET", "HEAD", "OPTIONS",
+		NULL };
 
 	if (set->idempotent_methods == NULL)
-		return (g_strv_contains(usual, method));
+		return (g_strv_contains(default_methods, method));
 	return (g_ptr_array_find_with_equal_func(set->idempotent_methods,
 	    method, g_str_equal, NULL));
 }
--- a/src/route-set.h
+++ b/src/route-set.h
@@ -1,4 +1,4 @@
-/* What one deployment or service can send requests to, at one moment. */
+/* The targets of one deployment or service in one view of the configuration. */
 #ifndef BL_ROUTE_SET_H
 #define BL_ROUTE_SET_H
 
@@ -11,12 +11,14 @@
 #include "route.h"
 #include "target.h"
 
+/* Most policies in a split. */
 #define ROUTE_SPLIT_MAX 8
 
 /**
- * struct route_split - one policy's share of the requests.
+ * struct route_split - share of one policy in the requests.
  * @policy: the policy
- * @cumulative_percent: requests whose draw of 0 to 99 is below this use it
+ * @cumulative_percent: its share and those of the policies before it; used for
+ *	the requests that draw a number below it, from 0 to 99
  */
 struct route_split {
 	const struct route_policy *policy;
@@ -24,18 +26,19 @@
 };
 
 /**
- * struct route_set - immutable but for its counters.
+ * struct route_set - targets of a deployment or service; in use by request
+ * threads, it is immutable except for its counters.
  * @name: name of the deployment or service
- * @domain: failure domain of this daemon, which is preferred
- * @targets: struct target, with a reference each
- * @split: shares of the policies
- * @n_split: how many
- * @idempotent_methods: names (char *), NULL for the usual ones
- * @timeout_ms: deadline of a request that names none, 0 for the daemon's
- * @admission: where requests wait for their slot, or NULL; a reference
- * @daemons: daemons that send to the targets, at least 1
- * @sequence: count of choices
- * @median_us: median latency over the targets
+ * @domain: failure domain of this daemon; its targets are preferred
+ * @targets: the targets (struct target), each with a reference
+ * @split: shares of the routing policies
+ * @n_split: number of entries in @split
+ * @idempotent_methods: names of methods (char *); NULL for the default ones
+ * @timeout_ms: time-out of a request that sets none; 0 for the daemon's
+ * @admission: admission control, with a reference; NULL if there is none
+ * @daemons: number of daemons that send to the targets, at least 1
+ * @sequence: number of choices made
+ * @median_us: median latency of the targets; 0 if unknown
  */
 struct route_set {
 	char *name;
--- a/src/route.c
+++ b/src/route.c
@@ -1,11 +1,11 @@
-/* The table of routing policies and what several of them share. */
+/* The table of routing policies, and functions that several of them use. */
 #include <string.h>
 
 #include "route.h"
 
-/* Reports older than this say nothing beyond the mean of all reports. */
-#define REPORT_USEFUL_MS 2000
-/* One request counts as this much work, so that fractions survive. */
+/* The load in an older report is replaced by the mean over all reports. */
+#define REPORT_MAX_AGE_MS 2000
+/* Work units per request, so that integers hold fractions of a request. */
 #define WORK_UNIT 256
 
 static const struct route_policy *const policy_table[] = {
@@ -17,8 +17,10 @@
 };
 
 /**
- * route_policy_find() - the policy of a name, or NULL.
- * @name: as operators name it
+ * route_policy_find() - find a policy by name.
+ * @name: name in the configuration
+ *
+ * Return: the policy, or NULL if there is none of that name.
  */
 const struct route_policy *
 route_policy_find(const char *name)
@@ -31,8 +33,10 @@
 }
 
 /**
- * route_policy_at() - the policy at an index, or NULL after the last.
- * @index: from 0; 0 is the default policy
+ * route_policy_at() - get a policy by its index in the table.
+ * @index: index from 0, at most the number of policies; 0 is the default policy
+ *
+ * Return: the policy, or NULL after the last one.
  */
 const struct route_policy *
 route_policy_at(size_t index)
@@ -41,7 +45,7 @@
 }
 
 /**
- * route_mix() - spread the bits of a key (the finalizer of splitmix64).
+ * route_mix() - hash a 64-bit key with the finalizer of splitmix64.
  * @x: the key
  */
 uint64_t
@@ -53,9 +57,9 @@
 	return (x ^ (x >> 31));
 }
 
-/* Work that others than this daemon had at the endpoint when it reported. */
+/* Requests of other daemons that the endpoint had when it reported. */
 static uint32_t
-others_reported(const struct route_candidate *c)
+peer_requests_reported(const struct route_candidate *c)
 {
 	if (c->reported_load <= c->inflight_at_report)
 		return (0);
@@ -63,9 +67,11 @@
 }
 
 /**
- * route_mean_peer_work() - mean of the work of other daemons, in work units.
+ * route_mean_peer_work() - mean work of other daemons at an endpoint.
  * @c: the candidates
- * @n: how many
+ * @n: number of candidates
+ *
+ * Return: work units.
  */
 uint32_t
 route_mean_peer_work(const struct route_candidate *c, size_t n)
@@ -75,35 +81,37 @@
 	if (n == 0)
 		return (0);
 	for (size_t i = 0; i < n; i++)
-		sum += others_reported(&c[i]);
+		sum += peer_requests_reported(&c[i]);
 	return ((uint32_t)(sum * WORK_UNIT / n));
 }
 
 /**
- * route_expected_work() - work that a new request would find, in work units.
+ * route_expected_work() - work at an endpoint if it is sent one more request.
  * @c: the candidate
- * @mean_others: what route_mean_peer_work() gave for all candidates
- * @daemons: daemons that send to the candidates, at least 1
+ * @mean_peer_work: result of route_mean_peer_work() for all candidates
+ * @daemons: number of daemons that send to the candidates, at least 1
+ *
+ * This daemon's own requests are counted exactly. The work of other daemons is
+ * known from the load report only; the older the report, the closer to the mean
+ * it is assumed to be. All daemons read the same reports, so each counts only
+ * its share of the reported work: if each counted all of it, they would all
+ * send to the same endpoint until the next report. The work at a straggler is
+ * weighted by its slowness.
  *
- * This daemon's own requests are counted exactly. What others have there is
- * known from the report only: the older it is, the more its figure gives way
- * to the mean. All daemons read the same reports, so each answers only for its
- * share of what they say; if each made up for the whole, they would all send
- * to the same endpoint until the next report. A slow endpoint's work weighs
- * more.
+ * Return: work units.
  */
 uint32_t
-route_expected_work(const struct route_candidate *c, uint32_t mean_others,
+route_expected_work(const struct route_candidate *c, uint32_t mean_peer_work,
     uint32_t daemons)
 {
-	uint32_t age, others, work;
+	uint32_t age, peer_work, work;
 
-	age = c->report_age_ms < REPORT_USEFUL_MS ? c->report_age_ms :
-						    REPORT_USEFUL_MS;
-	others = (uint32_t)(((uint64_t)others_reported(c) * WORK_UNIT *
-				    (REPORT_USEFUL_MS - age) +
-				(uint64_t)mean_others * age) /
-	    REPORT_USEFUL_MS);
-	work = (c->inflight + 1) * WORK_UNIT + others / daemons;
+	age = c->report_age_ms < REPORT_MAX_AGE_MS ? c->report_age_ms :
+						     REPORT_MAX_AGE_MS;
+	peer_work = (uint32_t)(((uint64_t)peer_requests_reported(c) *
+				       WORK_UNIT * (REPORT_MAX_AGE_MS - age) +
+				   (uint64_t)mean_peer_work * age) /
+	    REPORT_MAX_AGE_MS);
+	work = (c->inflight + 1) * WORK_UNIT + peer_work / daemons;
 	return ((uint32_t)((uint64_t)work * c->slow_percent / 100));
 }
--- a/src/route.h
+++ b/src/route.h
@@ -1,20 +1,25 @@
-/* Routing: which endpoint gets a request. Pure decisions. */
+/*
+ * Routing policies: which endpoint a request is sent to. Policies keep no state
+ * and read no clock.
+ */
 #ifndef BL_ROUTE_H
 #define BL_ROUTE_H
 
 #include <stddef.h>
 #include <stdint.h>
 
+/* In place of a candidate's index: no candidate. */
 #define ROUTE_NONE (-1)
 
 /**
- * struct route_candidate - one endpoint that may take the request.
- * @key: stable hash of its name
- * @inflight: requests of this daemon at it now
- * @inflight_at_report: the same, when its last load report was received
- * @reported_load: requests that its last load report counted
+ * struct route_candidate - one endpoint that a request may be sent to.
+ * @key: identifies it at all daemons, see struct target
+ * @inflight: requests of this daemon that it has now
+ * @inflight_at_report: @inflight when its last load report was received
+ * @reported_load: requests of all daemons, according to that report
  * @report_age_ms: age of that report
- * @slow_percent: its latency in percent of the deployment's median, >= 100
+ * @slow_percent: factor by which its work is weighted, in percent: 100, or
+ *	more for a straggler
  */
 struct route_candidate {
 	uint64_t key;
@@ -26,11 +31,11 @@
 };
 
 /**
- * struct route_request - what a policy may look at.
- * @prefix: hash of the prompt's prefix, 0 when it has none
- * @sequence: count of the deployment's requests at this daemon
- * @random: a random number; the caller's, so that scripts can replay
- * @daemons: daemons that send to these endpoints, at least 1
+ * struct route_request - a request as routing policies see it.
+ * @prefix: hash of the prompt's prefix, 0 if it has none
+ * @sequence: number of choices made before for its deployment or service
+ * @random: random number; passed in, so that test scripts are reproducible
+ * @daemons: number of daemons that send to these endpoints, at least 1
  */
 struct route_request {
 	uint64_t prefix;
@@ -40,9 +45,9 @@
 };
 
 /**
- * struct route_policy - a way to choose.
- * @name: as operators name it
- * @choose: index of the chosen candidate; never called with none
+ * struct route_policy - a routing policy.
+ * @name: name in the configuration
+ * @choose: returns the index of the chosen candidate; there is at least one
  */
 struct route_policy {
 	const char *name;
