--- a/src/target-feedback.c
+++ b/src/target-feedback.c
@@ -1,4 +1,4 @@
-/* What a target says of itself in an answer: rest, and a limit. */
+/* What a target tells about itself in a response: a backoff, a rate limit. */
 #include <glib.h>
 
 #include "call.h"
@@ -11,17 +11,19 @@
 
 #define MS_PER_S 1000
 #define MILLI 1000.0
-/* A target that asks for rest is left alone for no longer. */
-#define CLOSED_MAX_MS 300000
+/* Longest backoff that a target is granted. */
+#define BACKOFF_MAX_MS 300000
 
-/* The target turned a request away and wants rest; a shorter rest does not end
- * a longer one. */
+/*
+ * Starts the backoff that the target asks for in a response that refuses a
+ * request. A shorter backoff does not end a longer one.
+ */
 static void
-target_ask_rest(struct target *target, const char *seconds, uint64_t now)
+target_begin_backoff(struct target *target, const char *seconds, uint64_t now)
 {
 	uint64_t ms =
 	    endpoint_backoff_normalize(net_head_decimal(seconds) * MS_PER_S,
-		CLOSED_MAX_MS);
+		BACKOFF_MAX_MS);
 	uint64_t until = atomic_load(&target->backoff_until_ms);
 
 	while (until < now + ms &&
@@ -33,9 +35,9 @@
 	    (unsigned long long)ms);
 }
 
-/* What is known of the limit of a target. */
+/* Copies the target's known rate limit to @known. */
 static void
-limit_known(struct target *target, struct endpoint_limit *known)
+target_get_limit(struct target *target, struct endpoint_limit *known)
 {
 	*known = (struct endpoint_limit){
 		.active = atomic_load(&target->limit_active),
@@ -46,24 +48,25 @@
 }
 
 /*
- * The target names the requests a second that it takes from all daemons
- * together, or none. Each daemon that is known to live has the same share and
- * passes it by no more than one, so a few daemons stay near the limit.
+ * Applies the rate limit in a response, or that there is none: the requests per
+ * second that the target accepts from all daemons together. Each daemon known
+ * to be alive has the same share and exceeds it by at most one request, so a
+ * few daemons stay near the limit.
  */
 static void
-target_hear_limit(struct target *target, const char *per_s, uint64_t sent_ms,
+target_update_limit(struct target *target, const char *per_s, uint64_t sent_ms,
     uint64_t now)
 {
 	struct endpoint_limit known;
-	bool news;
+	bool changed;
 
-	limit_known(target, &known);
+	target_get_limit(target, &known);
 	if (per_s != NULL)
-		news = endpoint_limit_set(&known,
+		changed = endpoint_limit_set(&known,
 		    endpoint_limit_normalize(net_head_decimal(per_s), &known),
 		    now);
 	else
-		news = endpoint_limit_superseded(&known, sent_ms) &&
+		changed = endpoint_limit_superseded(&known, sent_ms) &&
 		    endpoint_limit_clear(&known, now);
 	atomic_store(&target->limit_active, known.active);
 	atomic_store(&target->limit_milli_per_s,
@@ -72,7 +75,7 @@
 	limit_set(&target->limit,
 	    known.active ? endpoint_limit_rate(&known) : 0, 1, 0,
 	    MAX(atomic_load(&target->daemons), 1));
-	if (news)
+	if (changed)
 		event_log(LOG_NOTICE,
 		    known.active ? "target_names_limit" : "target_lifts_limit",
 		    "target=%s asked=\"%.40s\" per_s=%.3f daemons=%u",
@@ -81,9 +84,12 @@
 }
 
 /**
- * target_take_permit() - whether a request may be sent now; it is counted then.
+ * target_take_permit() - count a request against this daemon's share of the
+ * rate limit.
  * @target: the target
- * @now_us: monotonic microseconds
+ * @now_us: monotonic time, in us
+ *
+ * Return: whether the request may be sent now; if not, it is not counted.
  */
 bool
 target_take_permit(struct target *target, uint64_t now_us)
@@ -97,9 +103,9 @@
 }
 
 /**
- * target_has_permit() - whether a request could be sent now.
+ * target_has_permit() - whether the rate limit allows a request now.
  * @target: the target
- * @now_us: monotonic microseconds
+ * @now_us: monotonic time, in us
  */
 bool
 target_has_permit(struct target *target, uint64_t now_us)
@@ -109,9 +115,9 @@
 }
 
 /**
- * target_apply_feedback() - take in what an answer says of the target.
+ * target_apply_feedback() - apply the backoff and rate limit in a response.
  * @target: the target
- * @call: a call to it, which may have no answer
+ * @call: a call to it, which may not have a response
  */
 void
 target_apply_feedback(struct target *target, const struct call *call)
@@ -121,6 +127,7 @@
 	if (!call_answering(call))
 		return;
 	if (call_rest(call) != NULL)
-		target_ask_rest(target, call_rest(call), now);
-	target_hear_limit(target, call_limit(call), call_started_ms(call), now);
+		target_begin_backoff(target, call_rest(call), now);
+	target_update_limit(target, call_limit(call), call_started_ms(call),
+	    now);
 }
--- a/src/target.c
+++ b/src/target.c
@@ -1,31 +1,31 @@
-/* A target: what one request can be sent to; see target.h. */
+/* A target: what a request can be sent to; see target.h. */
 #include <glib.h>
 
 #include "target.h"
 
-/* Weight of a new latency in the moving mean is 1 / 2^LATENCY_SHIFT. */
+/* A new sample has the weight 1 / 2^LATENCY_SHIFT in the moving mean. */
 #define LATENCY_SHIFT 3
-/* A straggler is never weighed more than this against the median. */
+/* Upper bound on the latency of a straggler in percent of the median. */
 #define SLOW_MAX_PERCENT 1000
-/* Below this it is no straggler: latencies differ by chance. */
+/* Up to this, a target is no straggler: latencies differ by chance. */
 #define SLOW_MIN_PERCENT 200
-/* Nor is it one for less than this over the median. */
-#define SLOW_FLOOR_US 5000
-/* Nor by a few samples: the first ones meet cold caches. */
+/* A target is no straggler either if it exceeds the median by less. */
+#define SLOW_MIN_EXCESS_US 5000
+/* Nor if it has fewer samples: the first requests find cold caches. */
 #define SLOW_MIN_SAMPLES 4
-/* How long others are preferred after failures. */
-#define REST_MIN_MS 250
-#define REST_MAX_MS 8000
-/* Without new samples the excess over the median is halved in this time. */
-#define SLOW_HALF_MS 2000
+/* Bounds of the cooldown in which other targets are preferred. */
+#define COOLDOWN_MIN_MS 250
+#define COOLDOWN_MAX_MS 8000
+/* Half-life of the excess over the median while there are no new samples. */
+#define SLOW_HALF_LIFE_MS 2000
 
 /**
- * target_create() - make a target with one reference.
- * @name: group or host name
+ * target_create() - allocate a target with one reference.
+ * @name: name of the group or host
  * @url: base URL
  * @domain: failure domain
- * @key: what peers know it by
- * @epoch: the group's epoch, or 0
+ * @key: identifies it at all daemons, see struct target
+ * @epoch: the group's epoch; 0 for an endpoint of a service
  */
 struct target *
 target_create(const char *name, const char *url, const char *domain,
@@ -55,7 +55,7 @@
 }
 
 /**
- * target_unref() - give a reference back.
+ * target_unref() - drop a reference; the last one frees the target.
  * @target: the target
  */
 void
@@ -70,29 +70,30 @@
 }
 
 /**
- * target_update_evidence() - take evidence about a target.
+ * target_update_evidence() - apply evidence on whether a target is ready.
  * @target: the target
- * @seen_ms: local time that the evidence is at least as new as
- * @good: all of its hosts said that they are whole and ready
- * @limit_ms: age at which good evidence lapses
+ * @as_of_ms: local time; the evidence is at least as new as this
+ * @good: all hosts of the target have reported that they are ready
+ * @max_age_ms: age at which good evidence expires
  *
- * The newest evidence counts. Called by one thread at a time.
+ * Evidence older than the newest is ignored. Only one thread may call this at
+ * a time.
  */
 void
-target_update_evidence(struct target *target, uint64_t seen_ms, bool good,
-    uint64_t limit_ms)
+target_update_evidence(struct target *target, uint64_t as_of_ms, bool good,
+    uint64_t max_age_ms)
 {
-	if (seen_ms < atomic_load(&target->evidence_as_of_ms))
+	if (as_of_ms < atomic_load(&target->evidence_as_of_ms))
 		return;
-	atomic_store(&target->evidence_as_of_ms, seen_ms);
-	atomic_store(&target->valid_until_ms, good ? seen_ms + limit_ms : 0);
+	atomic_store(&target->evidence_as_of_ms, as_of_ms);
+	atomic_store(&target->valid_until_ms, good ? as_of_ms + max_age_ms : 0);
 }
 
 /**
- * target_update_load() - take a load report.
+ * target_update_load() - apply a load report.
  * @target: the target
- * @now: monotonic milliseconds
- * @load: requests that run or wait there
+ * @now: time of the report, in ms
+ * @load: requests that run or wait at the target
  */
 void
 target_update_load(struct target *target, uint64_t now, uint32_t load)
@@ -104,9 +105,9 @@
 }
 
 /**
- * target_valid() - whether a request may be sent now.
+ * target_valid() - whether there is good evidence that has not expired.
  * @target: the target
- * @now: monotonic milliseconds, read just before
+ * @now: monotonic time, in ms; read just before the call
  */
 bool
 target_valid(struct target *target, uint64_t now)
@@ -115,9 +116,9 @@
 }
 
 /**
- * target_in_backoff() - whether the target asked for rest and it lasts.
+ * target_in_backoff() - whether the target is in a backoff that it asked for.
  * @target: the target
- * @now: monotonic milliseconds
+ * @now: monotonic time, in ms
  */
 bool
 target_in_backoff(struct target *target, uint64_t now)
@@ -126,8 +127,8 @@
 }
 
 /**
- * target_retire() - send nothing more: its group ended or it is leaving.
- * @target: the target
+ * target_retire() - stop sending requests to a target for good.
+ * @target: the target, whose group has ended or which is leaving
  */
 void
 target_retire(struct target *target)
@@ -137,10 +138,10 @@
 }
 
 /**
- * target_note_success() - a call went well; take its time to the first byte.
+ * target_note_success() - note a successful call, which ends a cooldown.
  * @target: the target
- * @us: microseconds
- * @now: monotonic milliseconds
+ * @us: time to the first byte, in us
+ * @now: monotonic time, in ms
  */
 void
 target_note_success(struct target *target, uint64_t us, uint64_t now)
@@ -159,26 +160,26 @@
 }
 
 /**
- * target_note_failure() - a call to the target failed: prefer others for a
- * while.
+ * target_note_failure() - note a failed call, which starts a cooldown.
  * @target: the target
- * @now: monotonic milliseconds
+ * @now: monotonic time, in ms
  *
- * The while doubles with each failure in a row, up to REST_MAX_MS.
+ * The cooldown doubles with each failure in a row, up to COOLDOWN_MAX_MS.
  */
 void
 target_note_failure(struct target *target, uint64_t now)
 {
 	unsigned failures = atomic_fetch_add(&target->failures, 1);
-	uint64_t rest = (uint64_t)REST_MIN_MS << MIN(failures, 16);
+	uint64_t cooldown = (uint64_t)COOLDOWN_MIN_MS << MIN(failures, 16);
 
-	atomic_store(&target->cooldown_until_ms, now + MIN(rest, REST_MAX_MS));
+	atomic_store(&target->cooldown_until_ms,
+	    now + MIN(cooldown, COOLDOWN_MAX_MS));
 }
 
 /**
- * target_in_cooldown() - whether others are preferred now.
+ * target_in_cooldown() - whether other targets are preferred after a failure.
  * @target: the target
- * @now: monotonic milliseconds
+ * @now: monotonic time, in ms
  */
 bool
 target_in_cooldown(struct target *target, uint64_t now)
@@ -187,21 +188,22 @@
 }
 
 /*
- * How slow a target is against the median, in percent; 100 for no straggler.
- * What is known of a target that gets no requests grows old, so the excess is
- * halved with every SLOW_HALF_MS: a straggler is tried again by degrees.
+ * Latency of a target in percent of the median; 100 if it is no straggler.
+ * The latency of a target that is sent no requests becomes outdated, so the
+ * excess over the median is halved every SLOW_HALF_LIFE_MS: a straggler is
+ * tried again gradually.
  */
 static uint64_t
-target_slow(struct target *target, uint64_t now, uint64_t median_us)
+target_slow_percent(struct target *target, uint64_t now, uint64_t median_us)
 {
 	uint64_t latency = atomic_load(&target->latency_us);
 	uint64_t since =
 	    now - MIN(now, atomic_load(&target->latency_sampled_ms));
-	uint64_t halvings = MIN(since / SLOW_HALF_MS, 32), percent;
+	uint64_t halvings = MIN(since / SLOW_HALF_LIFE_MS, 32), percent;
 
 	if (atomic_load(&target->latency_samples) < SLOW_MIN_SAMPLES)
 		return (100);
-	if (median_us == 0 || latency < median_us + SLOW_FLOOR_US)
+	if (median_us == 0 || latency < median_us + SLOW_MIN_EXCESS_US)
 		return (100);
 	percent = MIN(latency * 100 / median_us, SLOW_MAX_PERCENT);
 	if (percent <= SLOW_MIN_PERCENT)
@@ -210,11 +212,11 @@
 }
 
 /**
- * target_candidate() - what a routing policy looks at.
+ * target_candidate() - describe a target to routing policies.
  * @target: the target
- * @now: monotonic milliseconds
- * @median_us: median latency over the deployment's targets, 0 if unknown
- * @c: filled in
+ * @now: monotonic time, in ms
+ * @median_us: median latency of the targets in its route set; 0 if unknown
+ * @c: set to the description
  */
 void
 target_candidate(struct target *target, uint64_t now, uint64_t median_us,
@@ -228,5 +230,5 @@
 	c->report_age_ms = now >= report_ms && report_ms != 0 ?
 	    (uint32_t)MIN(now - report_ms, UINT32_MAX) :
 	    UINT32_MAX;
-	c->slow_percent = (uint32_t)target_slow(target, now, median_us);
+	c->slow_percent = (uint32_t)target_slow_percent(target, now, median_us);
 }
--- a/src/target.h
+++ b/src/target.h
@@ -1,6 +1,6 @@
 /*
- * A target: what one request can be sent to. A replica's target is its
- * leader, at one epoch; a plain service's target is one endpoint.
+ * A target: what a request can be sent to. The target of a replica is the
+ * leader of its group, in one epoch; a target of a service is one endpoint.
  */
 #ifndef BL_TARGET_H
 #define BL_TARGET_H
@@ -15,30 +15,35 @@
 struct call;
 
 /**
- * struct target - one target; request threads read it without locks.
- * @references: freed when it drops to 0
- * @key: the group's epoch, or the hash of the endpoint's name; known to peers
- * @name: group or host name
+ * struct target - one target. Request threads access it without locks. Times
+ * are monotonic, in ms.
+ * @references: reference count; the struct is freed when it drops to 0
+ * @key: the group's epoch, or the hash of the endpoint's name; the same at all
+ *	daemons
+ * @name: name of the group or host
  * @url: base URL
  * @domain: failure domain
- * @epoch: the group's epoch, 0 for an endpoint of a plain service
- * @evidence_as_of_ms: age base of the newest evidence, good or bad
- * @valid_until_ms: requests may be sent before this monotonic time
- * @inflight: requests of this daemon at it
- * @inflight_at_report: the same when the last load report came
- * @reported_load: requests that the report counted
- * @report_ms: time of the report
- * @latency_us: moving mean of the time to the first byte
- * @latency_sampled_ms: time of the latest sample of it
- * @latency_samples: how many samples it has
- * @failures: calls that failed since the last that did not
- * @cooldown_until_ms: others are preferred before this time
- * @backoff_until_ms: no request before this time; the endpoint asked for rest
- * @limit_active: it names the requests a second that it takes from all daemons
- * @limit_milli_per_s: thousandths of these
- * @limit_as_of_ms: when that, or that it names none, was last heard
- * @limit: this daemon's share of them
- * @daemons: that share them
+ * @epoch: the group's epoch; 0 for an endpoint of a service
+ * @evidence_as_of_ms: time as of which the newest evidence holds, good or bad
+ * @valid_until_ms: time at which good evidence expires; requests may be sent
+ *	before
+ * @inflight: requests of this daemon that it has now
+ * @inflight_at_report: @inflight when the last load report was received
+ * @reported_load: requests of all daemons, according to that report
+ * @report_ms: time of that report
+ * @latency_us: moving mean of the time to the first byte; 0 if unknown
+ * @latency_sampled_ms: time of the latest sample in @latency_us
+ * @latency_samples: number of samples in @latency_us
+ * @failures: failed calls since the last successful one
+ * @cooldown_until_ms: end of the cooldown; other targets are preferred before
+ * @backoff_until_ms: end of the backoff that the endpoint asked for; it is sent
+ *	no request before
+ * @limit_active: the endpoint has a rate limit
+ * @limit_milli_per_s: that limit on requests from all daemons, in thousandths
+ *	of a request per second
+ * @limit_as_of_ms: time as of which the limit, or that there is none, is known
+ * @limit: this daemon's share of the limit
+ * @daemons: number of daemons that share the limit
  */
 struct target {
 	atomic_uint references;
@@ -81,7 +86,7 @@
 void target_candidate(struct target *, uint64_t, uint64_t,
     struct route_candidate *);
 
-/* target-feedback.c: what it says of itself. */
+/* target-feedback.c: what an endpoint tells about itself in a response. */
 void target_apply_feedback(struct target *, const struct call *);
 bool target_take_permit(struct target *, uint64_t);
 bool target_has_permit(struct target *, uint64_t);
--- a/src/usage.c
+++ b/src/usage.c
@@ -1,4 +1,4 @@
-/* Group downtime and stranded accelerators of one failure domain, live. */
+/* Measures group downtime and stranded accelerators of a failure domain. */
 #include <inttypes.h>
 #include <string.h>
 
@@ -18,7 +18,9 @@
 }
 
 /**
- * usage_create() - begin with nothing counted.
+ * usage_create() - allocate an empty table of totals.
+ *
+ * Return: the table, whose values are struct usage.
  */
 GHashTable *
 usage_create(void)
@@ -27,9 +29,9 @@
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, usage_free));
 }
 
-/* The counts of a deployment under its present policy. */
+/* Finds or adds the totals of a deployment under its current policy. */
 static struct usage *
-usage_of(GHashTable *table, const struct usage_input *in,
+usage_get(GHashTable *table, const struct usage_input *in,
     const struct resource *deployment)
 {
 	const char *name = resource_string(deployment, "placement", "");
@@ -51,9 +53,9 @@
 	return (u);
 }
 
-/* Whether every host of the group says now that it is ready in it. */
+/* Whether fresh evidence of every host says that it is ready in the group. */
 static bool
-group_whole(const struct usage_input *in, const struct group *group)
+group_intact(const struct usage_input *in, const struct group *group)
 {
 	struct host *host;
 
@@ -67,7 +69,7 @@
 	return (true);
 }
 
-/* Accelerators of the group's hosts that are known. */
+/* Accelerators of those hosts of the group that are in the inventory. */
 static uint64_t
 group_accelerators(const struct usage_input *in, const struct group *group)
 {
@@ -86,11 +88,11 @@
 count_deployment(GHashTable *table, const struct usage_input *in,
     const struct resource *deployment)
 {
-	struct usage *u = usage_of(table, in, deployment);
+	struct usage *u = usage_get(table, in, deployment);
 	json_t *replicas = json_object_get(deployment->spec, "replicas");
 	json_int_t wanted =
 	    json_integer_value(json_object_get(replicas, in->domain));
-	json_int_t whole = 0;
+	json_int_t intact = 0;
 	GHashTableIter iter;
 	gpointer value;
 
@@ -101,20 +103,20 @@
 		if (strcmp(group->domain, in->domain) != 0 ||
 		    strcmp(group->deployment, deployment->name) != 0)
 			continue;
-		if (group_whole(in, group))
-			whole++;
+		if (group_intact(in, group))
+			intact++;
 		else
 			u->stranded_ms +=
 			    in->elapsed_ms * group_accelerators(in, group);
 	}
-	if (wanted > whole)
-		u->downtime_ms += in->elapsed_ms * (uint64_t)(wanted - whole);
+	if (wanted > intact)
+		u->downtime_ms += in->elapsed_ms * (uint64_t)(wanted - intact);
 }
 
 /**
- * usage_count() - add the time that has passed.
- * @table: the counts
- * @in: what to look at
+ * usage_count() - add the elapsed time to the totals of all deployments.
+ * @table: the totals
+ * @in: state of the failure domain, and the elapsed time
  */
 void
 usage_count(GHashTable *table, const struct usage_input *in)
@@ -132,8 +134,8 @@
 }
 
 /**
- * usage_print() - append the counts to the metrics page.
- * @table: the counts
+ * usage_print() - append the totals to the metrics page.
+ * @table: the totals
  * @out: the page
  */
 void
--- a/src/usage.h
+++ b/src/usage.h
@@ -1,4 +1,4 @@
-/* Group downtime and stranded accelerators of one failure domain, live. */
+/* Measures group downtime and stranded accelerators of a failure domain. */
 #ifndef BL_USAGE_H
 #define BL_USAGE_H
 
@@ -6,11 +6,11 @@
 #include "state.h"
 
 /**
- * struct usage - what was counted for one deployment under one policy.
- * @deployment: its name
- * @policy: name of its placement policy
- * @downtime_ms: milliseconds x replicas short of the wanted count
- * @stranded_ms: milliseconds x accelerators of hosts held by no whole group
+ * struct usage - totals of one deployment under one placement policy.
+ * @deployment: name of the deployment
+ * @policy: name of the placement policy
+ * @downtime_ms: missing replicas, times ms
+ * @stranded_ms: accelerators of hosts in groups that are not intact, times ms
  */
 struct usage {
 	char *deployment;
@@ -20,13 +20,13 @@
 };
 
 /**
- * struct usage_input - what one count looks at.
- * @state: the configuration, locked
- * @inv: the hosts, locked
+ * struct usage_input - input of usage_count().
+ * @state: the configuration; its lock is held
+ * @inv: the hosts; the inventory's lock is held
  * @domain: the failure domain
- * @now: monotonic milliseconds
- * @evidence_ms: age at which evidence lapses
- * @elapsed_ms: time that this count stands for
+ * @now: monotonic time, in ms
+ * @evidence_ms: age at which evidence expires
+ * @elapsed_ms: time since the previous call
  */
 struct usage_input {
 	const struct state *state;
