--- a/tests/test-limit.c
+++ b/tests/test-limit.c
@@ -1,4 +1,8 @@
-/* Threads read the clock and take from a limit in different orders. */
+/*
+ * Limits. Threads may use a limit in another order than they read the clock, so
+ * a limit may see the time go back. With no rate set, such a request must still
+ * be admitted.
+ */
 #include <CUnit/Basic.h>
 
 #include "limit.h"
--- a/tests/test-queue.c
+++ b/tests/test-queue.c
@@ -1,4 +1,4 @@
-/* Scripts over the fair queue, in virtual time. */
+/* Runs scripts on the fair queue; times are given by the script. */
 #include <string.h>
 
 #include "fair-queue.h"
@@ -7,14 +7,14 @@
 #define TICKETS_MAX 512
 #define FLOWS_MAX 8
 
-struct named {
+struct script_ticket {
 	struct fair_ticket ticket;
 	char customer[16];
-	bool waiting;
+	bool queued;
 };
 
 static struct fair_queue queue;
-static struct named tickets[TICKETS_MAX];
+static struct script_ticket tickets[TICKETS_MAX];
 static int n_tickets;
 static struct {
 	char name[16];
@@ -41,7 +41,7 @@
 	return (&flows[n_flows++].flow);
 }
 
-/* slots N: so many requests at once */
+/* slots N: start with an empty queue that has N slots */
 static void
 exec_slots(const char *rest, GString *out)
 {
@@ -49,7 +49,10 @@
 	fair_queue_init(&queue, (unsigned)g_ascii_strtoull(rest, NULL, 10));
 }
 
-/* enter CUSTOMER n=N weight=W batch=0|1 now=MS deadline=MS */
+/*
+ * enter CUSTOMER n=N weight=W batch=0|1 now=MS deadline=MS: N requests of a
+ * customer; prints how many were granted a slot, queued and refused
+ */
 static void
 exec_enter(const char *rest, GString *out)
 {
@@ -59,7 +62,7 @@
 	guint64 retry = 0;
 
 	for (guint64 i = 0; i < script_number(rest, "n", 1); i++) {
-		struct named *t = &tickets[n_tickets++ % TICKETS_MAX];
+		struct script_ticket *t = &tickets[n_tickets++ % TICKETS_MAX];
 		enum fair_verdict v;
 		uint64_t retry_ms = 0;
 
@@ -70,7 +73,7 @@
 		    script_number(rest, "deadline", 1000000);
 		v = fair_queue_enter(&queue, &t->ticket, flow_of(w[0]),
 		    script_number(rest, "now", 0), &retry_ms);
-		t->waiting = v == FAIR_QUEUED;
+		t->queued = v == FAIR_QUEUED;
 		counts[v]++;
 		if (v == FAIR_REFUSED)
 			retry = retry_ms;
@@ -81,11 +84,14 @@
 			    names[v], v == FAIR_REFUSED ? "" : "\n");
 	}
 	if (counts[FAIR_REFUSED] > 0)
-		g_string_append_printf(out, ", come back in %u ms\n",
+		g_string_append_printf(out, ", retry after %u ms\n",
 		    (unsigned)retry);
 }
 
-/* serve N held=MS: N times a slot is given back; who gets it, in order */
+/*
+ * serve N held=MS: a slot is released N times; prints the customers whose
+ * requests are granted it, in order, or "-" if there is none
+ */
 static void
 exec_serve(const char *rest, GString *out)
 {
@@ -96,11 +102,11 @@
 		if (!fair_queue_grant_next(&queue))
 			g_string_append(out, "-");
 		for (int k = 0; k < MIN(n_tickets, TICKETS_MAX); k++) {
-			struct named *t = &tickets[k];
+			struct script_ticket *t = &tickets[k];
 
-			if (!t->waiting || !t->ticket.granted)
+			if (!t->queued || !t->ticket.granted)
 				continue;
-			t->waiting = false;
+			t->queued = false;
 			g_string_append(out, t->customer);
 		}
 	}
--- a/tests/test-route.c
+++ b/tests/test-route.c
@@ -1,4 +1,4 @@
-/* Scripts over routing: policies, expected work, stragglers. */
+/* Runs scripts on routing: policies, evidence, expected work, stragglers. */
 #include <string.h>
 
 #include "resource.h"
@@ -20,7 +20,7 @@
 	g_clear_pointer(&set, route_set_free);
 }
 
-/* policy SPLIT-JSON: makes an empty set in failure domain "a" */
+/* policy SPLIT-JSON: start with an empty route set in failure domain "a" */
 static void
 exec_policy(const char *rest, GString *out)
 {
@@ -46,7 +46,7 @@
 	return (NULL);
 }
 
-/* target NAME DOMAIN: adds one whose evidence is good until 1000000 ms */
+/* target NAME DOMAIN: add a target with good evidence until 1000000 ms */
 static void
 exec_target(const char *rest, GString *out)
 {
@@ -59,7 +59,10 @@
 	targets[n_targets++] = target_ref(t);
 }
 
-/* set NAME [inflight=N] [latency_us=N now=MS] [report=N at=MS] [retire=1] */
+/*
+ * set NAME [inflight=N] [latency_us=N now=MS] [report=N at=MS] [retire=1]: set
+ * the requests in flight, note a successful call, apply a load report, retire
+ */
 static void
 exec_set(const char *rest, GString *out)
 {
@@ -81,7 +84,7 @@
 	route_set_update_median(set);
 }
 
-/* fail NAME now=MS: a call to it failed */
+/* fail NAME now=MS: note a failed call */
 static void
 exec_fail(const char *rest, GString *out)
 {
@@ -90,7 +93,7 @@
 	target_note_failure(find(w[0]), script_number(rest, "now", 0));
 }
 
-/* evidence NAME seen=MS good=0|1 limit=MS */
+/* evidence NAME seen=MS good=0|1 limit=MS: evidence as of MS, maximum age */
 static void
 exec_evidence(const char *rest, GString *out)
 {
@@ -107,7 +110,7 @@
 	return (n > 0 ? (unsigned)(part * 100 / n) : 0);
 }
 
-/* share now=MS [prefix=N] [n=N]: of n choices, how many each target got */
+/* share now=MS [prefix=N] [n=N]: print each target's share of n choices */
 static void
 exec_share(const char *rest, GString *out)
 {
