--- a/src/target-feedback.c
+++ b/src/target-feedback.c
@@ -124,10 +124,10 @@
 {
 	uint64_t now = clock_now_ms();
 
-	if (!call_answering(call))
+	if (!call_head_received(call))
 		return;
-	if (call_rest(call) != NULL)
-		target_begin_backoff(target, call_rest(call), now);
+	if (call_retry_after(call) != NULL)
+		target_begin_backoff(target, call_retry_after(call), now);
 	target_update_limit(target, call_limit(call), call_started_ms(call),
 	    now);
 }
