--- a/src/registry-follower.c
+++ b/src/registry-follower.c
@@ -1,4 +1,4 @@
-/* Follows a topic of the store and knows how old its knowledge is. */
+/* Follows a topic of the store, and tracks the age of the local copy. */
 #include <string.h>
 
 #include "clock.h"
@@ -6,23 +6,24 @@
 #include "event-log.h"
 
 /* Pause after the first failure, doubled for each further one. */
-#define RETRY_FIRST_MS 50
-/* Longest pause: how late the store's return may be noticed. */
-#define RETRY_LONGEST_MS 400
-/* Daemons that do not read for others try again this many fallbacks later, and
- * those that follow a relay, of which there are hundreds, so many. */
-#define FAILED_FALLBACKS 2
-#define FAILED_FALLBACKS_LED 6
-/* Between two reads that something waits for: with hundreds of hosts there is
- * always something, and each read is a call. */
-#define HURRY_LEAST_MS 50
-
-static void follow_ask(struct topic_follower *);
-static void follow_later(struct topic_follower *, unsigned);
-
-/* How long the others' news still spare an own read; 0 for no longer. */
+#define RETRY_MIN_MS 50
+/* Longest pause, which bounds how late the end of an outage is noticed. */
+#define RETRY_MAX_MS 400
+/* Daemons that do not read for others retry after this many fallback times;
+ * those that follow a relay, of which there are hundreds, after more. */
+#define RETRY_FALLBACKS 2
+#define SLOW_RETRY_FALLBACKS 6
+/* Least time between two reads that were requested by topic_follower_poll().
+ * With hundreds of hosts something always waits for new records, and each read
+ * is a call to the store. */
+#define POLL_MIN_MS 50
+
+static void follower_read(struct topic_follower *);
+static void follower_schedule(struct topic_follower *, unsigned);
+
+/* Time for which updates from peers make a read unnecessary; 0 for none. */
 static unsigned
-follow_spared_ms(const struct topic_follower *f)
+follower_covered_ms(const struct topic_follower *f)
 {
 	uint64_t now = clock_loop_ms(f->loop),
 		 until = f->peer_update_ms + f->fallback_ms;
@@ -37,46 +38,46 @@
 on_timer(uv_timer_t *timer)
 {
 	struct topic_follower *f = timer->data;
-	unsigned spared = f->snapshot_due ? 0 : follow_spared_ms(f);
+	unsigned covered = f->snapshot_due ? 0 : follower_covered_ms(f);
 
-	if (spared > 0)
-		follow_later(f, spared);
+	if (covered > 0)
+		follower_schedule(f, covered);
 	else
-		follow_ask(f);
+		follower_read(f);
 }
 
 static void
-on_hurry(uv_timer_t *timer)
+on_poll_timer(uv_timer_t *timer)
 {
-	follow_ask(timer->data);
+	follower_read(timer->data);
 }
 
 static void
-follow_later(struct topic_follower *f, unsigned ms)
+follower_schedule(struct topic_follower *f, unsigned ms)
 {
 	if (!f->stopped)
 		uv_timer_start(&f->timer, on_timer, ms, 0);
 }
 
-/* Waits as long as the pause and the others' news allow. */
+/* Schedules the next read as late as the interval and peers' updates allow. */
 static void
-follow_rest(struct topic_follower *f)
+follower_schedule_next(struct topic_follower *f)
 {
-	unsigned spared = follow_spared_ms(f);
+	unsigned covered = follower_covered_ms(f);
 
 	if (f->snapshot_due)
-		follow_later(f, HURRY_LEAST_MS);
-	else if (spared > 0 || f->interval_ms > 0)
-		follow_later(f, MAX(spared, f->interval_ms));
+		follower_schedule(f, POLL_MIN_MS);
+	else if (covered > 0 || f->interval_ms > 0)
+		follower_schedule(f, MAX(covered, f->interval_ms));
 	else
-		follow_ask(f);
+		follower_read(f);
 }
 
-/* Counts a failure; the first one is said. */
+/* Counts a failure, logs the first of a row and schedules a retry. */
 static void
-follow_failed(struct topic_follower *f, const struct store_answer *answer)
+follower_failed(struct topic_follower *f, const struct store_answer *answer)
 {
-	unsigned pause = RETRY_FIRST_MS;
+	unsigned pause = RETRY_MIN_MS;
 
 	if (f->failures == 0)
 		event_log(LOG_WARNING, "store_lost",
@@ -85,22 +86,22 @@
 		    store_result_name(answer->result), answer->status,
 		    (unsigned long long)topic_follower_age(f,
 			clock_loop_ms(f->loop)));
-	for (unsigned i = 0; i < f->failures && pause < RETRY_LONGEST_MS; i++)
+	for (unsigned i = 0; i < f->failures && pause < RETRY_MAX_MS; i++)
 		pause *= 2;
 	f->failures++;
-	pause = MIN(pause, RETRY_LONGEST_MS);
-	/* One daemon notices the store's return for the others. */
+	pause = MIN(pause, RETRY_MAX_MS);
+	/* The reader notices the end of an outage for the others. */
 	if (!f->reader && f->fallback_ms > 0)
 		pause = MAX(pause,
 		    f->fallback_ms *
-			(f->slow_retry ? FAILED_FALLBACKS_LED :
-					 FAILED_FALLBACKS));
-	follow_later(f, pause);
+			(f->slow_retry ? SLOW_RETRY_FALLBACKS :
+					 RETRY_FALLBACKS));
+	follower_schedule(f, pause);
 }
 
-/* Notes that the state is known as of the moment of asking. */
+/* Notes that the local copy is current as of the time of the call. */
 static void
-follow_proved(struct topic_follower *f, const struct store_answer *answer)
+follower_succeeded(struct topic_follower *f, const struct store_answer *answer)
 {
 	if (f->failures > 0) {
 		f->regained_ms = clock_loop_ms(f->loop);
@@ -114,9 +115,9 @@
 	f->proof_ms = MAX(f->proof_ms, answer->asked_ms);
 }
 
-/* Gives the records on; while a snapshot is read, their keys are kept. */
+/* Passes records to the owner, and collects the keys of a snapshot. */
 static void
-follow_take(struct topic_follower *f, const GArray *records)
+follower_pass_records(struct topic_follower *f, const GArray *records)
 {
 	for (guint i = 0; i < records->len; i++) {
 		const struct store_record *record =
@@ -129,9 +130,9 @@
 	}
 }
 
-/* Begins again from a snapshot. */
+/* Starts to read a snapshot from its first page. */
 static void
-follow_restart(struct topic_follower *f)
+follower_restart(struct topic_follower *f)
 {
 	if (f->snapshot_keys != NULL)
 		g_hash_table_destroy(f->snapshot_keys);
@@ -141,7 +142,7 @@
 }
 
 static void
-follow_whole(struct topic_follower *f)
+follower_finish_snapshot(struct topic_follower *f)
 {
 	bool known = f->synced;
 
@@ -151,14 +152,15 @@
 	f->snapshot_keys = NULL;
 	f->next = f->snapshot_end;
 	f->synced = true;
-	/* Others that are fed have not read this snapshot. */
+	/* Daemons that follow updates from peers have not read this snapshot.
+	 */
 	if (known && f->ops->advanced != NULL)
 		f->ops->advanced(f->owner, MIN(f->asked_from, f->next),
 		    f->next);
 }
 
 static void
-on_newest(void *arg, const struct store_answer *answer)
+on_snapshot_page(void *arg, const struct store_answer *answer)
 {
 	struct topic_follower *f = arg;
 	const struct store_record *last;
@@ -167,28 +169,28 @@
 	if (f->stopped)
 		return;
 	if (answer->result != STORE_OK) {
-		follow_restart(f);
-		follow_failed(f, answer);
+		follower_restart(f);
+		follower_failed(f, answer);
 		return;
 	}
 	if (f->after == NULL)
 		f->snapshot_end = answer->end;
-	follow_take(f, answer->records);
+	follower_pass_records(f, answer->records);
 	if (answer->more && answer->records->len > 0) {
 		last = &g_array_index(answer->records, struct store_record,
 		    answer->records->len - 1);
 		g_free(f->after);
 		f->after = g_strdup(last->key);
-		follow_ask(f);
+		follower_read(f);
 		return;
 	}
-	follow_whole(f);
-	follow_proved(f, answer);
-	follow_rest(f);
+	follower_finish_snapshot(f);
+	follower_succeeded(f, answer);
+	follower_schedule_next(f);
 }
 
 static void
-on_read(void *arg, const struct store_answer *answer)
+on_records(void *arg, const struct store_answer *answer)
 {
 	struct topic_follower *f = arg;
 
@@ -198,69 +200,69 @@
 	if (answer->result == STORE_TRIMMED) {
 		event_log(LOG_NOTICE, "store_trimmed", "topic=%s from=%llu",
 		    store_topic_name(f->topic), (unsigned long long)f->next);
-		follow_restart(f);
-		follow_ask(f);
+		follower_restart(f);
+		follower_read(f);
 		return;
 	}
 	if (answer->result != STORE_OK) {
-		follow_failed(f, answer);
+		follower_failed(f, answer);
 		return;
 	}
-	follow_take(f, answer->records);
+	follower_pass_records(f, answer->records);
 	f->next = MAX(f->next, answer->end);
-	follow_proved(f, answer);
-	/* Peers' news may have come meanwhile, so what was read begins before
-	 * what is known now. */
+	follower_succeeded(f, answer);
+	/* Updates from peers may have moved f->next during the read, so the
+	 * range begins where the read did. */
 	if (f->ops->advanced != NULL)
 		f->ops->advanced(f->owner, f->asked_from, f->next);
-	follow_rest(f);
+	follower_schedule_next(f);
 }
 
-/* Whether nobody has told of the topic for as long as others' news count. */
+/* Whether the last update from peers is older than the fallback time. */
 static bool
-follow_untold(const struct topic_follower *f)
+follower_lacks_updates(const struct topic_follower *f)
 {
 	return (f->fallback_ms > 0 && f->peer_update_ms != 0 &&
 	    clock_loop_ms(f->loop) >= f->peer_update_ms + f->fallback_ms);
 }
 
-/* Asks for the next page or the next records. */
+/* Reads the next page of the snapshot, or the next records. */
 static void
-follow_ask(struct topic_follower *f)
+follower_read(struct topic_follower *f)
 {
 	const struct store_answer none = { .result = STORE_REFUSED };
-	bool begun;
+	bool started;
 
 	if (f->stopped || f->busy || f->held)
 		return;
 	uv_timer_stop(&f->timer);
 	f->asked_ms = clock_loop_ms(f->loop);
-	f->relays = f->reader || follow_untold(f);
+	f->relays = f->reader || follower_lacks_updates(f);
 	if (f->snapshot_due && f->snapshot_keys == NULL)
-		follow_restart(f);
+		follower_restart(f);
 	f->snapshot_due = false;
-	/* Pages of a snapshot begin where its first did. */
+	/* All pages of a snapshot have the start offset of the first. */
 	if (f->snapshot_keys == NULL || f->after == NULL)
 		f->asked_from = f->next;
 	if (f->snapshot_keys != NULL)
-		begun = f->store->ops->newest(f->store, f->topic, f->after,
-		    on_newest, f);
+		started = f->store->ops->newest(f->store, f->topic, f->after,
+		    on_snapshot_page, f);
 	else
-		begun = f->store->ops->read(f->store, f->topic, f->next,
-		    on_read, f);
-	f->busy = begun;
-	if (!begun)
-		follow_failed(f, &none);
+		started = f->store->ops->read(f->store, f->topic, f->next,
+		    on_records, f);
+	f->busy = started;
+	if (!started)
+		follower_failed(f, &none);
 }
 
 /**
  * topic_follower_init() - prepare to follow a topic.
- * @f: the follower; the owner sets @wait_ms and @pause_ms
+ * @f: the follower; the owner sets its @interval_ms and @fallback_ms
  * @store: the store
  * @loop: the event loop
- * @topic: what to follow
- * @ops: the owner's functions
- * @owner: the owner
+ * @topic: the topic to follow
+ * @ops: the owner's callbacks
+ * @owner: argument of the callbacks
  */
 void
 topic_follower_init(struct topic_follower *f, struct store *store,
@@ -275,23 +277,25 @@
 	f->owner = owner;
 	uv_timer_init(loop, &f->timer);
 	f->timer.data = f;
-	follow_restart(f);
+	follower_restart(f);
 }
 
 /**
- * topic_follower_start() - begin to follow.
+ * topic_follower_start() - start to follow the topic.
  * @f: the follower
  */
 void
 topic_follower_start(struct topic_follower *f)
 {
-	follow_ask(f);
+	follower_read(f);
 }
 
 /**
- * topic_follower_hold() - make no calls for now: hundreds of daemons that start
- * together need not all read what one can tell them.
+ * topic_follower_hold() - make no calls for now.
  * @f: the follower, not started
+ *
+ * Of hundreds of daemons that start together only one has to read the store;
+ * the others get a snapshot from it.
  */
 void
 topic_follower_hold(struct topic_follower *f)
@@ -300,7 +304,7 @@
 }
 
 /**
- * topic_follower_release() - begin to follow, if that is still to be done.
+ * topic_follower_release() - start to follow the topic if calls were held back.
  * @f: the follower
  */
 void
@@ -309,11 +313,11 @@
 	if (!f->held)
 		return;
 	f->held = false;
-	follow_ask(f);
+	follower_read(f);
 }
 
 /**
- * topic_follower_resync() - read all anew, as soon as may be.
+ * topic_follower_resync() - read a whole snapshot as soon as possible.
  * @f: the follower
  */
 void
@@ -324,10 +328,11 @@
 }
 
 /**
- * topic_follower_adopt() - what a peer knew was taken over as a whole.
+ * topic_follower_adopt() - continue from a peer's snapshot that the owner has
+ * applied; without effect after an own snapshot or while one is read.
  * @f: the follower
- * @next: it was complete up to this offset
- * @as_of_ms: loop time
+ * @next: offset up to which the snapshot was complete
+ * @as_of_ms: loop time as of which it was
  */
 void
 topic_follower_adopt(struct topic_follower *f, uint64_t next, uint64_t as_of_ms)
@@ -339,7 +344,7 @@
 	f->next = next;
 	f->synced = true;
 	topic_follower_set_updated(f, as_of_ms);
-	follow_rest(f);
+	follower_schedule_next(f);
 }
 
 /**
@@ -354,33 +359,32 @@
 }
 
 /**
- * topic_follower_poll() - read now rather than after the pause.
+ * topic_follower_poll() - read as soon as possible rather than after the pause.
  * @f: the follower
  */
 void
 topic_follower_poll(struct topic_follower *f)
 {
-	uint64_t due = f->asked_ms + HURRY_LEAST_MS,
-		 now = clock_loop_ms(f->loop);
+	uint64_t due = f->asked_ms + POLL_MIN_MS, now = clock_loop_ms(f->loop);
 	bool sooner = !uv_is_active((uv_handle_t *)&f->timer) ||
 	    uv_timer_get_due_in(&f->timer) > due - MIN(now, due);
 
 	if (!f->synced || f->busy || f->stopped)
 		return;
 	if (now >= due)
-		follow_ask(f);
+		follower_read(f);
 	else if (sooner)
-		uv_timer_start(&f->timer, on_hurry, due - now, 0);
+		uv_timer_start(&f->timer, on_poll_timer, due - now, 0);
 }
 
 /**
- * topic_follower_apply() - take in records that a peer read.
+ * topic_follower_apply() - apply records that a peer read.
  * @f: the follower
- * @from: the records are all that changed from this offset
- * @end: to this one
- * @records: of struct store_record
+ * @from: start offset of the peer's read
+ * @end: end offset of the peer's read
+ * @records: all that changed in that range, of struct store_record
  *
- * Return: false where records before @from are missing here.
+ * Return: false if records before @from are missing here.
  */
 bool
 topic_follower_apply(struct topic_follower *f, uint64_t from, uint64_t end,
@@ -397,15 +401,16 @@
 		if (record->offset >= f->next)
 			f->ops->record(f->owner, record);
 	}
-	/* Others leave out what only a reader needs, so it reads that itself:
-	 * one that went on from @end missed 8 to 23 of 162 hosts. */
+	/* Peers leave out records that only a reader needs, so a reader reads
+	 * the range itself: one that continued from @end missed 8 to 23 of 162
+	 * hosts. */
 	if (!f->reader || !f->partial)
 		f->next = MAX(f->next, end);
 	return (true);
 }
 
 /**
- * topic_follower_skip() - what is before an offset came by way of a peer.
+ * topic_follower_skip() - skip records whose content came from a peer.
  * @f: the follower
  * @next: offset from which to read on
  */
@@ -417,9 +422,10 @@
 }
 
 /**
- * topic_follower_set_updated() - peers' news are complete as of a time.
+ * topic_follower_set_updated() - note as of when updates from peers are
+ * complete.
  * @f: the follower
- * @as_of_ms: loop time
+ * @as_of_ms: loop time as of which they are
  */
 void
 topic_follower_set_updated(struct topic_follower *f, uint64_t as_of_ms)
@@ -428,9 +434,9 @@
 }
 
 /**
- * topic_follower_set_reader() - begin or end to read for the others.
+ * topic_follower_set_reader() - start or stop reading on behalf of the others.
  * @f: the follower
- * @reader: whether this daemon reads
+ * @reader: whether this daemon is the reader
  */
 void
 topic_follower_set_reader(struct topic_follower *f, bool reader)
@@ -448,7 +454,8 @@
 }
 
 /**
- * topic_follower_complete() - whether all that the topic holds is known here.
+ * topic_follower_complete() - whether the local copy has all of the topic's
+ * records.
  * @f: the follower
  */
 bool
@@ -459,11 +466,11 @@
 }
 
 /**
- * topic_follower_overtaken() - whether peers' news came while the store
- * answered.
- * @f: the follower, in the call that gives a record
+ * topic_follower_overtaken() - whether an update from peers came during the
+ * read.
+ * @f: the follower, in the callback for a record
  *
- * What an answer holds may be known by then here, but not to all others.
+ * The record may then be known here, but not at all other daemons.
  */
 bool
 topic_follower_overtaken(const struct topic_follower *f)
@@ -472,11 +479,12 @@
 }
 
 /**
- * topic_follower_age() - age of what is known.
+ * topic_follower_age() - age of the local copy.
  * @f: the follower
  * @now_ms: loop time
  *
- * Return: milliseconds; very large before the first answer.
+ * Return: time since it was known to be current, in ms; UINT64_MAX before the
+ * first answer.
  */
 uint64_t
 topic_follower_age(const struct topic_follower *f, uint64_t now_ms)
--- a/src/registry-follower.h
+++ b/src/registry-follower.h
@@ -1,4 +1,4 @@
-/* Follows a topic of the store and knows how old its knowledge is. */
+/* Follows a topic of the store, and tracks the age of the local copy. */
 #ifndef BL_REGISTRY_FOLLOWER_H
 #define BL_REGISTRY_FOLLOWER_H
 
@@ -7,11 +7,13 @@
 #include "store-ops.h"
 
 /**
- * struct topic_follower_ops - what the owner is told.
- * @record: a key's newest value, or its removal
- * @snapshot_done: a snapshot is complete; keys not in the set have gone
- * @advanced: records from an offset to another were read, and told, just now;
- *for a snapshot of one that knew the topic before, what is new since then
+ * struct topic_follower_ops - callbacks of the owner.
+ * @record: called with each record read: a key's newest value, or its removal
+ * @snapshot_done: a snapshot is complete; keys that are not in the set no
+ *	longer exist
+ * @advanced: called after the records from the first offset to the second were
+ *	passed to @record; after a snapshot of a topic that was known before,
+ *	the range is what is new since then
  */
 struct topic_follower_ops {
 	void (*record)(void *, const struct store_record *);
@@ -20,35 +22,40 @@
 };
 
 /**
- * struct topic_follower - one followed topic.
+ * struct topic_follower - state of following one topic.
  * @store: the store
  * @loop: the event loop
- * @topic: what is followed
- * @ops: the owner's functions
- * @owner: the owner
- * @interval_ms: between two reads
- * @fallback_ms: without news from peers for so long, read oneself; 0 where
- *	there are no news from peers
- * @slow_retry: others ask a store that is away again
- * @reader: this daemon reads for the others
- * @relays: what the newest read brings is new to others: this daemon is the
- *	reader, or heard of none in time
- * @partial: peers' news leave out what only a reader needs
- * @snapshot_due: what is known lacks what others left out; a snapshot is due
- * @asked_ms: when the store was last asked
- * @asked_from: offset that the newest read began at; of a snapshot, up to which
- *	the topic was known before it
- * @peer_update_ms: loop time as of which peers' news were complete
- * @timer: the pause
+ * @topic: the topic to follow
+ * @ops: the owner's callbacks
+ * @owner: argument of the callbacks
+ * @interval_ms: pause between two reads
+ * @fallback_ms: the store is read here after no update from peers for so long;
+ *	0 if peers send no updates
+ * @slow_retry: other daemons try a store that does not answer, so this one
+ *	retries seldom
+ * @reader: this daemon reads the topic on behalf of the others
+ * @relays: what the newest read returns is to be relayed to peers: this daemon
+ *	is the reader, or has had no update from peers in time
+ * @partial: updates from peers leave out records that only a reader needs
+ * @snapshot_due: the local copy lacks records that peers left out, so a
+ *snapshot is to be read
+ * @asked_ms: loop time of the newest call to the store
+ * @asked_from: offset at which the newest read began; for a snapshot, the
+ *	offset up to which the topic was known before
+ * @peer_update_ms: loop time as of which updates from peers are complete
+ * @timer: runs out when the next read is due
  * @next: offset of the next record
- * @synced: a snapshot was complete once
- * @snapshot_keys: keys of the snapshot being read; NULL while tailing
- * @after: last key of the page before
- * @snapshot_end: where the topic ended at the first page
- * @proof_ms: the state is known as of this loop time; 0 for never
- * @failures: calls in a row without a good answer
- * @regained_ms: loop time at which it answered again; 0 for never lost
- * @held: no calls yet: what is known may come from a peer
+ * @synced: a snapshot has been complete once
+ * @busy: a call to the store is pending
+ * @snapshot_keys: keys of the snapshot that is being read; NULL while tailing
+ * @after: last key of the previous page of the snapshot
+ * @snapshot_end: end offset of the topic as of the snapshot's first page
+ * @proof_ms: loop time as of which the local copy is known to be current; 0
+ *	for never
+ * @failures: consecutive calls without a good answer
+ * @regained_ms: loop time of the first good answer after failures; 0 if there
+ *	were none
+ * @held: no calls yet, as a peer may provide a snapshot
  * @stopped: no more calls
  */
 struct topic_follower {
--- a/tests/test-follow.c
+++ b/tests/test-follow.c
@@ -1,4 +1,5 @@
-/* Scripts over a topic that is followed, with a store that answers by hand. */
+/* Scripted tests of the topic follower, with a store that answers on command.
+ */
 #include <string.h>
 #include <syslog.h>
 
@@ -9,7 +10,7 @@
 static uv_loop_t loop;
 static struct topic_follower follow;
 static struct store store;
-static GString *told;
+static GString *printed;
 static store_fn *waiting;
 static void *waiting_arg;
 
@@ -19,7 +20,7 @@
 {
 	waiting = fn;
 	waiting_arg = arg;
-	g_string_append(told, "asks for all\n");
+	g_string_append(printed, "asks for all\n");
 	return (true);
 }
 
@@ -29,7 +30,7 @@
 {
 	waiting = fn;
 	waiting_arg = arg;
-	g_string_append_printf(told, "asks from %u\n", (unsigned)from);
+	g_string_append_printf(printed, "asks from %u\n", (unsigned)from);
 	return (true);
 }
 
@@ -41,29 +42,30 @@
 static void
 on_record(void *owner, const struct store_record *record)
 {
-	g_string_append_printf(told, "record %s\n", record->key);
+	g_string_append_printf(printed, "record %s\n", record->key);
 }
 
 static void
-on_whole(void *owner, GHashTable *seen)
+on_snapshot_done(void *owner, GHashTable *seen)
 {
-	g_string_append_printf(told, "whole %u\n", g_hash_table_size(seen));
+	g_string_append_printf(printed, "snapshot %u\n",
+	    g_hash_table_size(seen));
 }
 
 static void
-on_fresh(void *owner, uint64_t from, uint64_t end)
+on_advanced(void *owner, uint64_t from, uint64_t end)
 {
-	g_string_append_printf(told, "fresh %u to %u\n", (unsigned)from,
+	g_string_append_printf(printed, "advanced %u to %u\n", (unsigned)from,
 	    (unsigned)end);
 }
 
 static const struct topic_follower_ops follow_ops = {
 	.record = on_record,
-	.snapshot_done = on_whole,
-	.advanced = on_fresh,
+	.snapshot_done = on_snapshot_done,
+	.advanced = on_advanced,
 };
 
-/* Closes the follower's timer, so that the next script has a new one. */
+/* Closes the follower's timer, so that the next script gets a new one. */
 static void
 close_follow(void)
 {
@@ -81,7 +83,7 @@
 {
 	close_follow();
 	store.ops = &fake_ops;
-	g_string_truncate(told, 0);
+	g_string_truncate(printed, 0);
 	waiting = NULL;
 	topic_follower_init(&follow, &store, &loop, TOPIC_ENDPOINTS,
 	    &follow_ops, NULL);
@@ -91,64 +93,64 @@
 }
 
 static void
-say(GString *out)
+flush(GString *out)
 {
-	g_string_append(out, told->str);
-	g_string_truncate(told, 0);
+	g_string_append(out, printed->str);
+	g_string_truncate(printed, 0);
 }
 
 static void
 exec_start(const char *rest, GString *out)
 {
 	topic_follower_start(&follow);
-	say(out);
+	flush(out);
 }
 
-/* hold: make no calls for now; release: begin */
+/* hold: make no calls for now; release: start to follow the topic */
 static void
 exec_hold(const char *rest, GString *out)
 {
 	topic_follower_hold(&follow);
 	topic_follower_start(&follow);
-	say(out);
+	flush(out);
 }
 
 static void
 exec_release(const char *rest, GString *out)
 {
 	topic_follower_release(&follow);
-	say(out);
+	flush(out);
 }
 
-/* adopt END: a peer's knowledge was taken over */
+/* adopt END: a peer's snapshot was applied */
 static void
 exec_adopt(const char *rest, GString *out)
 {
 	topic_follower_adopt(&follow, g_ascii_strtoull(rest, NULL, 10),
 	    uv_now(&loop));
-	say(out);
+	flush(out);
 }
 
-/* reader on=0|1: this daemon reads for the others */
+/* reader on=0|1: this daemon starts or stops to read for the others */
 static void
 exec_reader(const char *rest, GString *out)
 {
-	/* The least pause between two reads is over. */
+	/* The least time between two reads has passed. */
 	follow.asked_ms = 0;
 	topic_follower_set_reader(&follow, script_number(rest, "on", 1) != 0);
-	say(out);
+	flush(out);
 }
 
-/* read: something waits for what is new */
+/* poll: something waits for new records */
 static void
-exec_read(const char *rest, GString *out)
+exec_poll(const char *rest, GString *out)
 {
 	follow.asked_ms = 0;
 	topic_follower_poll(&follow);
-	say(out);
+	flush(out);
 }
 
-/* records NAME:OFFSET,... as an array */
+/* Parses records NAME:OFFSET,... into an array. */
 static GArray *
 records_of(const char *list)
 {
@@ -191,35 +193,35 @@
 	if (fn != NULL)
 		fn(waiting_arg, &answer);
 	else
-		g_string_append(told, "nobody asked\n");
+		g_string_append(printed, "nobody asked\n");
 	g_array_free(answer.records, TRUE);
-	say(out);
+	flush(out);
 }
 
-/* feed from=N end=N [records=NAME:OFFSET,...]: a peer told what it read */
+/* apply from=N end=N [records=NAME:OFFSET,...]: a peer sent what it read */
 static void
-exec_feed(const char *rest, GString *out)
+exec_apply(const char *rest, GString *out)
 {
 	g_autofree char *list = script_word(rest, "records");
 	g_autoptr(GArray) records = records_of(list);
 
 	if (!topic_follower_apply(&follow, script_number(rest, "from", 0),
 		script_number(rest, "end", 0), records))
-		g_string_append(told, "missing\n");
-	say(out);
+		g_string_append(printed, "missing\n");
+	flush(out);
 }
 
-/* told AGE: peers' news were complete so many milliseconds ago */
+/* updated AGE: updates from peers were complete this many milliseconds ago */
 static void
-exec_told(const char *rest, GString *out)
+exec_updated(const char *rest, GString *out)
 {
 	follow.peer_update_ms =
 	    uv_now(&loop) - g_ascii_strtoull(rest, NULL, 10);
 }
 
-/* tells: whether what is read now is told to others */
+/* relays: whether the records of this read are relayed to peers */
 static void
-exec_tells(const char *rest, GString *out)
+exec_relays(const char *rest, GString *out)
 {
 	g_string_append(out, follow.relays ? "yes\n" : "no\n");
 }
@@ -237,11 +239,11 @@
 	{ "release", exec_release },
 	{ "adopt", exec_adopt },
 	{ "reader", exec_reader },
-	{ "read", exec_read },
+	{ "poll", exec_poll },
 	{ "answer", exec_answer },
-	{ "feed", exec_feed },
-	{ "told", exec_told },
-	{ "tells", exec_tells },
+	{ "apply", exec_apply },
+	{ "updated", exec_updated },
+	{ "relays", exec_relays },
 	{ "complete", exec_complete },
 	{ NULL, NULL },
 };
@@ -253,12 +255,12 @@
 
 	event_log_open("test-follow", LOG_ERR);
 	uv_loop_init(&loop);
-	/* Ages are told of a clock that has run for a while. */
+	/* The clock must be later than any age that a script gives. */
 	loop.time = 60000;
-	told = g_string_new(NULL);
+	printed = g_string_new(NULL);
 	rc = script_main("follow", commands, reset);
 	close_follow();
-	g_string_free(told, TRUE);
+	g_string_free(printed, TRUE);
 	uv_loop_close(&loop);
 	return (rc);
 }
