--- a/src/registry-poison.c
+++ b/src/registry-poison.c
@@ -1,54 +1,64 @@
 /*
- * Work under which endpoints ended: suspected, cleared, quarantined. Pure.
+ * Requests that may crash the endpoints that run them: suspicion, clearing and
+ * quarantine. Does no I/O.
  *
- * A request that crashes the endpoint that runs it comes again, under another
- * id and at any daemon, so it is known by a fingerprint of what it asks for.
- * All that ran on an endpoint that ended is suspected; what is answered whole
- * is cleared; what ends a third endpoint is quarantined.
+ * A request that crashes its endpoint is sent again by its caller, under
+ * another id and to any daemon, so it is identified by a fingerprint of what it
+ * asks for. All requests that ran on an endpoint that crashed are suspected.
+ * One that is answered in full is cleared; one that crashes a third endpoint is
+ * quarantined.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "registry-poison.h"
 
-/* Ends after which a daemon doesn't send work again by itself: its caller may
- * come again, and each end costs all that ran there. */
-#define POISON_ENDS_REPEATED 2
-/* Connections break for other reasons too, and several at once. An end counts
- * towards quarantine when it is this old: by then an endpoint that lives and
- * has other work has been heard of, and other requests of the work are
- * answered. */
+/* Crashes after which a daemon does not retry a request by itself: the caller
+ * may send it again, and each crash costs all requests that run there. */
+#define POISON_RETRY_CRASHES 2
+/* Connections break for other reasons too, and several at once. A crash counts
+ * towards quarantine when it is this old: by then a live endpoint that has
+ * other requests has sent something, and other requests of the same fingerprint
+ * are answered. */
 #define POISON_SETTLE_MS 100
-/* The daemon that saw the third end sends one request of the work after this,
- * so that an innocent one is not shut out for long. */
+/* The daemon that observed the third crash sends one such request after this
+ * time, so that an innocent one is not shut out for long. */
 #define POISON_PROBE_MS 15000
-/* Ends this soon after the third were on their way when it was known. */
+/* Crashes this soon after the third are from requests that were already
+ * running.
+ */
 #define POISON_BURST_MS 5000
-/* Quarantine after so many ends; twice as long with each one in spite of it. */
+/* Length of the quarantine, doubled with each further crash despite it. */
 #define POISON_PERIOD_MS 600000
-#define POISON_DOUBLINGS_MOST 5
-/* What was answered this lately doesn't crash endpoints: it was there when they
- * ended for another reason. */
-#define POISON_GOOD_MS 10000
-/* That work was cleared is remembered for so long: a daemon that wasn't told
- * may still tell of the ends, and is told then, this often. */
-#define POISON_CLEARED_KEPT_MS 600000
-#define POISON_CLEARED_AGAIN_MS 1000
-/* Signs of life that may be older than the end they would disprove: an own
- * answer, what another daemon says of one, and a beat that was read late. */
+#define POISON_DOUBLINGS_MAX 5
+/* A request that was answered this lately does not crash endpoints: it ran
+ * there when they ended for another reason. */
+#define POISON_SUCCESS_TTL_MS 10000
+/* A cleared request is remembered for this long. A daemon that missed the
+ * clearing may go on reporting the crashes, and is answered at this interval.
+ */
+#define POISON_CLEARED_TTL_MS 600000
+#define POISON_CLEARED_RESEND_MS 1000
+/* A sign of life must be this much newer than a crash to refute it, since it
+ * may be older than it looks: bytes received here, those reported by a peer,
+ * and an entry that was read late. */
 #define HEARD_LAG_MS 100
 #define PEER_HEARD_LAG_MS 300
-#define BEAT_LAG_MS 2500
+#define HEARTBEAT_LAG_MS 2500
 
-/* Whether an end is one. */
-enum end_sight {
-	END_STANDS,
-	END_DOUBTED,
-	END_DISPROVED,
+/*
+ * Whether a reported crash happened. CRASH_PROBABLE: nothing speaks against it.
+ * CRASH_UNCONFIRMED: the endpoint may be alive, so the crash does not count for
+ * now. CRASH_REFUTED: the endpoint was heard of after it.
+ */
+enum crash_status {
+	CRASH_PROBABLE,
+	CRASH_UNCONFIRMED,
+	CRASH_REFUTED,
 };
 
 /**
- * poison_init() - suspect nothing.
+ * poison_init() - initialize an empty table.
  * @poison: the table
  */
 void
@@ -60,11 +70,11 @@
 }
 
 static void
-work_free(struct poison *poison, struct poison_request *w)
+request_free(struct poison *poison, struct poison_request *request)
 {
-	g_hash_table_remove(poison->by_fingerprint, &w->fingerprint);
-	TAILQ_REMOVE(&poison->requests, w, entry);
-	g_free(w);
+	g_hash_table_remove(poison->by_fingerprint, &request->fingerprint);
+	TAILQ_REMOVE(&poison->requests, request, entry);
+	g_free(request);
 }
 
 /**
@@ -74,250 +84,268 @@
 void
 poison_release(struct poison *poison)
 {
-	struct poison_request *w, *next;
+	struct poison_request *request, *next;
 
-	for (w = TAILQ_FIRST(&poison->requests); w != NULL; w = next) {
-		next = TAILQ_NEXT(w, entry);
-		work_free(poison, w);
+	for (request = TAILQ_FIRST(&poison->requests); request != NULL;
+	     request = next) {
+		next = TAILQ_NEXT(request, entry);
+		request_free(poison, request);
 	}
 	g_hash_table_destroy(poison->by_fingerprint);
 }
 
 /**
- * poison_find() - what is known of some work.
+ * poison_find() - find a suspected request.
  * @poison: the table
- * @work: its fingerprint
+ * @fingerprint: the request's fingerprint
+ *
+ * Return: the request, or NULL.
  */
 struct poison_request *
-poison_find(const struct poison *poison, uint64_t work)
+poison_find(const struct poison *poison, uint64_t fingerprint)
 {
-	return (g_hash_table_lookup(poison->by_fingerprint, &work));
+	return (g_hash_table_lookup(poison->by_fingerprint, &fingerprint));
 }
 
-/* Makes room by dropping the work with the fewest ends, the oldest of these. */
+/*
+ * Makes room in a full table by dropping the request with the fewest crashes;
+ * of several, the one whose record changed longest ago.
+ */
 static void
 make_room(struct poison *poison)
 {
-	struct poison_request *w, *least = NULL;
+	struct poison_request *request, *least = NULL;
 
 	if (g_hash_table_size(poison->by_fingerprint) < POISON_REQUESTS_MAX)
 		return;
-	TAILQ_FOREACH_REVERSE(w, &poison->requests, poison_list, entry)
+	TAILQ_FOREACH_REVERSE(request, &poison->requests, poison_list, entry)
 	{
-		if (least == NULL || w->n_crashes < least->n_crashes)
-			least = w;
+		if (least == NULL || request->n_crashes < least->n_crashes)
+			least = request;
 		if (least->n_crashes <= 1)
 			break;
 	}
-	work_free(poison, least);
+	request_free(poison, least);
 }
 
 static struct poison_request *
-work_create(struct poison *poison, uint64_t work)
+request_create(struct poison *poison, uint64_t fingerprint)
 {
-	struct poison_request *w;
+	struct poison_request *request;
 
 	make_room(poison);
-	w = g_new0(struct poison_request, 1);
-	w->fingerprint = work;
-	g_hash_table_insert(poison->by_fingerprint, &w->fingerprint, w);
-	TAILQ_INSERT_HEAD(&poison->requests, w, entry);
-	return (w);
+	request = g_new0(struct poison_request, 1);
+	request->fingerprint = fingerprint;
+	g_hash_table_insert(poison->by_fingerprint, &request->fingerprint,
+	    request);
+	TAILQ_INSERT_HEAD(&poison->requests, request, entry);
+	return (request);
 }
 
+/* Notes a change, and moves the request to the head of the list. */
 static void
-work_changed(struct poison *poison, struct poison_request *w, uint64_t now_ms)
+request_changed(struct poison *poison, struct poison_request *request,
+    uint64_t now_ms)
 {
-	w->changed_ms = now_ms;
-	TAILQ_REMOVE(&poison->requests, w, entry);
-	TAILQ_INSERT_HEAD(&poison->requests, w, entry);
+	request->changed_ms = now_ms;
+	TAILQ_REMOVE(&poison->requests, request, entry);
+	TAILQ_INSERT_HEAD(&poison->requests, request, entry);
 }
 
 static bool
-end_same(const struct poison_crash *a, const struct poison_crash *b)
+same_incarnation(const struct poison_crash *a, const struct poison_crash *b)
 {
 	return (a->id_hash == b->id_hash && a->started == b->started);
 }
 
 static struct poison_crash *
-work_end(const struct poison_request *w, const struct poison_crash *end)
+request_find_crash(const struct poison_request *request,
+    const struct poison_crash *crash)
 {
-	for (unsigned i = 0; i < w->n_crashes; i++) {
-		if (end_same(&w->crashes[i], end))
-			return ((struct poison_crash *)&w->crashes[i]);
+	for (unsigned i = 0; i < request->n_crashes; i++) {
+		if (same_incarnation(&request->crashes[i], crash))
+			return ((struct poison_crash *)&request->crashes[i]);
 	}
 	return (NULL);
 }
 
 static void
-work_drop_end(struct poison_request *w, unsigned at)
+request_drop_crash(struct poison_request *request, unsigned at)
 {
-	w->n_crashes--;
-	memmove(&w->crashes[at], &w->crashes[at + 1],
-	    (w->n_crashes - at) * sizeof w->crashes[0]);
+	request->n_crashes--;
+	memmove(&request->crashes[at], &request->crashes[at + 1],
+	    (request->n_crashes - at) * sizeof request->crashes[0]);
 }
 
-/* Adds an end; the newest makes room, since those of before are settled. */
+/* Adds a crash. If there is no room it replaces the newest, as the older ones
+ * are settled. */
 static void
-work_add_end(struct poison_request *w, const struct poison_crash *end)
+request_add_crash(struct poison_request *request,
+    const struct poison_crash *crash)
 {
 	unsigned newest = 0;
 
-	for (unsigned i = 1; i < w->n_crashes; i++) {
-		if (w->crashes[i].at_ms > w->crashes[newest].at_ms)
+	for (unsigned i = 1; i < request->n_crashes; i++) {
+		if (request->crashes[i].at_ms > request->crashes[newest].at_ms)
 			newest = i;
 	}
-	if (w->n_crashes == POISON_CRASHES_MAX)
-		work_drop_end(w, newest);
-	w->crashes[w->n_crashes++] = *end;
+	if (request->n_crashes == POISON_CRASHES_MAX)
+		request_drop_crash(request, newest);
+	request->crashes[request->n_crashes++] = *crash;
 }
 
 /**
- * poison_crash_of() - the end of an endpoint's incarnation.
+ * poison_crash_of() - describe the crash of an endpoint's incarnation.
  * @ep: the endpoint
- * @silent: it fell silent
- * @now_ms: loop time
+ * @silent: it fell silent; otherwise its connection broke
+ * @now_ms: loop time of the crash
+ *
+ * Return: the crash, as observed by this daemon.
  */
 struct poison_crash
 poison_crash_of(const struct endpoint *ep, bool silent, uint64_t now_ms)
 {
-	const struct poison_crash end = {
+	const struct poison_crash crash = {
 		.id_hash = ep->id_hash,
 		.started = (uint32_t)ep->report.started_ms,
 		.at_ms = now_ms,
 		.silent = silent,
 	};
 
-	return (end);
+	return (crash);
 }
 
-/* Another daemon still tells of an end that an answer has cleared: the answer
- * is news once more. */
+/* A daemon still reports a crash that an answer has cleared, so the clearing is
+ * sent to the peers once more. */
 static void
-work_clear_again(struct poison *poison, struct poison_request *w,
+request_resend_clearing(struct poison *poison, struct poison_request *request,
     uint64_t now_ms)
 {
-	if (w->n_crashes > 0 ||
-	    now_ms - w->changed_ms < POISON_CLEARED_AGAIN_MS)
+	if (request->n_crashes > 0 ||
+	    now_ms - request->changed_ms < POISON_CLEARED_RESEND_MS)
 		return;
-	w->cleared_origin = POISON_LOCAL;
-	work_changed(poison, w, now_ms);
+	request->cleared_origin = POISON_LOCAL;
+	request_changed(poison, request, now_ms);
 }
 
 /**
- * poison_add_crash() - an endpoint ended while it had some work.
+ * poison_add_crash() - add a crash of an endpoint while it ran a request.
  * @poison: the table
- * @work: the work's fingerprint
- * @end: the endpoint's end
+ * @fingerprint: the request's fingerprint
+ * @crash: the crash
  * @now_ms: loop time
  *
- * Return: true where that is news.
+ * Return: whether it was added, or replaced a weaker report of the same crash.
  */
 bool
-poison_add_crash(struct poison *poison, uint64_t work,
-    const struct poison_crash *end, uint64_t now_ms)
+poison_add_crash(struct poison *poison, uint64_t fingerprint,
+    const struct poison_crash *crash, uint64_t now_ms)
 {
-	struct poison_request *w = poison_find(poison, work);
+	struct poison_request *request = poison_find(poison, fingerprint);
 	struct poison_crash *known;
 
-	if (w != NULL && end->at_ms <= w->cleared_ms) {
-		work_clear_again(poison, w, now_ms);
+	if (request != NULL && crash->at_ms <= request->cleared_ms) {
+		request_resend_clearing(poison, request, now_ms);
 		return (false);
 	}
-	if (w == NULL)
-		w = work_create(poison, work);
-	known = work_end(w, end);
-	if (known != NULL && (!known->silent || end->silent))
+	if (request == NULL)
+		request = request_create(poison, fingerprint);
+	known = request_find_crash(request, crash);
+	if (known != NULL && (!known->silent || crash->silent))
 		return (false);
-	/* A connection that broke says more than silence did. */
+	/* A broken connection is stronger evidence than silence. */
 	if (known != NULL)
-		*known = *end;
+		*known = *crash;
 	else
-		work_add_end(w, end);
-	work_changed(poison, w, now_ms);
+		request_add_crash(request, crash);
+	request_changed(poison, request, now_ms);
 	return (true);
 }
 
 /**
- * poison_observe_crash() - this daemon lost some work at an endpoint that
- * ended.
+ * poison_observe_crash() - add a crash that this daemon observed, unless the
+ * request was answered lately.
  * @poison: the table
- * @work: the work's fingerprint
- * @end: the endpoint's end
+ * @fingerprint: the request's fingerprint
+ * @crash: the crash
  * @now_ms: loop time
  *
- * Return: true where that makes it suspected of one end more.
+ * Return: whether it was added.
  */
 bool
-poison_observe_crash(struct poison *poison, uint64_t work,
-    const struct poison_crash *end, uint64_t now_ms)
+poison_observe_crash(struct poison *poison, uint64_t fingerprint,
+    const struct poison_crash *crash, uint64_t now_ms)
 {
-	const struct poison_success *good =
-	    &poison->successes[work % POISON_SUCCESSES_MAX];
+	const struct poison_success *success =
+	    &poison->successes[fingerprint % POISON_SUCCESSES_MAX];
 
-	if (good->fingerprint == work && now_ms - good->at_ms < POISON_GOOD_MS)
+	if (success->fingerprint == fingerprint &&
+	    now_ms - success->at_ms < POISON_SUCCESS_TTL_MS)
 		return (false);
-	return (poison_add_crash(poison, work, end, now_ms));
+	return (poison_add_crash(poison, fingerprint, crash, now_ms));
 }
 
 /**
- * poison_clear() - some work was answered whole.
+ * poison_clear() - drop the crashes before a full answer to a request.
  * @poison: the table
- * @work: its fingerprint
- * @at_ms: when
- * @reach: from where that is known
+ * @fingerprint: the request's fingerprint
+ * @at_ms: loop time of the answer
+ * @origin: how this daemon learned of the answer
  * @now_ms: loop time
  *
- * A single end is left out of the news: it tells nothing by itself.
+ * The clearing of a single crash is not sent to peers, as one crash means
+ * nothing by itself.
  *
- * Return: true where it was suspected.
+ * Return: whether any crash was dropped.
  */
 bool
-poison_clear(struct poison *poison, uint64_t work, uint64_t at_ms,
-    enum poison_origin reach, uint64_t now_ms)
+poison_clear(struct poison *poison, uint64_t fingerprint, uint64_t at_ms,
+    enum poison_origin origin, uint64_t now_ms)
 {
-	struct poison_request *w = poison_find(poison, work);
+	struct poison_request *request = poison_find(poison, fingerprint);
 	unsigned before;
 
-	if (w == NULL || at_ms <= w->cleared_ms)
+	if (request == NULL || at_ms <= request->cleared_ms)
 		return (false);
-	before = w->n_crashes;
-	for (unsigned i = w->n_crashes; i-- > 0;) {
-		if (w->crashes[i].at_ms <= at_ms)
-			work_drop_end(w, i);
+	before = request->n_crashes;
+	for (unsigned i = request->n_crashes; i-- > 0;) {
+		if (request->crashes[i].at_ms <= at_ms)
+			request_drop_crash(request, i);
 	}
-	w->cleared_ms = at_ms;
-	w->cleared_origin = reach;
-	if (before > 1 && w->n_crashes < before)
-		work_changed(poison, w, now_ms);
-	return (w->n_crashes < before);
+	request->cleared_ms = at_ms;
+	request->cleared_origin = origin;
+	if (before > 1 && request->n_crashes < before)
+		request_changed(poison, request, now_ms);
+	return (request->n_crashes < before);
 }
 
 /**
- * poison_note_success() - this daemon has a whole answer to some work.
+ * poison_note_success() - note that this daemon received a full answer.
  * @poison: the table
- * @work: its fingerprint
- * @now_ms: loop time
+ * @fingerprint: the request's fingerprint
+ * @now_ms: loop time of the answer
  *
- * Return: true where it was suspected.
+ * Return: whether the request was suspected and any crash was dropped.
  */
 bool
-poison_note_success(struct poison *poison, uint64_t work, uint64_t now_ms)
+poison_note_success(struct poison *poison, uint64_t fingerprint,
+    uint64_t now_ms)
 {
-	struct poison_success *good =
-	    &poison->successes[work % POISON_SUCCESSES_MAX];
+	struct poison_success *success =
+	    &poison->successes[fingerprint % POISON_SUCCESSES_MAX];
 
-	good->fingerprint = work;
-	good->at_ms = now_ms;
-	return (poison_clear(poison, work, now_ms, POISON_LOCAL, now_ms));
+	success->fingerprint = fingerprint;
+	success->at_ms = now_ms;
+	return (
+	    poison_clear(poison, fingerprint, now_ms, POISON_LOCAL, now_ms));
 }
 
 /*
- * Whether others of an endpoint's failure domain were heard after it fell
- * silent: otherwise the way there may be cut.
+ * Whether another endpoint of the failure domain was heard of after this one
+ * fell silent: otherwise the network path there may be broken.
  */
 static bool
-neighbour_heard(const struct fleet *fleet, const struct endpoint *silent,
+domain_heard(const struct fleet *fleet, const struct endpoint *silent,
     uint64_t since_ms)
 {
 	const struct endpoint *ep;
@@ -330,67 +358,67 @@
 	return (false);
 }
 
-/* The incarnation of an end; NULL where another has taken its place, or none.
- */
+/* The incarnation that a crash is about; NULL if it is no longer known. */
 static const struct endpoint *
-end_endpoint(const struct fleet *fleet, const struct poison_crash *end)
+crash_endpoint(const struct fleet *fleet, const struct poison_crash *crash)
 {
-	const struct endpoint *ep = fleet_find_by_hash(fleet, end->id_hash);
+	const struct endpoint *ep = fleet_find_by_hash(fleet, crash->id_hash);
 
-	if (ep == NULL || (uint32_t)ep->report.started_ms != end->started)
+	if (ep == NULL || (uint32_t)ep->report.started_ms != crash->started)
 		return (NULL);
 	return (ep);
 }
 
-/* Whether an endpoint was heard of since it seemed to end. */
+/* Whether an endpoint was heard of after its reported crash. */
 static bool
-end_disproved(const struct endpoint *ep, const struct poison_crash *end)
+crash_refuted(const struct endpoint *ep, const struct poison_crash *crash)
 {
 	return (ep != NULL &&
-	    (ep->heard_ms >= end->at_ms + HEARD_LAG_MS ||
-		ep->peer_heard_ms >= end->at_ms + PEER_HEARD_LAG_MS));
+	    (ep->heard_ms >= crash->at_ms + HEARD_LAG_MS ||
+		ep->peer_heard_ms >= crash->at_ms + PEER_HEARD_LAG_MS));
 }
 
-/* What the fleet says of an end. */
-static enum end_sight
-end_look(const struct fleet *fleet, const struct poison_crash *end)
+/* Checks a reported crash against what the fleet knows of the endpoint. */
+static enum crash_status
+crash_check(const struct fleet *fleet, const struct poison_crash *crash)
 {
-	const struct endpoint *ep = end_endpoint(fleet, end);
+	const struct endpoint *ep = crash_endpoint(fleet, crash);
 
 	if (ep == NULL)
-		return (END_STANDS);
-	if (end_disproved(ep, end))
-		return (END_DISPROVED);
+		return (CRASH_PROBABLE);
+	if (crash_refuted(ep, crash))
+		return (CRASH_REFUTED);
 	if (ep->gone || ep->lapsed_ms != 0)
-		return (END_STANDS);
-	if (ep->seen_ms >= end->at_ms + BEAT_LAG_MS)
-		return (END_DOUBTED);
-	if (end->silent && !neighbour_heard(fleet, ep, end->at_ms))
-		return (END_DOUBTED);
-	return (END_STANDS);
+		return (CRASH_PROBABLE);
+	if (ep->seen_ms >= crash->at_ms + HEARTBEAT_LAG_MS)
+		return (CRASH_UNCONFIRMED);
+	if (crash->silent && !domain_heard(fleet, ep, crash->at_ms))
+		return (CRASH_UNCONFIRMED);
+	return (CRASH_PROBABLE);
 }
 
-/* Whether work that ended more endpoints ended this one too. */
+/* Whether a request with more crashes, enough for quarantine, shares this one.
+ */
 static bool
-end_explained(const struct poison *poison, const struct poison_request *w,
-    const struct poison_crash *end)
+crash_explained(const struct poison *poison,
+    const struct poison_request *request, const struct poison_crash *crash)
 {
 	const struct poison_request *other;
 
 	TAILQ_FOREACH(other, &poison->requests, entry) {
-		if (other != w &&
+		if (other != request &&
 		    other->n_crashes >= POISON_QUARANTINE_CRASHES &&
-		    other->n_crashes > w->n_crashes &&
-		    work_end(other, end) != NULL)
+		    other->n_crashes > request->n_crashes &&
+		    request_find_crash(other, crash) != NULL)
 			return (true);
 	}
 	return (false);
 }
 
-/* How long after the newest end a probe is due, by ends in spite of quarantine.
+/* Time from the newest crash to the probe, by the crashes despite quarantine.
  */
 static uint64_t
-probe_after_ms(unsigned later)
+probe_delay_ms(unsigned later)
 {
 	if (later == 0)
 		return (POISON_PROBE_MS);
@@ -405,9 +433,9 @@
 	return (x < y ? -1 : x > y);
 }
 
-/* Ends that came in spite of quarantine. */
+/* Counts the crashes that happened despite quarantine. */
 static unsigned
-later_ends(const uint64_t *at_ms, unsigned n)
+count_later(const uint64_t *at_ms, unsigned n)
 {
 	uint64_t sorted[POISON_CRASHES_MAX];
 	unsigned later = 0;
@@ -417,20 +445,20 @@
 	for (unsigned i = POISON_QUARANTINE_CRASHES; i < n; i++)
 		later += sorted[i] >
 		    sorted[POISON_QUARANTINE_CRASHES - 1] + POISON_BURST_MS;
-	return (MIN(later, POISON_DOUBLINGS_MOST));
+	return (MIN(later, POISON_DOUBLINGS_MAX));
 }
 
 /**
- * poison_evaluate() - whether some work is quarantined.
+ * poison_evaluate() - decide whether a request is quarantined.
  * @poison: the table
  * @fleet: the endpoints
- * @w: the work
+ * @request: the request
  * @now_ms: loop time
- * @verdict: filled in
+ * @verdict: set to the result
  */
 void
 poison_evaluate(const struct poison *poison, const struct fleet *fleet,
-    const struct poison_request *w, uint64_t now_ms,
+    const struct poison_request *request, uint64_t now_ms,
     struct poison_verdict *verdict)
 {
 	const struct poison_crash *newest = NULL;
@@ -438,70 +466,72 @@
 	unsigned later;
 
 	memset(verdict, 0, sizeof *verdict);
-	for (unsigned i = 0; i < w->n_crashes; i++) {
-		const struct poison_crash *end = &w->crashes[i];
-		enum end_sight sight = end_look(fleet, end);
+	for (unsigned i = 0; i < request->n_crashes; i++) {
+		const struct poison_crash *crash = &request->crashes[i];
+		enum crash_status status = crash_check(fleet, crash);
 
-		if (sight == END_DISPROVED)
+		if (status == CRASH_REFUTED)
 			continue;
-		if (sight == END_DOUBTED) {
+		if (status == CRASH_UNCONFIRMED) {
 			verdict->unconfirmed++;
-		} else if (end_explained(poison, w, end)) {
+		} else if (crash_explained(poison, request, crash)) {
 			verdict->explained++;
 		} else {
-			at_ms[verdict->crashes++] = end->at_ms;
+			at_ms[verdict->crashes++] = crash->at_ms;
 			verdict->settled +=
-			    now_ms >= end->at_ms + POISON_SETTLE_MS;
-			if (newest == NULL || end->at_ms > newest->at_ms)
-				newest = end;
+			    now_ms >= crash->at_ms + POISON_SETTLE_MS;
+			if (newest == NULL || crash->at_ms > newest->at_ms)
+				newest = crash;
 		}
 	}
 	if (verdict->settled < POISON_QUARANTINE_CRASHES)
 		return;
-	later = later_ends(at_ms, verdict->crashes);
+	later = count_later(at_ms, verdict->crashes);
 	until = newest->at_ms + ((uint64_t)POISON_PERIOD_MS << later);
 	if (now_ms >= until)
 		return;
 	verdict->until_ms = until;
 	if (newest->origin == POISON_LOCAL)
-		verdict->probe_ms = newest->at_ms + probe_after_ms(later);
+		verdict->probe_ms = newest->at_ms + probe_delay_ms(later);
 }
 
 /**
- * poison_may_retry() - whether a daemon may send some work again by itself.
+ * poison_may_retry() - whether a daemon may retry a request by itself.
  * @poison: the table
  * @fleet: the endpoints
- * @work: its fingerprint
+ * @fingerprint: the request's fingerprint
  * @now_ms: loop time
  */
 bool
 poison_may_retry(const struct poison *poison, const struct fleet *fleet,
-    uint64_t work, uint64_t now_ms)
+    uint64_t fingerprint, uint64_t now_ms)
 {
-	const struct poison_request *w = poison_find(poison, work);
+	const struct poison_request *request = poison_find(poison, fingerprint);
 	struct poison_verdict verdict;
 
-	if (w == NULL)
+	if (request == NULL)
 		return (true);
-	poison_evaluate(poison, fleet, w, now_ms, &verdict);
-	return (verdict.crashes < POISON_ENDS_REPEATED || verdict.settled == 0);
+	poison_evaluate(poison, fleet, request, now_ms, &verdict);
+	return (verdict.crashes < POISON_RETRY_CRASHES || verdict.settled == 0);
 }
 
-/* Drops ends that were none, and those of long ago. */
+/* Drops crashes that have been refuted, and old ones. */
 static void
-work_sweep(struct poison_request *w, const struct fleet *fleet, uint64_t now_ms)
+request_sweep(struct poison_request *request, const struct fleet *fleet,
+    uint64_t now_ms)
 {
-	for (unsigned i = w->n_crashes; i-- > 0;) {
-		const struct poison_crash *end = &w->crashes[i];
+	for (unsigned i = request->n_crashes; i-- > 0;) {
+		const struct poison_crash *crash = &request->crashes[i];
 
-		if (now_ms - MIN(end->at_ms, now_ms) >= POISON_CRASH_TTL_MS ||
-		    end_disproved(end_endpoint(fleet, end), end))
-			work_drop_end(w, i);
+		if (now_ms - MIN(crash->at_ms, now_ms) >= POISON_CRASH_TTL_MS ||
+		    crash_refuted(crash_endpoint(fleet, crash), crash))
+			request_drop_crash(request, i);
 	}
 }
 
 /**
- * poison_sweep() - forget what has been disproved, and what is old.
+ * poison_sweep() - drop crashes that are refuted or old, and requests that have
+ * had none for POISON_CLEARED_TTL_MS.
  * @poison: the table
  * @fleet: the endpoints
  * @now_ms: loop time
@@ -509,15 +539,15 @@
 void
 poison_sweep(struct poison *poison, const struct fleet *fleet, uint64_t now_ms)
 {
-	struct poison_request *w = TAILQ_FIRST(&poison->requests);
+	struct poison_request *request = TAILQ_FIRST(&poison->requests);
 
-	while (w != NULL) {
-		struct poison_request *next = TAILQ_NEXT(w, entry);
+	while (request != NULL) {
+		struct poison_request *next = TAILQ_NEXT(request, entry);
 
-		work_sweep(w, fleet, now_ms);
-		if (w->n_crashes == 0 &&
-		    now_ms - w->changed_ms >= POISON_CLEARED_KEPT_MS)
-			work_free(poison, w);
-		w = next;
+		request_sweep(request, fleet, now_ms);
+		if (request->n_crashes == 0 &&
+		    now_ms - request->changed_ms >= POISON_CLEARED_TTL_MS)
+			request_free(poison, request);
+		request = next;
 	}
 }
--- a/src/registry-poison.h
+++ b/src/registry-poison.h
@@ -1,4 +1,7 @@
-/* Work under which endpoints ended: suspected, cleared, quarantined. Pure. */
+/*
+ * Requests that may crash the endpoints that run them: suspicion, clearing and
+ * quarantine. Does no I/O.
+ */
 #ifndef BL_REGISTRY_POISON_H
 #define BL_REGISTRY_POISON_H
 
@@ -8,25 +11,26 @@
 
 #include "registry-fleet.h"
 
-/* Ends after which work is quarantined. Two may be chance: up to a whole batch
- * runs on an endpoint that ends, and what is repeated may meet another one. */
+/* Crashes after which a request is quarantined. Two may be coincidence: up to a
+ * whole batch runs on an endpoint that crashes, and a request of it that is
+ * retried may meet another crash. */
 #define POISON_QUARANTINE_CRASHES 3
-/* Ends that are remembered of one work: the first, and the newest. */
+/* Crashes that are remembered of one request: the first ones and the newest. */
 #define POISON_CRASHES_MAX 8
-/* Ends are remembered for a day. */
+/* Crashes are remembered for a day. */
 #define POISON_CRASH_TTL_MS 86400000
-/* Work that is remembered; that with the fewest ends is dropped first. Twenty
- * such works at once make 500 bystanders a second, and the next end by each is
- * seconds away. */
+/* Requests that are remembered; the one with the fewest crashes is dropped
+ * first. Twenty poison requests at once make 500 bystanders a second suspect,
+ * and the next crash by each of the twenty is seconds away. */
 #define POISON_REQUESTS_MAX 2048
-/* Work that was answered lately, as far as it is remembered. */
+/* Slots for requests that were answered lately. */
 #define POISON_SUCCESSES_MAX 1024
 
 /**
- * enum poison_origin - from where this daemon knows something.
- * @POISON_LOCAL: it saw it itself
- * @POISON_CELL: a daemon that reports to it told it
- * @POISON_REMOTE: another told it, and tells all others whom it concerns
+ * enum poison_origin - how this daemon learned of an event.
+ * @POISON_LOCAL: it observed the event itself
+ * @POISON_CELL: a daemon that reports to it sent it
+ * @POISON_REMOTE: another daemon sent it, which tells all others concerned too
  */
 enum poison_origin {
 	POISON_LOCAL,
@@ -35,13 +39,13 @@
 };
 
 /**
- * struct poison_crash - an incarnation of an endpoint that ended under some
- * work.
- * @id_hash: short name of the endpoint
- * @started: low half of the time of day of the incarnation's start, in ms
- * @at_ms: loop time of the end
- * @silent: it fell silent; otherwise its connection broke
- * @origin: from where that is known
+ * struct poison_crash - an incarnation of an endpoint that seems to have ended
+ * while it ran a request.
+ * @id_hash: hash of the endpoint's id
+ * @started: low 32 bits of the time of day of the incarnation's start, in ms
+ * @at_ms: loop time of the crash
+ * @silent: the endpoint fell silent; otherwise its connection broke
+ * @origin: how this daemon learned of it
  */
 struct poison_crash {
 	uint32_t id_hash;
@@ -52,19 +56,20 @@
 };
 
 /**
- * struct poison_request - work that is suspected of ending endpoints.
- * @fingerprint: its fingerprint
- * @crashes: the incarnations that ended while they had it, each once
- * @n_crashes: how many
- * @cleared_ms: when it was last answered whole; 0 for never
- * @cleared_origin: from where that is known
- * @changed_ms: when something of this was learned
- * @quarantined: it was as of the last look
- * @probing: a request of it is on its way, to see whether it still does so
- * @recording: its record in the store is being written
- * @recorded_crashes: ends in that record
- * @record_again_ms: it isn't written again before
- * @entry: in the table, what changed last first
+ * struct poison_request - a request that is suspected of crashing endpoints.
+ * @fingerprint: hash of what the request asks for
+ * @crashes: crashes of incarnations that ran it, one for each incarnation
+ * @n_crashes: length of @crashes
+ * @cleared_ms: when it was last answered in full; 0 for never
+ * @cleared_origin: how this daemon learned of that answer
+ * @changed_ms: when this record last changed
+ * @quarantined: it was quarantined when last evaluated
+ * @probing: one such request is being sent to see whether it still crashes
+ *	endpoints
+ * @recording: its quarantine is being written to the store
+ * @recorded_crashes: number of crashes in the record in the store
+ * @record_again_ms: the record is not written again before then
+ * @entry: link in the table's list, last change first
  */
 struct poison_request {
 	uint64_t fingerprint;
@@ -84,9 +89,9 @@
 TAILQ_HEAD(poison_list, poison_request);
 
 /**
- * struct poison_success - work that was answered whole.
- * @fingerprint: its fingerprint
- * @at_ms: when
+ * struct poison_success - a request that was answered in full.
+ * @fingerprint: the request's fingerprint
+ * @at_ms: loop time of the answer
  */
 struct poison_success {
 	uint64_t fingerprint;
@@ -94,10 +99,11 @@
 };
 
 /**
- * struct poison - all of it.
+ * struct poison - table of suspected requests.
  * @by_fingerprint: fingerprint to struct poison_request
- * @requests: the same, what changed last first
- * @successes: what was answered lately, by a part of the fingerprint
+ * @requests: the same requests, last change first
+ * @successes: requests that were answered lately, indexed by the fingerprint
+ *	modulo the size
  */
 struct poison {
 	GHashTable *by_fingerprint;
@@ -106,14 +112,15 @@
 };
 
 /**
- * struct poison_verdict - what is to become of some work.
- * @crashes: that it is blamed for
- * @settled: of these, the ones that would have been disproved by now
- * @unconfirmed: ends that may be none
- * @explained: ends that other work is blamed for
- * @until_ms: it is quarantined until then; 0 where it isn't
- * @probe_ms: the daemon that saw the newest end may send one request of it from
- *	then on; 0 for other daemons
+ * struct poison_verdict - result of evaluating a request.
+ * @crashes: crashes that it is blamed for
+ * @settled: of these, the ones old enough that a live endpoint would have
+ *	refuted them
+ * @unconfirmed: crashes that may not have happened
+ * @explained: crashes that another request is blamed for
+ * @until_ms: end of the quarantine; 0 if it is not quarantined
+ * @probe_ms: the daemon that observed the newest crash may send one such
+ *	request from then on; 0 at other daemons
  */
 struct poison_verdict {
 	unsigned crashes;
--- a/tests/test-poison.c
+++ b/tests/test-poison.c
@@ -1,4 +1,4 @@
-/* Scripts over work that is suspected of ending endpoints. */
+/* Scripted tests of requests that are suspected of crashing endpoints. */
 #include <string.h>
 
 #include "registry-poison.h"
@@ -23,7 +23,7 @@
 }
 
 static uint64_t
-work_of(const char *rest)
+fingerprint_of(const char *rest)
 {
 	return (g_ascii_strtoull(rest, NULL, 10));
 }
@@ -50,7 +50,7 @@
 	return (fleet_find(&fleet, name));
 }
 
-/* lapse ID at=MS: its entry is removed */
+/* lapse ID at=MS: an endpoint's entry is removed */
 static void
 exec_lapse(const char *rest, GString *out)
 {
@@ -58,7 +58,8 @@
 	    script_number(rest, "at", 0), false);
 }
 
-/* heard ID at=MS [peer=1]: it sent something to this daemon, or to another */
+/* heard ID at=MS [peer=1]: an endpoint sends bytes to this daemon or to a peer
+ */
 static void
 exec_heard(const char *rest, GString *out)
 {
@@ -70,74 +71,78 @@
 		ep->heard_ms = script_number(rest, "at", 0);
 }
 
-/* lost WORK endpoint=ID at=MS [silent=1] [told=1] [now=MS]: it ended under some
- * work; told of at another time */
+/*
+ * crash REQUEST endpoint=ID at=MS [silent=1] [remote=1] [now=MS]: an endpoint
+ * ended while it ran a request; reported by another daemon; reported then
+ */
 static void
-exec_lost(const char *rest, GString *out)
+exec_crash(const char *rest, GString *out)
 {
 	g_autofree char *id = script_word(rest, "endpoint");
 	uint64_t at = script_number(rest, "at", 0);
 	uint64_t now = script_number(rest, "now", at);
 	struct endpoint *ep = endpoint_of(id);
-	struct poison_crash end =
+	struct poison_crash crash =
 	    poison_crash_of(ep, script_number(rest, "silent", 0) != 0, at);
-	bool news;
-
-	end.origin =
-	    script_number(rest, "told", 0) != 0 ? POISON_REMOTE : POISON_LOCAL;
-	news = end.origin == POISON_LOCAL ?
-	    poison_observe_crash(&poison, work_of(rest), &end, now) :
-	    poison_add_crash(&poison, work_of(rest), &end, now);
-	g_string_append(out, news ? "news\n" : "nothing new\n");
+	bool changed;
+
+	crash.origin = script_number(rest, "remote", 0) != 0 ? POISON_REMOTE :
+							       POISON_LOCAL;
+	changed = crash.origin == POISON_LOCAL ?
+	    poison_observe_crash(&poison, fingerprint_of(rest), &crash, now) :
+	    poison_add_crash(&poison, fingerprint_of(rest), &crash, now);
+	g_string_append(out, changed ? "added\n" : "no change\n");
 }
 
-/* changed WORK: when something of it was learned */
+/* changed REQUEST: when its record last changed */
 static void
 exec_changed(const char *rest, GString *out)
 {
-	const struct poison_request *w = poison_find(&poison, work_of(rest));
+	const struct poison_request *request =
+	    poison_find(&poison, fingerprint_of(rest));
 
 	g_string_append_printf(out, "%" G_GUINT64_FORMAT "\n",
-	    w != NULL ? w->changed_ms : 0);
+	    request != NULL ? request->changed_ms : 0);
 }
 
-/* answered WORK at=MS: an endpoint gave its whole answer */
+/* answered REQUEST at=MS: an endpoint answered it in full */
 static void
 exec_answered(const char *rest, GString *out)
 {
 	g_string_append(out,
-	    poison_note_success(&poison, work_of(rest),
+	    poison_note_success(&poison, fingerprint_of(rest),
 		script_number(rest, "at", 0)) ?
 		"cleared\n" :
-		"nothing new\n");
+		"no change\n");
 }
 
-/* cleared WORK at=MS: another daemon says so of an answer of that time */
+/* cleared REQUEST at=MS: another daemon reports a full answer at that time */
 static void
 exec_cleared(const char *rest, GString *out)
 {
 	uint64_t at = script_number(rest, "at", 0);
 
 	g_string_append(out,
-	    poison_clear(&poison, work_of(rest), at, POISON_REMOTE, at) ?
+	    poison_clear(&poison, fingerprint_of(rest), at, POISON_REMOTE, at) ?
 		"cleared\n" :
-		"nothing new\n");
+		"no change\n");
 }
 
-/* judge WORK at=MS: what is to become of it */
+/* evaluate REQUEST at=MS: whether it is quarantined, and why */
 static void
-exec_judge(const char *rest, GString *out)
+exec_evaluate(const char *rest, GString *out)
 {
-	const struct poison_request *w = poison_find(&poison, work_of(rest));
+	const struct poison_request *request =
+	    poison_find(&poison, fingerprint_of(rest));
 	uint64_t now = script_number(rest, "at", 0);
 	struct poison_verdict v;
 
-	if (w == NULL) {
+	if (request == NULL) {
 		g_string_append(out, "unknown\n");
 		return;
 	}
-	poison_evaluate(&poison, &fleet, w, now, &v);
-	g_string_append_printf(out, "ends %u doubted %u explained %u %s",
+	poison_evaluate(&poison, &fleet, request, now, &v);
+	g_string_append_printf(out, "crashes %u unconfirmed %u explained %u %s",
 	    v.crashes, v.unconfirmed, v.explained,
 	    v.until_ms != 0 ? "refused" : "sent");
 	if (v.until_ms != 0)
@@ -146,45 +151,45 @@
 	if (v.probe_ms != 0 && now >= v.probe_ms)
 		g_string_append(out, ", probed");
 	g_string_append(out,
-	    poison_may_retry(&poison, &fleet, work_of(rest), now) ?
+	    poison_may_retry(&poison, &fleet, fingerprint_of(rest), now) ?
 		"\n" :
-		", not repeated\n");
+		", not retried\n");
 }
 
-/* sweep at=MS: what was none or is old is forgotten */
+/* sweep at=MS: drops crashes that are refuted or old */
 static void
 exec_sweep(const char *rest, GString *out)
 {
 	poison_sweep(&poison, &fleet, script_number(rest, "at", 0));
-	g_string_append_printf(out, "%u works\n",
+	g_string_append_printf(out, "%u requests\n",
 	    g_hash_table_size(poison.by_fingerprint));
 }
 
-/* flood N endpoint=ID at=MS: so many others ran on an endpoint that ended */
+/* flood N endpoint=ID at=MS: N other requests ran when an endpoint crashed */
 static void
 exec_flood(const char *rest, GString *out)
 {
 	g_autofree char *id = script_word(rest, "endpoint");
-	uint64_t n = work_of(rest), now = script_number(rest, "at", 0);
-	const struct poison_crash end =
+	uint64_t n = fingerprint_of(rest), now = script_number(rest, "at", 0);
+	const struct poison_crash crash =
 	    poison_crash_of(endpoint_of(id), false, now);
 
 	for (uint64_t i = 0; i < n; i++)
-		poison_observe_crash(&poison, 1000000 + i, &end, now);
-	g_string_append_printf(out, "%u works\n",
+		poison_observe_crash(&poison, 1000000 + i, &crash, now);
+	g_string_append_printf(out, "%u requests\n",
 	    g_hash_table_size(poison.by_fingerprint));
 }
 
 /* same METHOD HOST TARGET CUSTOMER BODY METHOD HOST TARGET CUSTOMER BODY:
- * whether two requests are the same work; - for none */
+ * whether two requests have the same fingerprint; - for none */
 static void
 exec_same(const char *rest, GString *out)
 {
-	g_auto(GStrv) w = g_strsplit(rest, " ", 10);
-	uint64_t work[2];
+	g_auto(GStrv) words = g_strsplit(rest, " ", 10);
+	uint64_t fingerprint[2];
 
 	for (int i = 0; i < 2; i++) {
-		char **at = w + (ptrdiff_t)5 * i;
+		char **at = words + (ptrdiff_t)5 * i;
 		const struct fwd_work_key key = {
 			.method = at[0],
 			.host = at[1],
@@ -194,20 +199,21 @@
 			.length = strcmp(at[4], "-") == 0 ? 0 : strlen(at[4]),
 		};
 
-		work[i] = fwd_work_fingerprint(&key);
+		fingerprint[i] = fwd_work_fingerprint(&key);
 	}
-	g_string_append(out, work[0] == work[1] ? "yes\n" : "no\n");
+	g_string_append(out,
+	    fingerprint[0] == fingerprint[1] ? "yes\n" : "no\n");
 }
 
 static const struct script_command commands[] = {
 	{ "entry", exec_entry },
 	{ "lapse", exec_lapse },
 	{ "heard", exec_heard },
-	{ "lost", exec_lost },
+	{ "crash", exec_crash },
 	{ "changed", exec_changed },
 	{ "answered", exec_answered },
 	{ "cleared", exec_cleared },
-	{ "judge", exec_judge },
+	{ "evaluate", exec_evaluate },
 	{ "sweep", exec_sweep },
 	{ "flood", exec_flood },
 	{ "same", exec_same },
