--- a/src/registry-fleet.c
+++ b/src/registry-fleet.c
@@ -363,20 +363,20 @@
  * @fleet: the fleet
  * @id: the endpoint's id
  * @now_ms: loop time
- * @away: it may have lapsed because of a store outage and be written again
+ * @outage: it may have lapsed because of a store outage and be written again
  */
 void
-fleet_lapse(struct fleet *fleet, const char *id, uint64_t now_ms, bool away)
+fleet_lapse(struct fleet *fleet, const char *id, uint64_t now_ms, bool outage)
 {
 	struct endpoint *ep = fleet_find(fleet, id);
 
 	if (ep == NULL || ep->lapsed_ms != 0)
 		return;
 	ep->lapsed_ms = now_ms > 0 ? now_ms : 1;
-	ep->may_return = away;
+	ep->may_return = outage;
 	event_log(LOG_INFO, "endpoint_lapsed",
 	    "endpoint=%s seen_ms_ago=%llu may_return=%d", id,
-	    (unsigned long long)(now_ms - ep->seen_ms), away);
+	    (unsigned long long)(now_ms - ep->seen_ms), outage);
 }
 
 /**
--- a/src/registry.c
+++ b/src/registry.c
@@ -428,8 +428,7 @@
 	    now_ms - f->regained_ms < REGISTRY_RECOVERY_MS;
 
 	poison_sweep(&registry->poison, &registry->fleet, now_ms);
-	/* During a store outage a lapse can't be told from the outage's effect.
-	 */
+	/* During a store outage a lapse shows nothing about the endpoint. */
 	if (f->failures > 0 &&
 	    now_ms - f->peer_update_ms >= REGISTRY_PEER_UPDATE_MS)
 		return;
--- a/src/registry.h
+++ b/src/registry.h
@@ -19,7 +19,7 @@
 /* An update from peers counts as an answer of the store for this long. */
 #define REGISTRY_PEER_UPDATE_MS 1500
 /* Largest accepted lead of an endpoint's clock over the clock here: no clock
- * that is kept at all is a day off. */
+ * that is set at all is a day off. */
 #define REGISTRY_CLOCK_SKEW_MS 86400000
 /* Endpoints whose refused entries are remembered, so that each refusal is
  * logged once. */
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -67,14 +67,14 @@
 	fleet_update(&fleet, &report, ++offset, script_number(rest, "at", 0));
 }
 
-/* lapse ID at=MS [away=1]: the entry is removed; away: during a store outage */
+/* lapse ID at=MS [outage=1]: the entry is removed, during a store outage */
 static void
 exec_lapse(const char *rest, GString *out)
 {
 	g_autofree char *id = g_strndup(rest, strcspn(rest, " "));
 
 	fleet_lapse(&fleet, id, script_number(rest, "at", 0),
-	    script_number(rest, "away", 0) != 0);
+	    script_number(rest, "outage", 0) != 0);
 }
 
 /* unreadable ID at=MS: an entry that can't be read has replaced it */
