--- a/src/registry-fleet.c
+++ b/src/registry-fleet.c
@@ -127,8 +127,7 @@
 	    next->draining, (unsigned long long)offset);
 }
 
-/* An endpoint that leaves its group reports no model but still has it loaded.
- */
+/* An endpoint that leaves its group reports no model but has it loaded. */
 static void
 endpoint_note_model(struct endpoint *ep)
 {
@@ -139,8 +138,7 @@
 	ep->loaded_model = g_strdup(ep->report.model);
 }
 
-/* Whether it ended otherwise than by a lapse, which a store outage may cause.
- */
+/* Whether it ended other than by a lapse, which an outage may cause. */
 static bool
 endpoint_ended(const struct endpoint *ep)
 {
--- a/src/registry-follower.c
+++ b/src/registry-follower.c
@@ -152,8 +152,7 @@
 	f->snapshot_keys = NULL;
 	f->next = f->snapshot_end;
 	f->synced = true;
-	/* Daemons that follow updates from peers have not read this snapshot.
-	 */
+	/* Daemons that follow peers have not read this snapshot. */
 	if (known && f->ops->advanced != NULL)
 		f->ops->advanced(f->owner, MIN(f->asked_from, f->next),
 		    f->next);
--- a/src/registry-limit.c
+++ b/src/registry-limit.c
@@ -17,9 +17,7 @@
 /* An endpoint that takes fewer requests, or none, still gets one in five
  * seconds: only its answers can show that the limit has ended. */
 #define LIMIT_MIN_PER_S 0.2
-/* A limit known from a peer may look newer than it is by the transmission
- * delay.
- */
+/* A peer's limit may look newer than it is by the transmission delay. */
 #define LIMIT_ECHO_MS 500
 /* Permits that a daemon can save up. The sum over all daemons may be spent at
  * once. */
--- a/src/registry-poison.c
+++ b/src/registry-poison.c
@@ -397,8 +397,8 @@
 	return (CRASH_PROBABLE);
 }
 
-/* Whether a request with more crashes, enough for quarantine, shares this one.
- */
+/* Whether another request, with more crashes and enough for quarantine, shares
+ * this crash and is to blame for it. */
 static bool
 crash_explained(const struct poison *poison,
     const struct poison_request *request, const struct poison_crash *crash)
@@ -415,8 +415,7 @@
 	return (false);
 }
 
-/* Time from the newest crash to the probe, by the crashes despite quarantine.
- */
+/* Time from the newest crash to the probe, by crashes despite quarantine. */
 static uint64_t
 probe_delay_ms(unsigned later)
 {
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -1,5 +1,4 @@
-/* Scripted tests of the fleet, of the choice of an endpoint and of admission.
- */
+/* Scripted tests of the fleet, the choice of an endpoint and admission. */
 #include <math.h>
 #include <string.h>
 
@@ -196,8 +195,7 @@
 	    changed ? "changed" : "unchanged", limit->per_s);
 }
 
-/* unlimited ID sent=MS at=MS: an answer to a request sent then names no limit
- */
+/* unlimited ID sent=MS at=MS: an answer to a request names no limit */
 static void
 exec_unlimited(const char *rest, GString *out)
 {
@@ -209,8 +207,7 @@
 	g_string_append(out, limit->active ? "holds\n" : "none\n");
 }
 
-/* merge ID names=PER_S since=MS at=MS: another daemon reports a limit, or none
- */
+/* merge ID names=PER_S since=MS at=MS: a peer reports a limit, or none */
 static void
 exec_merge(const char *rest, GString *out)
 {
--- a/tests/test-follow.c
+++ b/tests/test-follow.c
@@ -1,5 +1,4 @@
-/* Scripted tests of the topic follower, with a store that answers on command.
- */
+/* Scripted tests of the topic follower, with a fake store. */
 #include <string.h>
 #include <syslog.h>
 
--- a/tests/test-poison.c
+++ b/tests/test-poison.c
@@ -58,8 +58,7 @@
 	    script_number(rest, "at", 0), false);
 }
 
-/* heard ID at=MS [peer=1]: an endpoint sends bytes to this daemon or to a peer
- */
+/* heard ID at=MS [peer=1]: an endpoint sends bytes here, or to a peer */
 static void
 exec_heard(const char *rest, GString *out)
 {
