--- a/src/bench-fleet.c
+++ b/src/bench-fleet.c
@@ -19,17 +19,17 @@
 {
 	struct fleet_model *model =
 	    fleet_model_new(daemons, domains, endpoints, 1);
-	struct model_sight s;
+	struct model_stats s;
 
 	fleet_model_run(model, SETTLE_MS);
-	fleet_model_work(model, WORK_EACH);
-	fleet_model_count(model);
+	fleet_model_set_load(model, WORK_EACH);
+	fleet_model_reset_counts(model);
 	fleet_model_run(model, COUNT_MS);
-	fleet_model_see(model, &s);
+	fleet_model_measure(model, &s);
 	printf("%7u %7u %9u %6u %6u-%u %6.1f %8.1f %9.1f %9.0f %9.0f %6u\n",
-	    daemons, domains, endpoints, s.relays, s.living_least,
-	    s.living_most, s.sent_s, s.sent_most_s, s.heard_s, s.heard_bytes_s,
-	    s.sent_bytes_most_s, s.moves);
+	    daemons, domains, endpoints, s.relays, s.alive_least, s.alive_most,
+	    s.sent_s, s.sent_max_s, s.received_s, s.received_bytes_s,
+	    s.sent_bytes_max_s, s.relay_changes);
 	fleet_model_free(model);
 }
 
--- a/src/bench-limits.c
+++ b/src/bench-limits.c
@@ -23,12 +23,12 @@
 #define COST_S 5
 #define COST_LIMIT 5.0
 
-static const struct limit_way *const ways[] = { &limit_way_equal,
-	&limit_way_demand, &limit_way_owner, &limit_way_users };
+static const struct limit_scheme *const ways[] = { &limit_scheme_equal,
+	&limit_scheme_demand, &limit_scheme_owner, &limit_scheme_users };
 
 /* Prints what a way gives. */
 static void
-print_way(const struct limit_way *way, unsigned daemons, unsigned busy,
+print_way(const struct limit_scheme *way, unsigned daemons, unsigned busy,
     double per_s)
 {
 	unsigned domains = MAX(3, (daemons + CELL - 1) / CELL);
@@ -38,9 +38,9 @@
 	struct limit_model *m = limit_model_new(fleet, way, demand, busy);
 
 	fleet_model_run(fleet, SETTLE_MS);
-	limit_model_name(m, per_s);
+	limit_model_set_limit(m, per_s);
 	limit_model_run(m, COUNT_MS);
-	printf("  %8s %5u %5.2f", way->name, m->over, limit_model_used(m));
+	printf("  %8s %5u %5.2f", way->name, m->n_over, limit_model_used(m));
 	limit_model_free(m);
 	fleet_model_free(fleet);
 }
@@ -68,7 +68,7 @@
 
 		ep->limit.heard_ms = fleet->now_ms;
 		if (endpoint_limit_set(&ep->limit, COST_LIMIT, fleet->now_ms))
-			mesh_limit_heard(&d->mesh, ep);
+			mesh_limit_changed(&d->mesh, ep);
 	}
 }
 
@@ -79,21 +79,21 @@
 {
 	struct fleet_model *fleet =
 	    fleet_model_new(daemons, domains, endpoints, 1);
-	struct model_sight sight;
+	struct model_stats sight;
 	clock_t began;
 
 	fleet_model_run(fleet, SETTLE_MS);
 	name_some(fleet, limited, 0);
 	fleet_model_run(fleet, SETTLE_MS);
-	fleet_model_count(fleet);
+	fleet_model_reset_counts(fleet);
 	began = clock();
 	for (unsigned s = 0; s < COST_S; s++) {
 		name_some(fleet, limited, s);
 		fleet_model_run(fleet, 1000);
 	}
-	fleet_model_see(fleet, &sight);
+	fleet_model_measure(fleet, &sight);
 	printf("%7u %9u %7u %9.0f %9.0f %9.3f\n", daemons, endpoints, limited,
-	    sight.heard_bytes_s, sight.sent_bytes_most_s,
+	    sight.received_bytes_s, sight.sent_bytes_max_s,
 	    1000.0 * (double)(clock() - began) / CLOCKS_PER_SEC /
 		(daemons * COST_S));
 	fleet_model_free(fleet);
--- a/src/bench-placement.c
+++ b/src/bench-placement.c
@@ -263,7 +263,7 @@
 		back[view.n_groups] = g;
 		groups[view.n_groups].name = r->groups[g].name;
 		groups[view.n_groups].fabric = r->groups[g].fabric;
-		groups[view.n_groups++].whole = group_whole(r, g);
+		groups[view.n_groups++].intact = group_whole(r, g);
 	}
 	for (int i = 0; i < r->trace->n_hosts; i++)
 		fill_host(r, i, index, &hosts[i]);
--- a/src/bench-poison.c
+++ b/src/bench-poison.c
@@ -15,31 +15,31 @@
 /* Endpoints that daemons have work at. */
 #define ENDPOINTS 18
 
-static const struct poison_way *const ways[] = { &poison_way_alone,
-	&poison_way_two, &poison_way_once, &poison_way_told };
+static const struct poison_scheme *const ways[] = { &poison_scheme_alone,
+	&poison_scheme_two, &poison_scheme_once, &poison_scheme_told };
 
 /* Prints what a way gives. */
 static void
-print_way(const struct poison_way *way, unsigned daemons, double per_s,
+print_way(const struct poison_scheme *way, unsigned daemons, double per_s,
     unsigned works)
 {
 	unsigned domains = MAX(3, (daemons + CELL - 1) / CELL);
 	struct fleet_model *fleet =
 	    fleet_model_new(daemons, domains, ENDPOINTS, 1);
 	struct poison_model *m = poison_model_new(fleet, way, per_s, works);
-	struct model_sight sight;
+	struct model_stats sight;
 	uint64_t began;
 
 	fleet_model_run(fleet, SETTLE_MS);
-	fleet_model_work(fleet, 1);
-	fleet_model_count(fleet);
+	fleet_model_set_load(fleet, 1);
+	fleet_model_reset_counts(fleet);
 	began = fleet->now_ms;
 	poison_model_run(m, COME_MS);
-	fleet_model_see(fleet, &sight);
+	fleet_model_measure(fleet, &sight);
 	printf("  %5s %6.1f %4u %6.1f %4u %6.1f", way->name,
-	    (double)m->ends / works, poison_model_over(m),
-	    (double)(m->last_ms - began) / 1000, poison_model_refused(m),
-	    sight.heard_bytes_s / 1000);
+	    (double)m->n_crashes / works, poison_model_late_max(m),
+	    (double)(m->last_crash_ms - began) / 1000, poison_model_refused(m),
+	    sight.received_bytes_s / 1000);
 	poison_model_free(m);
 	fleet_model_free(fleet);
 }
--- a/src/controller.c
+++ b/src/controller.c
@@ -10,7 +10,7 @@
 #include "controller.h"
 #include "event-log.h"
 #include "http-batch.h"
-#include "lease-keeper.h"
+#include "lease-elector.h"
 #include "lease.h"
 #include "orders.h"
 #include "plan.h"
@@ -27,7 +27,7 @@
 
 struct controller {
 	struct server *server;
-	struct lease_keeper keeper;
+	struct lease_elector elector;
 	struct lease_times times;
 	struct http_batch *orders;
 	uint64_t counted_ms;
@@ -59,7 +59,7 @@
 	if (config_append(&c->server->config, record, &offset, NULL) !=
 	    VERDICT_APPLIED)
 		offset = 0;
-	lease_keeper_sent(&c->keeper, sent_ms, offset);
+	lease_elector_sent(&c->elector, sent_ms, offset);
 	log_debug("lease_written", "kind=%s offset=%" G_GUINT64_FORMAT, kind,
 	    offset);
 }
@@ -76,7 +76,7 @@
 	g_mutex_lock(&server->config.lock);
 	lease = state_lease(server->config.state, server->set.domain);
 	*term = lease != NULL ? lease->term : 0;
-	step = lease_keeper_step(&c->keeper, &c->times, lease, server->holder,
+	step = lease_elector_step(&c->elector, &c->times, lease, server->holder,
 	    (uint64_t)rank * RANK_DELAY_MS, now);
 	g_mutex_unlock(&server->config.lock);
 	return (step);
@@ -90,21 +90,21 @@
 	enum lease_step step = lease_step(c, &term);
 
 	if (atomic_load(&c->server->leaving)) {
-		if (lease_keeper_holds(&c->keeper, clock_now_ms())) {
+		if (lease_elector_holds(&c->elector, clock_now_ms())) {
 			lease_write(c, "lease", "", term);
 			lease_step(c, &term);
 		}
 	} else if (step == LEASE_TAKE) {
 		lease_write(c, "lease", c->server->holder, term);
 		lease_step(c, &term);
-		if (lease_keeper_holds(&c->keeper, clock_now_ms()))
+		if (lease_elector_holds(&c->elector, clock_now_ms()))
 			event_log(LOG_NOTICE, "lease_taken", "domain=%s",
 			    c->server->set.domain);
 	} else if (step == LEASE_RENEW) {
 		lease_write(c, "renew", c->server->holder, term);
 		lease_step(c, &term);
 	}
-	atomic_store(&hold_until_ms, c->keeper.hold_until_ms);
+	atomic_store(&hold_until_ms, c->elector.hold_until_ms);
 }
 
 static void
@@ -153,7 +153,7 @@
 		enum verdict verdict;
 		uint64_t offset;
 
-		if (!lease_keeper_holds(&c->keeper, clock_now_ms()))
+		if (!lease_elector_holds(&c->elector, clock_now_ms()))
 			return;
 		verdict =
 		    config_append(&c->server->config, record, &offset, &error);
@@ -183,7 +183,7 @@
 	g_mutex_unlock(&server->inv.lock);
 	g_mutex_unlock(&server->config.lock);
 	/* The last look at the clock before the orders leave. */
-	if (!lease_keeper_holds(&c->keeper, clock_now_ms())) {
+	if (!lease_elector_holds(&c->elector, clock_now_ms())) {
 		http_batch_reset(c->orders);
 		return;
 	}
@@ -258,7 +258,7 @@
 	g_autoptr(GPtrArray) records = NULL;
 
 	lease_keep(c);
-	if (!lease_keeper_holds(&c->keeper, clock_now_ms())) {
+	if (!lease_elector_holds(&c->elector, clock_now_ms())) {
 		c->counted_ms = 0;
 		return;
 	}
@@ -283,7 +283,7 @@
 	c.times.hold = (uint64_t)server->set.lease_hold_ms;
 	c.times.wait = (uint64_t)server->set.lease_wait_ms;
 	c.orders = http_batch_create();
-	lease_keeper_init(&c.keeper, clock_now_ms());
+	lease_elector_init(&c.elector, clock_now_ms());
 	while (server_sleep(server, TICK_MS))
 		controller_tick(&c);
 	http_batch_free(c.orders);
--- a/src/edge-announce.c
+++ b/src/edge-announce.c
@@ -71,7 +71,7 @@
 	    store_result_name(answer->result), (unsigned long long)answer->end);
 	/* Of two that start together at least the later writer reads the
 	 * other's record. One that a relay told of the others need not. */
-	if (!mesh_led(mesh))
+	if (!mesh_relay_alive(mesh))
 		topic_follower_resync(&e->daemons);
 }
 
--- a/src/edge-quarantine.c
+++ b/src/edge-quarantine.c
@@ -8,7 +8,7 @@
 #include "clock.h"
 #include "edge.h"
 #include "event-log.h"
-#include "fwd-work.h"
+#include "fwd-fingerprint.h"
 
 #define KEY_PREFIX "quarantine/"
 #define KEY_FORMAT KEY_PREFIX "%016llx"
@@ -58,7 +58,7 @@
 
 	event_log(ok ? LOG_NOTICE : LOG_WARNING,
 	    ok ? "quarantine_recorded" : "quarantine_not_recorded",
-	    "work=%08x ends=%u result=%s", WORK_SHORT(append->work),
+	    "work=%08x ends=%u result=%s", FINGERPRINT_SHORT(append->work),
 	    append->n_ends, store_result_name(answer->result));
 	if (w == NULL)
 		return;
@@ -201,7 +201,7 @@
 	for (size_t i = 0; i < json_array_size(ends); i++)
 		taken += end_take(e, work, json_array_get(ends, i));
 	event_log(LOG_INFO, "quarantine_read", "work=%08x ends=%u",
-	    WORK_SHORT(work), taken);
+	    FINGERPRINT_SHORT(work), taken);
 	if (taken == 0)
 		quarantine_write(e, work, NULL, on_removed, NULL);
 	return (true);
--- a/src/edge-status.c
+++ b/src/edge-status.c
@@ -73,9 +73,9 @@
 	GHashTableIter iter;
 	gpointer name, usage;
 
-	if (e->keeper.state != KEEPER_HOLDING)
+	if (e->placer.state != PLACER_HOLDING)
 		return;
-	g_hash_table_iter_init(&iter, e->keeper.usage);
+	g_hash_table_iter_init(&iter, e->placer.usage);
 	while (g_hash_table_iter_next(&iter, &name, &usage))
 		service_usage_print(usage, name, out);
 }
@@ -97,10 +97,10 @@
 	print_fleet(e, body);
 	print_placement(e, body);
 	print_value(body, "exchanges", e->fwd.n_exchanges);
-	print_value(body, "peers", mesh_living(&e->mesh));
-	print_value(body, "placer", e->keeper.state == KEEPER_HOLDING);
+	print_value(body, "peers", mesh_count_alive(&e->mesh));
+	print_value(body, "placer", e->placer.state == PLACER_HOLDING);
 	print_value(body, "reader", e->registry.endpoints.reader);
-	print_value(body, "placer_term", (double)e->keeper.term);
+	print_value(body, "placer_term", (double)e->placer.term);
 	print_value(body, "config_version",
 	    e->registry.catalog != NULL ? (double)e->registry.catalog->version :
 					  -1);
--- a/src/edge.c
+++ b/src/edge.c
@@ -93,7 +93,7 @@
 	set->keys_fail_closed = e->set.keys_fail_closed;
 	set->rest_most_ms = (uint64_t)e->set.rest_most_ms;
 	set->deny_proof_ms = (uint64_t)e->set.apply_ms;
-	e->keeper.stall_ms = (uint64_t)e->set.stall_ms;
+	e->placer.stall_ms = (uint64_t)e->set.stall_ms;
 	set->released_works = e->set.released_works;
 	set->refused_works = e->set.refused_works;
 	set->retry.ratio = e->set.retry_ratio;
@@ -159,14 +159,14 @@
 
 	if (since >= LEAVE_ACCEPT_MS) {
 		fwd_stop_listening(&e->fwd);
-		fwd_close_callers(&e->fwd, false);
-		if (e->fwd.n_exchanges == 0 && fwd_callers_quiet(&e->fwd)) {
+		fwd_close_conns(&e->fwd, false);
+		if (e->fwd.n_exchanges == 0 && fwd_conns_drained(&e->fwd)) {
 			edge_stop(e, "drained");
 			return;
 		}
 	}
 	if (since + LEAVE_MARGIN_MS >= grace) {
-		fwd_close_callers(&e->fwd, true);
+		fwd_close_conns(&e->fwd, true);
 		edge_stop(e, "grace_over");
 	}
 }
@@ -182,10 +182,10 @@
 		return;
 	e->leaving_ms = clock_loop_ms(e->loop);
 	event_log(LOG_NOTICE, "leaving", "exchanges=%u", e->fwd.n_exchanges);
-	keeper_stop(&e->keeper);
+	placer_stop(&e->placer);
 	e->mesh.self.leaving = true;
-	mesh_tell_now(&e->mesh);
-	fwd_leave(&e->fwd);
+	mesh_send_now(&e->mesh);
+	fwd_drain(&e->fwd);
 	uv_timer_start(&e->leave, on_leave, LEAVE_LOOK_MS, LEAVE_LOOK_MS);
 }
 
@@ -208,14 +208,14 @@
 static void
 edge_choose_reader(struct edge *e)
 {
-	bool places = e->keeper.state == KEEPER_HOLDING;
+	bool places = e->placer.state == PLACER_HOLDING;
 	bool reader = places ||
-	    (!mesh_placer_heard(&e->mesh) && mesh_first_reader(&e->mesh));
+	    (!mesh_placer_heard(&e->mesh) && mesh_is_reader(&e->mesh));
 
 	topic_follower_set_reader(&e->registry.config, reader);
 	/* One that takes the lease reads all entries for itself first. */
 	topic_follower_set_reader(&e->registry.endpoints,
-	    reader || e->keeper.preparing || e->keeper.state != KEEPER_IDLE);
+	    reader || e->placer.preparing || e->placer.state != PLACER_IDLE);
 }
 
 /* A part of a bound of the settings, in milliseconds. */
@@ -233,11 +233,11 @@
 	const struct edge_settings *set = &e->set;
 
 	registry_set_fallback(&e->registry,
-	    mesh_patience_ms(mesh, part_ms(set->apply_ms, CONFIG_LEAST),
+	    mesh_stale_after_ms(mesh, part_ms(set->apply_ms, CONFIG_LEAST),
 		part_ms(set->apply_ms, CONFIG_MOST)),
-	    mesh_patience_ms(mesh, part_ms(set->drain_ms, ENDPOINT_LEAST),
+	    mesh_stale_after_ms(mesh, part_ms(set->drain_ms, ENDPOINT_LEAST),
 		part_ms(set->drain_ms, ENDPOINT_MOST)),
-	    mesh_led(mesh));
+	    mesh_relay_alive(mesh));
 }
 
 /* One line now and then with what was counted, for those with logs only. */
@@ -257,9 +257,9 @@
 	    (unsigned long long)counts[COUNT_REFUSED],
 	    (unsigned long long)counts[COUNT_FAILED],
 	    (unsigned long long)counts[COUNT_SENT],
-	    (unsigned long long)counts[COUNT_REPEATED],
+	    (unsigned long long)counts[COUNT_RETRIED],
 	    (unsigned long long)counts[COUNT_RESUMED], e->fwd.n_exchanges,
-	    mesh_living(&e->mesh), (unsigned long long)calls[TOPIC_CONFIG],
+	    mesh_count_alive(&e->mesh), (unsigned long long)calls[TOPIC_CONFIG],
 	    (unsigned long long)calls[TOPIC_ENDPOINTS],
 	    (unsigned long long)calls[TOPIC_PLACEMENT],
 	    (unsigned long long)calls[TOPIC_DAEMONS],
@@ -270,8 +270,8 @@
 static bool
 callers_come(const struct edge *e)
 {
-	return (
-	    e->fwd.stats.counts[COUNT_REQUESTS] > 0 && e->mesh.known_ms != 0);
+	return (e->fwd.stats.counts[COUNT_REQUESTS] > 0 &&
+	    e->mesh.records_read_ms != 0);
 }
 
 /*
@@ -286,13 +286,13 @@
 	const struct mesh *mesh = &e->mesh;
 	uint64_t since = clock_loop_ms(e->loop) - mesh->opened_ms;
 	/* Where nobody else is known, others may be about to announce. */
-	bool own = mesh->known_ms != 0 && mesh->relay == NULL &&
+	bool own = mesh->records_read_ms != 0 && mesh->relay == NULL &&
 	    (mesh->n_peers > 0 || e->announced);
 
 	if (e->registry.endpoints.synced && e->registry.catalog != NULL) {
 		uv_timer_stop(timer);
 		/* Those that report here wait for it. */
-		mesh_tell_now(&e->mesh);
+		mesh_send_now(&e->mesh);
 		return;
 	}
 	/* After all were killed at once, waiting for a relay took a second, and
@@ -301,7 +301,7 @@
 		topic_follower_release(&e->registry.config);
 		own = own || mesh->n_peers < HOLD_DAEMONS_MOST;
 	}
-	if (own || since >= (mesh_led(mesh) ? HOLD_LED_MS : HOLD_MS))
+	if (own || since >= (mesh_relay_alive(mesh) ? HOLD_LED_MS : HOLD_MS))
 		registry_release(&e->registry);
 }
 
@@ -321,8 +321,9 @@
 				       clock_loop_ms(e->loop)),
 			INT64_MAX));
 	e->was_ready = ready;
-	e->fwd.daemons = fwd_sharers_note(&e->sharers, 1 + e->mesh.size,
-	    e->fwd.set.retry.window_ms, clock_loop_ms(e->loop));
+	e->fwd.daemons =
+	    fwd_daemon_peak_update(&e->sharers, 1 + e->mesh.n_others,
+		e->fwd.set.retry.window_ms, clock_loop_ms(e->loop));
 	edge_choose_reader(e);
 	edge_choose_patience(e);
 	e->mesh.self.serving = e->fwd.stats.counts[COUNT_REQUESTS] > 0;
@@ -351,11 +352,11 @@
 	/* A new configuration is worth a word before the next round. */
 	if (version != e->told_version && e->mesh.loop != NULL &&
 	    (e->mesh.relay == NULL || e->mesh.relay->config_version < version))
-		mesh_tell_now(&e->mesh);
+		mesh_send_now(&e->mesh);
 	e->told_version = version;
-	if (!TAILQ_EMPTY(&e->fwd.waiting))
-		fwd_kick(&e->fwd);
-	keeper_look_soon(&e->keeper);
+	if (!TAILQ_EMPTY(&e->fwd.queue))
+		fwd_schedule_dispatch(&e->fwd);
+	placer_schedule_pass(&e->placer);
 }
 
 static void
@@ -363,8 +364,8 @@
 {
 	struct edge *e = arg;
 
-	keeper_suspect(&e->keeper, ep);
-	mesh_tell_now(&e->mesh);
+	placer_suspect(&e->placer, ep);
+	mesh_send_now(&e->mesh);
 }
 
 static void
@@ -372,7 +373,7 @@
 {
 	struct edge *e = arg;
 
-	mesh_limit_now(&e->mesh, ep);
+	mesh_limit_announce(&e->mesh, ep);
 }
 
 static void
@@ -380,7 +381,7 @@
 {
 	struct edge *e = arg;
 
-	keeper_suspect(&e->keeper, ep);
+	placer_suspect(&e->placer, ep);
 }
 
 /* No other daemon could tell which entries changed: read the store. */
@@ -397,7 +398,7 @@
 {
 	struct edge *e = arg;
 
-	mesh_tell_entries(&e->mesh, from, end, records);
+	mesh_send_entries(&e->mesh, from, end, records);
 }
 
 /* Opens one listener, with a typed error. */
@@ -438,10 +439,10 @@
 	e->registry.changed_arg = e;
 	e->fwd.wire = e->platform->wire;
 	e->fwd.registry = &e->registry;
-	e->fwd.suspect = on_suspect;
-	e->fwd.suspect_arg = e;
-	e->fwd.limited = on_limited;
-	e->fwd.limited_arg = e;
+	e->fwd.on_silent = on_suspect;
+	e->fwd.on_silent_arg = e;
+	e->fwd.on_limit = on_limited;
+	e->fwd.on_limit_arg = e;
 	e->mesh.registry = &e->registry;
 	e->mesh.name = e->set.name;
 	e->mesh.domain = e->set.domain;
@@ -453,11 +454,11 @@
 	e->mesh.avoided_arg = e;
 	e->registry.relayed = on_relayed;
 	e->registry.relayed_arg = e;
-	e->keeper.store = e->store;
-	e->keeper.registry = &e->registry;
-	e->keeper.mesh = &e->mesh;
-	e->keeper.orders = e->platform->orders;
-	e->keeper.name = e->set.name;
+	e->placer.store = e->store;
+	e->placer.registry = &e->registry;
+	e->placer.mesh = &e->mesh;
+	e->placer.orders = e->platform->orders;
+	e->placer.name = e->set.name;
 }
 
 /**
@@ -499,7 +500,7 @@
 	    (unsigned)(e->set.drain_ms / ENDPOINT_READS));
 	edge_choose_patience(e);
 	edge_apply(e);
-	keeper_open(&e->keeper, e->loop);
+	placer_start(&e->placer, e->loop);
 	edge_find_daemons(e);
 	edge_announce(e);
 	return (true);
--- a/src/edge.h
+++ b/src/edge.h
@@ -4,7 +4,7 @@
 
 #include "edge-setting.h"
 #include "fwd.h"
-#include "keeper.h"
+#include "placer.h"
 #include "mesh.h"
 #include "status-server.h"
 
@@ -34,7 +34,7 @@
  * @registry: what is known of the deployment
  * @fwd: the forwarding engine
  * @mesh: the other daemons
- * @keeper: placement
+ * @placer: placement
  * @ready: answers questions for readiness
  * @metrics: answers questions for metrics
  * @peers: answers other daemons
@@ -60,7 +60,7 @@
 	struct registry registry;
 	struct fwd fwd;
 	struct mesh mesh;
-	struct keeper keeper;
+	struct placer placer;
 	struct status_server ready;
 	struct status_server metrics;
 	struct status_server peers;
@@ -72,7 +72,7 @@
 	uint64_t file_changed_ns;
 	bool announced;
 	int64_t told_version;
-	struct fwd_sharers sharers;
+	struct fwd_daemon_peak sharers;
 	uint64_t leaving_ms;
 	bool was_ready;
 };
--- a/src/fleet-model.c
+++ b/src/fleet-model.c
@@ -39,14 +39,14 @@
 static uv_loop_t model_loop;
 
 /**
- * fleet_model_draw() - a random number of the model's own.
+ * fleet_model_random() - a random number of the model's own.
  * @model: the model
  * @below: it is less than this
  *
  * A small generator, so that a seed tells the whole run.
  */
 uint32_t
-fleet_model_draw(struct fleet_model *model, uint32_t below)
+fleet_model_random(struct fleet_model *model, uint32_t below)
 {
 	model->seed = model->seed * 6364136223846793005u + 1442695040888963407u;
 	return ((uint32_t)(model->seed >> 33) % below);
@@ -81,11 +81,11 @@
 
 	daemon->sent++;
 	daemon->sent_bytes += length;
-	d->from = daemon->at;
+	d->from = daemon->index;
 	d->to = ntohl(to->sin_addr.s_addr) - 1;
 	d->bytes = g_memdup2(bytes, length);
 	d->length = length;
-	g_ptr_array_add(model->coming, d);
+	g_ptr_array_add(model->in_flight, d);
 }
 
 /* A daemon reads the entries for itself. */
@@ -94,7 +94,7 @@
 {
 	struct model_daemon *daemon = arg;
 
-	daemon->reads++;
+	daemon->entry_reads++;
 	daemon->registry.endpoints.next =
 	    daemon->model->now_ms * RECORDS_S / 1000;
 	daemon->registry.endpoints.peer_update_ms = daemon->model->now_ms;
@@ -128,23 +128,24 @@
 	daemon->registry.catalog->version = 1;
 	mesh->loop = &model_loop;
 	mesh->registry = &daemon->registry;
-	mesh->name = g_strdup_printf("d%03u", daemon->at);
+	mesh->name = g_strdup_printf("d%03u", daemon->index);
 	mesh->domain = g_strdup_printf("z%u", daemon->domain);
-	mesh->capacity = daemon->at < model->n_domains * LARGE_A_DOMAIN ?
+	mesh->capacity = daemon->index < model->n_domains * LARGE_A_DOMAIN ?
 	    LARGE_CAPACITY :
 	    SMALL_CAPACITY;
-	mesh->send = model_send;
+	mesh->send_datagram = model_send;
 	mesh->send_arg = daemon;
 	mesh->missed = daemon_missed;
 	mesh->missed_arg = daemon;
 	mesh->self.store_ok = true;
 	daemon->registry.endpoints.synced = true;
 	daemon->registry.endpoints.next = model->now_ms * RECORDS_S / 1000;
-	mesh_init(mesh, model->now_ms, fleet_model_draw(model, UINT32_MAX) + 1);
+	mesh_init(mesh, model->now_ms,
+	    fleet_model_random(model, UINT32_MAX) + 1);
 	daemon->up = true;
 	daemon->relay = NULL;
-	daemon->reads_ms = model->now_ms + READ_LEAST_MS +
-	    fleet_model_draw(model, READ_SPREAD_MS);
+	daemon->read_at_ms = model->now_ms + READ_LEAST_MS +
+	    fleet_model_random(model, READ_SPREAD_MS);
 }
 
 static void
@@ -169,7 +170,7 @@
 {
 	struct fleet_model *model = daemon->model;
 
-	daemon->reads_ms = 0;
+	daemon->read_at_ms = 0;
 	for (unsigned i = 0; i < model->n; i++) {
 		const struct model_daemon *other = &model->daemons[i];
 		struct sockaddr_in addr = model_address(i);
@@ -178,7 +179,7 @@
 			mesh_add(&daemon->mesh, other->mesh.name,
 			    other->mesh.domain, other->mesh.capacity, &addr);
 	}
-	mesh_known(&daemon->mesh);
+	mesh_set_records_read(&daemon->mesh);
 }
 
 /**
@@ -200,14 +201,14 @@
 	model->n_domains = MIN(n_domains, MODEL_DOMAINS_MAX);
 	model->n_endpoints = n_endpoints;
 	model->seed = seed;
-	model->coming = g_ptr_array_new_with_free_func(datagram_free);
+	model->in_flight = g_ptr_array_new_with_free_func(datagram_free);
 	model->daemons = g_new0(struct model_daemon, n);
 	for (unsigned i = 0; i < n; i++) {
 		model->daemons[i].model = model;
-		model->daemons[i].at = i;
+		model->daemons[i].index = i;
 		model->daemons[i].domain = i % model->n_domains;
-		model->daemons[i].starts_ms =
-		    BEGIN_MS + 1 + fleet_model_draw(model, START_SPREAD_MS);
+		model->daemons[i].start_ms =
+		    BEGIN_MS + 1 + fleet_model_random(model, START_SPREAD_MS);
 	}
 	return (model);
 }
@@ -221,7 +222,7 @@
 {
 	for (unsigned i = 0; i < model->n; i++)
 		daemon_end(&model->daemons[i]);
-	g_ptr_array_free(model->coming, TRUE);
+	g_ptr_array_free(model->in_flight, TRUE);
 	g_free(model->daemons);
 	g_free(model);
 }
@@ -248,7 +249,7 @@
 void
 fleet_model_start(struct fleet_model *model, unsigned at, uint64_t in_ms)
 {
-	model->daemons[at].starts_ms = model->now_ms + in_ms;
+	model->daemons[at].start_ms = model->now_ms + in_ms;
 }
 
 /**
@@ -260,16 +261,17 @@
 fleet_model_stop(struct fleet_model *model, unsigned at)
 {
 	daemon_end(&model->daemons[at]);
-	model->daemons[at].starts_ms = UINT64_MAX;
+	model->daemons[at].start_ms = UINT64_MAX;
 }
 
 /**
- * fleet_model_work() - give each daemon requests at endpoints drawn at random.
+ * fleet_model_set_load() - give each daemon requests at endpoints drawn at
+ * random.
  * @model: the model
  * @each: requests of each daemon
  */
 void
-fleet_model_work(struct fleet_model *model, unsigned each)
+fleet_model_set_load(struct fleet_model *model, unsigned each)
 {
 	for (unsigned i = 0; i < model->n; i++) {
 		struct model_daemon *daemon = &model->daemons[i];
@@ -281,7 +283,7 @@
 			ep->inflight = 0;
 		for (unsigned k = 0; k < each; k++) {
 			g_autofree char *id = g_strdup_printf("e%u",
-			    fleet_model_draw(model, model->n_endpoints));
+			    fleet_model_random(model, model->n_endpoints));
 
 			fleet_find(&daemon->registry.fleet, id)->inflight++;
 		}
@@ -292,25 +294,25 @@
 static void
 model_deliver(struct fleet_model *model)
 {
-	GPtrArray *now = model->coming;
+	GPtrArray *now = model->in_flight;
 
-	model->coming = g_ptr_array_new_with_free_func(datagram_free);
+	model->in_flight = g_ptr_array_new_with_free_func(datagram_free);
 	for (guint i = 0; i < now->len; i++) {
 		struct model_datagram *d = now->pdata[i];
 		struct sockaddr_in from = model_address(d->from);
 		struct model_daemon *to;
 
 		if (d->to >= model->n ||
-		    fleet_model_draw(model, 1000) < model->loss)
+		    fleet_model_random(model, 1000) < model->loss)
 			continue;
 		to = &model->daemons[d->to];
 		if (!to->up ||
 		    model->cut[model->daemons[d->from].domain][to->domain])
 			continue;
-		to->heard++;
-		to->heard_bytes += d->length;
+		to->received++;
+		to->received_bytes += d->length;
 		to->mesh.now_ms = model->now_ms;
-		mesh_take(&to->mesh, d->bytes, d->length, &from);
+		mesh_receive(&to->mesh, d->bytes, d->length, &from);
 	}
 	g_ptr_array_free(now, TRUE);
 }
@@ -326,7 +328,7 @@
 
 	f->next = daemon->model->now_ms * RECORDS_S / 1000;
 	f->peer_update_ms = daemon->model->now_ms;
-	mesh_tell_entries(&daemon->mesh, from, f->next, none);
+	mesh_send_entries(&daemon->mesh, from, f->next, none);
 }
 
 /* Whether a daemon asks the store, of what others told it of at some time. */
@@ -334,11 +336,11 @@
 daemon_asks(struct model_daemon *daemon, uint64_t fed_ms, unsigned least,
     unsigned most)
 {
-	unsigned patience = mesh_patience_ms(&daemon->mesh, least, most);
+	unsigned patience = mesh_stale_after_ms(&daemon->mesh, least, most);
 	bool untold = fed_ms != 0 && daemon->model->now_ms - fed_ms >= patience;
 
-	daemon->alone += untold;
-	return (untold || mesh_first_reader(&daemon->mesh));
+	daemon->store_queries += untold;
+	return (untold || mesh_is_reader(&daemon->mesh));
 }
 
 /* Reads the store, if it answers, at the daemon's own moments. */
@@ -348,12 +350,12 @@
 	uint64_t now = daemon->model->now_ms;
 	struct registry *registry = &daemon->registry;
 
-	if (now % PROOF_MS == daemon->at % PROOF_MS &&
+	if (now % PROOF_MS == daemon->index % PROOF_MS &&
 	    daemon_asks(daemon, registry->config.peer_update_ms, PROOF_LEAST_MS,
 		PROOF_MOST_MS) &&
 	    daemon->mesh.self.store_ok)
 		registry->config.proof_ms = now;
-	if (now % FEED_MS == daemon->at % FEED_MS &&
+	if (now % FEED_MS == daemon->index % FEED_MS &&
 	    daemon_asks(daemon, registry->endpoints.peer_update_ms,
 		FEED_LEAST_MS, FEED_MOST_MS) &&
 	    daemon->mesh.self.store_ok)
@@ -367,18 +369,18 @@
 	struct fleet_model *model = daemon->model;
 	uint64_t now = model->now_ms;
 
-	if (!daemon->up && now == daemon->starts_ms)
+	if (!daemon->up && now == daemon->start_ms)
 		daemon_begin(daemon);
 	if (!daemon->up)
 		return;
 	daemon->mesh.now_ms = now;
-	if (daemon->reads_ms != 0 && now >= daemon->reads_ms)
+	if (daemon->read_at_ms != 0 && now >= daemon->read_at_ms)
 		daemon_read(daemon);
 	daemon_read_store(daemon);
-	if (now % MESH_ROUND_MS != daemon->starts_ms % MESH_ROUND_MS)
+	if (now % MESH_ROUND_MS != daemon->start_ms % MESH_ROUND_MS)
 		return;
 	mesh_round(&daemon->mesh);
-	daemon->moves += daemon->mesh.relay != daemon->relay;
+	daemon->relay_changes += daemon->mesh.relay != daemon->relay;
 	daemon->relay = daemon->mesh.relay;
 }
 
@@ -399,21 +401,21 @@
 }
 
 /**
- * fleet_model_count() - begin the counts anew.
+ * fleet_model_reset_counts() - begin the counts anew.
  * @model: the model
  */
 void
-fleet_model_count(struct fleet_model *model)
+fleet_model_reset_counts(struct fleet_model *model)
 {
 	model->counted_ms = model->now_ms;
 	for (unsigned i = 0; i < model->n; i++) {
 		struct model_daemon *daemon = &model->daemons[i];
 
 		daemon->sent = daemon->sent_bytes = 0;
-		daemon->heard = daemon->heard_bytes = 0;
-		daemon->moves = 0;
-		daemon->reads = 0;
-		daemon->alone = 0;
+		daemon->received = daemon->received_bytes = 0;
+		daemon->relay_changes = 0;
+		daemon->entry_reads = 0;
+		daemon->store_queries = 0;
 	}
 }
 
@@ -440,7 +442,7 @@
 /* Compares one daemon's counts with the truth. */
 static void
 sight_off(const struct model_daemon *daemon, const GArray *truth,
-    struct model_sight *sight)
+    struct model_stats *sight)
 {
 	const struct endpoint *ep;
 	unsigned at = 0;
@@ -450,61 +452,61 @@
 		unsigned seen = ep->inflight + ep->peer_inflight;
 		unsigned off = is > seen ? is - seen : seen - is;
 
-		sight->off_mean += off;
-		sight->off_most = MAX(sight->off_most, off);
+		sight->load_error_mean += off;
+		sight->load_error_max = MAX(sight->load_error_max, off);
 	}
 }
 
 static void
 sight_counts(const struct model_daemon *daemon, double seconds,
-    struct model_sight *sight)
+    struct model_stats *sight)
 {
-	sight->moves += daemon->moves;
-	sight->reads += daemon->reads;
-	sight->alone += daemon->alone;
+	sight->relay_changes += daemon->relay_changes;
+	sight->entry_reads += daemon->entry_reads;
+	sight->store_queries += daemon->store_queries;
 	sight->sent_s += (double)daemon->sent / seconds;
-	sight->heard_s += (double)daemon->heard / seconds;
-	sight->heard_bytes_s += (double)daemon->heard_bytes / seconds;
-	sight->sent_most_s =
-	    MAX(sight->sent_most_s, (double)daemon->sent / seconds);
-	sight->sent_bytes_most_s =
-	    MAX(sight->sent_bytes_most_s, (double)daemon->sent_bytes / seconds);
+	sight->received_s += (double)daemon->received / seconds;
+	sight->received_bytes_s += (double)daemon->received_bytes / seconds;
+	sight->sent_max_s =
+	    MAX(sight->sent_max_s, (double)daemon->sent / seconds);
+	sight->sent_bytes_max_s =
+	    MAX(sight->sent_bytes_max_s, (double)daemon->sent_bytes / seconds);
 }
 
 static void
-sight_daemon(const struct model_daemon *daemon, struct model_sight *sight)
+sight_daemon(const struct model_daemon *daemon, struct model_stats *sight)
 {
 	const struct mesh *mesh = &daemon->mesh;
-	unsigned living = 1 + mesh_living(mesh);
+	unsigned living = 1 + mesh_count_alive(mesh);
 	uint64_t age =
 	    registry_config_age(&daemon->registry, daemon->model->now_ms);
 
 	sight->up++;
 	sight->relays += mesh->relay == NULL;
-	sight->living_least = MIN(sight->living_least, living);
-	sight->living_most = MAX(sight->living_most, living);
-	sight->readers += mesh_first_reader(mesh);
-	sight->firsts += mesh_rank(mesh) == 0;
-	sight->holder += mesh_placer_heard(mesh) || mesh->self.placer;
-	sight->age_most_ms = MAX(sight->age_most_ms, age);
-	sight->fed_most_ms = MAX(sight->fed_most_ms,
+	sight->alive_least = MIN(sight->alive_least, living);
+	sight->alive_most = MAX(sight->alive_most, living);
+	sight->readers += mesh_is_reader(mesh);
+	sight->first_ranked += mesh_rank(mesh) == 0;
+	sight->placer_known += mesh_placer_heard(mesh) || mesh->self.placer;
+	sight->config_age_max_ms = MAX(sight->config_age_max_ms, age);
+	sight->feed_age_max_ms = MAX(sight->feed_age_max_ms,
 	    daemon->model->now_ms - daemon->registry.endpoints.peer_update_ms);
 }
 
 /**
- * fleet_model_see() - compare the daemons' pictures with the truth.
+ * fleet_model_measure() - compare the daemons' pictures with the truth.
  * @model: the model
  * @sight: filled in
  */
 void
-fleet_model_see(const struct fleet_model *model, struct model_sight *sight)
+fleet_model_measure(const struct fleet_model *model, struct model_stats *sight)
 {
 	double seconds =
 	    (double)MAX(model->now_ms - model->counted_ms, 1) / 1000;
 	GArray *truth = model_truth(model);
 
 	memset(sight, 0, sizeof *sight);
-	sight->living_least = UINT32_MAX;
+	sight->alive_least = UINT32_MAX;
 	for (unsigned i = 0; i < model->n; i++) {
 		if (!model->daemons[i].up)
 			continue;
@@ -515,8 +517,9 @@
 	g_array_free(truth, TRUE);
 	if (sight->up == 0)
 		return;
-	sight->off_mean /= (double)sight->up * MAX(model->n_endpoints, 1);
+	sight->load_error_mean /=
+	    (double)sight->up * MAX(model->n_endpoints, 1);
 	sight->sent_s /= sight->up;
-	sight->heard_s /= sight->up;
-	sight->heard_bytes_s /= sight->up;
+	sight->received_s /= sight->up;
+	sight->received_bytes_s /= sight->up;
 }
--- a/src/fleet-model.h
+++ b/src/fleet-model.h
@@ -12,36 +12,37 @@
  * @mesh: what it knows of the others
  * @registry: what it knows of the endpoints
  * @model: it is part of
- * @at: its index, and its address
+ * @index: its index, and its address
  * @domain: its failure domain
  * @up: it runs
- * @starts_ms: when it starts
- * @reads_ms: when it reads the records of the daemons; 0 once it has
+ * @start_ms: when it starts
+ * @read_at_ms: when it reads the records of the daemons; 0 once it has
  * @sent: datagrams since the counts began
  * @sent_bytes: bytes of them
- * @heard: datagrams that reached it
- * @heard_bytes: bytes of them
- * @moves: changes of its relay
- * @reads: that it had to make of the entries for itself
- * @alone: questions to the store because nobody told it of what is there
+ * @received: datagrams that reached it
+ * @received_bytes: bytes of them
+ * @relay_changes: changes of its relay
+ * @entry_reads: that it had to make of the entries for itself
+ * @store_queries: questions to the store because nobody told it of what is
+ * there
  * @relay: as of its last round
  */
 struct model_daemon {
 	struct mesh mesh;
 	struct registry registry;
 	struct fleet_model *model;
-	unsigned at;
+	unsigned index;
 	unsigned domain;
 	bool up;
-	uint64_t starts_ms;
-	uint64_t reads_ms;
+	uint64_t start_ms;
+	uint64_t read_at_ms;
 	uint64_t sent;
 	uint64_t sent_bytes;
-	uint64_t heard;
-	uint64_t heard_bytes;
-	unsigned moves;
-	unsigned reads;
-	unsigned alone;
+	uint64_t received;
+	uint64_t received_bytes;
+	unsigned relay_changes;
+	unsigned entry_reads;
+	unsigned store_queries;
 	const struct mesh_peer *relay;
 };
 
@@ -55,7 +56,7 @@
  * @loss: lost datagrams, in thousandths
  * @cut: whether the link from a domain to another is cut
  * @seed: of the random numbers
- * @coming: datagrams that arrive in the next millisecond
+ * @in_flight: datagrams that arrive in the next millisecond
  * @counted_ms: when the counts began
  */
 struct fleet_model {
@@ -67,52 +68,52 @@
 	unsigned loss;
 	bool cut[MODEL_DOMAINS_MAX][MODEL_DOMAINS_MAX];
 	uint64_t seed;
-	GPtrArray *coming;
+	GPtrArray *in_flight;
 	uint64_t counted_ms;
 };
 
 /**
- * struct model_sight - how far the daemons' pictures differ from the truth.
+ * struct model_stats - how far the daemons' pictures differ from the truth.
  * @up: daemons that run
  * @relays: of them, that relay
- * @living_least: fewest daemons that one takes for living, itself included
- * @living_most: most
+ * @alive_least: fewest daemons that one takes for living, itself included
+ * @alive_most: most
  * @readers: that would read the store for the others
- * @firsts: that would place first
- * @holder: that know of a placer that serves
- * @off_mean: mean difference of an endpoint's requests from the truth
- * @off_most: the largest
- * @moves: changes of a relay since the counts began
- * @reads: of entries that daemons made for themselves since then
- * @alone: questions to the store for want of others' news, since then
- * @age_most_ms: oldest proof of the configuration
- * @fed_most_ms: longest since a daemon was told of entries
+ * @first_ranked: that would place first
+ * @placer_known: that know of a placer that serves
+ * @load_error_mean: mean difference of an endpoint's requests from the truth
+ * @load_error_max: the largest
+ * @relay_changes: changes of a relay since the counts began
+ * @entry_reads: of entries that daemons made for themselves since then
+ * @store_queries: questions to the store for want of others' news, since then
+ * @config_age_max_ms: oldest proof of the configuration
+ * @feed_age_max_ms: longest since a daemon was told of entries
  * @sent_s: datagrams a second that a daemon sends, mean
- * @sent_most_s: the same of the daemon that sends most
- * @heard_s: datagrams a second that reach a daemon, mean
- * @heard_bytes_s: bytes a second that reach a daemon, mean
- * @sent_bytes_most_s: bytes a second of the daemon that sends most
+ * @sent_max_s: the same of the daemon that sends most
+ * @received_s: datagrams a second that reach a daemon, mean
+ * @received_bytes_s: bytes a second that reach a daemon, mean
+ * @sent_bytes_max_s: bytes a second of the daemon that sends most
  */
-struct model_sight {
+struct model_stats {
 	unsigned up;
 	unsigned relays;
-	unsigned living_least;
-	unsigned living_most;
+	unsigned alive_least;
+	unsigned alive_most;
 	unsigned readers;
-	unsigned firsts;
-	unsigned holder;
-	double off_mean;
-	unsigned off_most;
-	unsigned moves;
-	unsigned reads;
-	unsigned alone;
-	uint64_t age_most_ms;
-	uint64_t fed_most_ms;
+	unsigned first_ranked;
+	unsigned placer_known;
+	double load_error_mean;
+	unsigned load_error_max;
+	unsigned relay_changes;
+	unsigned entry_reads;
+	unsigned store_queries;
+	uint64_t config_age_max_ms;
+	uint64_t feed_age_max_ms;
 	double sent_s;
-	double sent_most_s;
-	double heard_s;
-	double heard_bytes_s;
-	double sent_bytes_most_s;
+	double sent_max_s;
+	double received_s;
+	double received_bytes_s;
+	double sent_bytes_max_s;
 };
 
 struct fleet_model *fleet_model_new(unsigned, unsigned, unsigned, uint64_t);
@@ -120,10 +121,10 @@
 void fleet_model_run(struct fleet_model *, uint64_t);
 void fleet_model_start(struct fleet_model *, unsigned, uint64_t);
 void fleet_model_stop(struct fleet_model *, unsigned);
-void fleet_model_work(struct fleet_model *, unsigned);
-uint32_t fleet_model_draw(struct fleet_model *, uint32_t);
-void fleet_model_count(struct fleet_model *);
-void fleet_model_see(const struct fleet_model *, struct model_sight *);
+void fleet_model_set_load(struct fleet_model *, unsigned);
+uint32_t fleet_model_random(struct fleet_model *, uint32_t);
+void fleet_model_reset_counts(struct fleet_model *);
+void fleet_model_measure(const struct fleet_model *, struct model_stats *);
 struct model_daemon *fleet_model_find(const struct fleet_model *, const char *);
 
 #endif
--- a/src/fwd-backlog.c
+++ b/src/fwd-backlog.c
@@ -31,7 +31,7 @@
  * @rate: tokens that the endpoint reads in a millisecond from now on
  * @now_ms: loop time
  *
- * Return: a mark of the prompt's place, for fwd_backlog_read().
+ * Return: a mark of the prompt's place, for fwd_backlog_confirm().
  */
 double
 fwd_backlog_add(struct fwd_backlog *b, double prompt, double rate,
@@ -44,13 +44,13 @@
 }
 
 /**
- * fwd_backlog_read() - a first event shows that a prompt was read.
+ * fwd_backlog_confirm() - a first event shows that a prompt was read.
  * @b: the backlog
  * @mark: of the prompt; what was sent before it is read too
  * @now_ms: loop time
  */
 void
-fwd_backlog_read(struct fwd_backlog *b, double mark, uint64_t now_ms)
+fwd_backlog_confirm(struct fwd_backlog *b, double mark, uint64_t now_ms)
 {
 	double left = fwd_backlog_tokens(b, now_ms);
 
--- a/src/fwd-backlog.h
+++ b/src/fwd-backlog.h
@@ -24,7 +24,7 @@
 
 double fwd_backlog_tokens(const struct fwd_backlog *, uint64_t);
 double fwd_backlog_add(struct fwd_backlog *, double, double, uint64_t);
-void fwd_backlog_read(struct fwd_backlog *, double, uint64_t);
+void fwd_backlog_confirm(struct fwd_backlog *, double, uint64_t);
 void fwd_backlog_drop(struct fwd_backlog *, double, uint64_t);
 
 #endif
--- a/src/fwd-budget.c
+++ b/src/fwd-budget.c
@@ -8,16 +8,16 @@
 budget_advance(struct fwd_budget *b, const struct fwd_budget_rule *rule,
     uint64_t now_ms)
 {
-	uint64_t slot = now_ms * FWD_BUDGET_SLOTS / rule->window_ms;
+	uint64_t slot = now_ms * FWD_BUDGET_BUCKETS / rule->window_ms;
 
-	if (slot > b->slot + FWD_BUDGET_SLOTS)
-		b->slot = slot - FWD_BUDGET_SLOTS;
-	while (b->slot < slot) {
-		b->slot++;
-		b->requests[b->slot % FWD_BUDGET_SLOTS] = 0;
-		b->repeats[b->slot % FWD_BUDGET_SLOTS] = 0;
+	if (slot > b->bucket + FWD_BUDGET_BUCKETS)
+		b->bucket = slot - FWD_BUDGET_BUCKETS;
+	while (b->bucket < slot) {
+		b->bucket++;
+		b->requests[b->bucket % FWD_BUDGET_BUCKETS] = 0;
+		b->retries[b->bucket % FWD_BUDGET_BUCKETS] = 0;
 	}
-	return ((unsigned)(slot % FWD_BUDGET_SLOTS));
+	return ((unsigned)(slot % FWD_BUDGET_BUCKETS));
 }
 
 /**
@@ -50,21 +50,21 @@
 	unsigned requests = 0, repeats = 0;
 	double most;
 
-	for (unsigned i = 0; i < FWD_BUDGET_SLOTS; i++) {
+	for (unsigned i = 0; i < FWD_BUDGET_BUCKETS; i++) {
 		requests += b->requests[i];
-		repeats += b->repeats[i];
+		repeats += b->retries[i];
 	}
 	most = FWD_BUDGET_MARGIN *
 	    (rule->ratio * requests +
 		rule->slack / (daemons > 0 ? daemons : 1));
 	if (repeats + 1 > most)
 		return (false);
-	b->repeats[at]++;
+	b->retries[at]++;
 	return (true);
 }
 
 /**
- * fwd_sharers_note() - take in how many daemons are known to live.
+ * fwd_daemon_peak_update() - take in how many daemons are known to live.
  * @s: the sharers
  * @daemons: that live, this one included
  * @span_ms: of the bound that they share
@@ -76,16 +76,16 @@
  * Return: daemons among which the bound is to be shared.
  */
 unsigned
-fwd_sharers_note(struct fwd_sharers *s, unsigned daemons, uint64_t span_ms,
-    uint64_t now_ms)
+fwd_daemon_peak_update(struct fwd_daemon_peak *s, unsigned daemons,
+    uint64_t span_ms, uint64_t now_ms)
 {
 	uint64_t span = now_ms / MAX(span_ms, 1);
 
-	if (span != s->span) {
-		s->most[1] = span == s->span + 1 ? s->most[0] : 0;
-		s->most[0] = 0;
-		s->span = span;
+	if (span != s->window) {
+		s->peak[1] = span == s->window + 1 ? s->peak[0] : 0;
+		s->peak[0] = 0;
+		s->window = span;
 	}
-	s->most[0] = MAX(s->most[0], daemons);
-	return (MAX(s->most[0], s->most[1]));
+	s->peak[0] = MAX(s->peak[0], daemons);
+	return (MAX(s->peak[0], s->peak[1]));
 }
--- a/src/fwd-budget.h
+++ b/src/fwd-budget.h
@@ -6,7 +6,7 @@
 #include <stdint.h>
 
 /* Slots of the sliding window. */
-#define FWD_BUDGET_SLOTS 20
+#define FWD_BUDGET_BUCKETS 20
 /* Kept back, since windows slide and the daemons' shares are estimates. */
 #define FWD_BUDGET_MARGIN 0.8
 
@@ -25,26 +25,27 @@
 /**
  * struct fwd_budget - one service's requests and repeats at this daemon.
  * @requests: in each slot
- * @repeats: in each slot
- * @slot: number of the newest slot since the start of the clock
+ * @retries: in each slot
+ * @bucket: number of the newest slot since the start of the clock
  */
 struct fwd_budget {
-	unsigned requests[FWD_BUDGET_SLOTS];
-	unsigned repeats[FWD_BUDGET_SLOTS];
-	uint64_t slot;
+	unsigned requests[FWD_BUDGET_BUCKETS];
+	unsigned retries[FWD_BUDGET_BUCKETS];
+	uint64_t bucket;
 };
 
 /**
- * struct fwd_sharers - how many daemons share a bound, on the safe side.
- * @most: most that were seen in the current span of time and the one before
- * @span: number of the current one since the start of the clock
+ * struct fwd_daemon_peak - how many daemons share a bound, on the safe side.
+ * @peak: most that were seen in the current span of time and the one before
+ * @window: number of the current one since the start of the clock
  */
-struct fwd_sharers {
-	unsigned most[2];
-	uint64_t span;
+struct fwd_daemon_peak {
+	unsigned peak[2];
+	uint64_t window;
 };
 
-unsigned fwd_sharers_note(struct fwd_sharers *, unsigned, uint64_t, uint64_t);
+unsigned fwd_daemon_peak_update(struct fwd_daemon_peak *, unsigned, uint64_t,
+    uint64_t);
 void fwd_budget_request(struct fwd_budget *, const struct fwd_budget_rule *,
     uint64_t);
 bool fwd_budget_take(struct fwd_budget *, const struct fwd_budget_rule *,
--- a/src/fwd-choose.c
+++ b/src/fwd-choose.c
@@ -37,7 +37,8 @@
  * Whether an endpoint has failed the request; with @again, only lately.
  */
 static bool
-want_tried(const struct fwd_want *want, const struct endpoint *ep, bool again)
+want_tried(const struct fwd_criteria *want, const struct endpoint *ep,
+    bool again)
 {
 	for (unsigned i = 0; i < want->n_tried; i++) {
 		const struct fwd_tried *tried = &want->tried[i];
@@ -52,7 +53,7 @@
 
 /* Whether an endpoint is of the kind that a request needs. */
 static bool
-endpoint_fits(const struct endpoint *ep, const struct fwd_want *want)
+endpoint_fits(const struct endpoint *ep, const struct fwd_criteria *want)
 {
 	if (strcmp(ep->report.service, want->service) != 0)
 		return (false);
@@ -64,32 +65,33 @@
 }
 
 /**
- * fwd_want_work() - a request's work for an engine.
+ * fwd_criteria_workload() - a request's work for an engine.
  * @want: the request; its engine and model are known
  * @prompt: tokens that count
  * @work: filled in
  */
 void
-fwd_want_work(const struct fwd_want *want, double prompt, struct fwd_work *work)
+fwd_criteria_workload(const struct fwd_criteria *want, double prompt,
+    struct fwd_workload *work)
 {
 	work->engine = want->engine;
 	work->model = want->model;
 	work->prompt = prompt;
-	work->extra_ms = want->extra_ms;
+	work->overhead_ms = want->overhead_ms;
 	work->now_ms = want->now_ms;
 }
 
 /* What an endpoint costs a request; lower is better. */
 static double
-endpoint_cost(const struct endpoint *ep, const struct fwd_want *want,
+endpoint_cost(const struct endpoint *ep, const struct fwd_criteria *want,
     double *first)
 {
 	bool across = g_strcmp0(ep->report.domain, want->domain) != 0;
-	struct fwd_work work;
+	struct fwd_workload work;
 
 	*first = 0;
 	if (want->model != NULL) {
-		fwd_want_work(want, want->prompt, &work);
+		fwd_criteria_workload(want, want->prompt, &work);
 		*first = fwd_expect_first(ep, &work);
 		return (*first * (1 + ERROR_WEIGHT * ep->error_rate) +
 		    (across ? CROSS_DOMAIN_MS : 0));
@@ -100,7 +102,7 @@
 
 /* Requests that an endpoint should have at once at most. */
 static double
-endpoint_places(const struct endpoint *ep, const struct fwd_want *want)
+endpoint_places(const struct endpoint *ep, const struct fwd_criteria *want)
 {
 	if (want->engine != NULL)
 		return (want->engine->slots);
@@ -133,18 +135,18 @@
 
 	if (!rests && !ep->draining)
 		return;
-	choice->closed++;
+	choice->unavailable++;
 	if (ep->draining)
 		return;
-	if (choice->opens == NULL ||
-	    ep->backoff.until_ms < choice->opens->backoff.until_ms)
-		choice->opens = ep;
+	if (choice->next_available == NULL ||
+	    ep->backoff.until_ms < choice->next_available->backoff.until_ms)
+		choice->next_available = ep;
 }
 
 /* Whether this daemon may send the request; if not, notes when it may. */
 static bool
 choice_note_turn(struct fwd_choice *choice, const struct endpoint *ep,
-    const struct fwd_want *want)
+    const struct fwd_criteria *want)
 {
 	double ms =
 	    endpoint_limit_wait_ms(&ep->limit, want->ahead, want->now_ms);
@@ -153,9 +155,9 @@
 		return (true);
 	choice->limited++;
 	choice->limits_per_s += endpoint_limit_rate(&ep->limit);
-	if (choice->turn == NULL || ms < choice->turn_ms) {
-		choice->turn = ep;
-		choice->turn_ms = ms;
+	if (choice->next_permit == NULL || ms < choice->permit_ms) {
+		choice->next_permit = ep;
+		choice->permit_ms = ms;
 	}
 	return (false);
 }
@@ -178,7 +180,7 @@
  * rest without having asked for it.
  */
 static void
-collect(const struct fleet *fleet, const struct fwd_want *want,
+collect(const struct fleet *fleet, const struct fwd_criteria *want,
     enum last_resort resort, const struct found *found,
     struct fwd_choice *choice)
 {
@@ -186,13 +188,13 @@
 
 	choice->known = 0;
 	choice->usable = 0;
-	choice->taken = 0;
-	choice->nearest = NULL;
-	choice->opens = NULL;
-	choice->closed = 0;
+	choice->running = 0;
+	choice->any_usable = NULL;
+	choice->next_available = NULL;
+	choice->unavailable = 0;
 	choice->limited = 0;
-	choice->turn = NULL;
-	choice->turn_ms = INFINITY;
+	choice->next_permit = NULL;
+	choice->permit_ms = INFINITY;
 	choice->limits_per_s = 0;
 	TAILQ_FOREACH(ep, &fleet->endpoints, entry) {
 		if (!endpoint_fits(ep, want) || ep->gone)
@@ -204,8 +206,8 @@
 		    !choice_note_turn(choice, ep, want))
 			continue;
 		choice->usable++;
-		choice->taken += fwd_expect_running(ep);
-		choice->nearest = ep;
+		choice->running += fwd_expect_running(ep);
+		choice->any_usable = ep;
 		if (fwd_expect_running(ep) < endpoint_places(ep, want) &&
 		    endpoint_backoff_admits(&ep->backoff))
 			found_add(found, ep);
@@ -214,7 +216,7 @@
 
 /* Moves the endpoints of the own failure domain to the front. */
 static unsigned
-near_first(GPtrArray *found, const struct fwd_want *want)
+near_first(GPtrArray *found, const struct fwd_criteria *want)
 {
 	unsigned n = 0;
 
@@ -249,7 +251,7 @@
 /* Compares some candidates with the best so far. */
 static void
 compare(const GPtrArray *found, unsigned first, unsigned end,
-    const struct fwd_want *want, struct fwd_choice *choice, double *best)
+    const struct fwd_criteria *want, struct fwd_choice *choice, double *best)
 {
 	for (unsigned i = first; i < end; i++) {
 		struct endpoint *ep = found->pdata[i];
@@ -260,26 +262,27 @@
 		*best = cost;
 		choice->endpoint = ep;
 		choice->first_ms = expected;
-		choice->extra_ms = want->extra_ms;
+		choice->overhead_ms = want->overhead_ms;
 		choice->load =
 		    fwd_expect_running(ep) / endpoint_places(ep, want);
 	}
 }
 
 /**
- * fwd_choice_all_closed() - whether all endpoints of the kind rest or leave by
- * their own word.
+ * fwd_choice_all_unavailable() - whether all endpoints of the kind rest or
+ * leave by their own word.
  * @choice: the choice
  */
 bool
-fwd_choice_all_closed(const struct fwd_choice *choice)
+fwd_choice_all_unavailable(const struct fwd_choice *choice)
 {
-	return (choice->closed > 0 && choice->closed == choice->known);
+	return (
+	    choice->unavailable > 0 && choice->unavailable == choice->known);
 }
 
 /* Compares random candidates, near and far, with the best so far. */
 static void
-choose_among(GPtrArray *found, const struct fwd_want *want,
+choose_among(GPtrArray *found, const struct fwd_criteria *want,
     struct fwd_choice *choice, uint32_t *draw, double *best)
 {
 	unsigned near = near_first(found, want);
@@ -297,7 +300,7 @@
  * @choice: filled in
  */
 void
-fwd_choose(const struct fleet *fleet, const struct fwd_want *want,
+fwd_choose(const struct fleet *fleet, const struct fwd_criteria *want,
     struct fwd_choice *choice)
 {
 	g_autoptr(GPtrArray) sure = g_ptr_array_new();
@@ -324,6 +327,6 @@
 	 * answers say that the limit is over. */
 	compare(turns, 0, turns->len, want, choice, &best);
 	choose_among(sure, want, choice, &draw, &best);
-	if (choice->endpoint == NULL || choice->load >= FWD_FULL_ENOUGH)
+	if (choice->endpoint == NULL || choice->load >= FWD_BUSY_LOAD)
 		choose_among(doubted, want, choice, &draw, &best);
 }
--- a/src/fwd-choose.h
+++ b/src/fwd-choose.h
@@ -5,7 +5,7 @@
 #include "fwd-expect.h"
 
 /* From this part of its places on an endpoint counts as busy. */
-#define FWD_FULL_ENOUGH 0.6
+#define FWD_BUSY_LOAD 0.6
 /* Endpoints that one request remembers to have failed it. */
 #define FWD_TRIED_MAX 6
 
@@ -20,12 +20,12 @@
 };
 
 /**
- * struct fwd_want - what a request needs.
+ * struct fwd_criteria - what a request needs.
  * @service: its service
  * @engine: the service's engine profile, or NULL
  * @model: the model's profile, or NULL
  * @prompt: tokens of the prompt
- * @extra_ms: learned of the model's first events
+ * @overhead_ms: learned of the model's first events
  * @domain: this daemon's failure domain
  * @tried: endpoints that failed it
  * @n_tried: how many
@@ -33,12 +33,12 @@
  * @now_ms: loop time
  * @draw: random numbers for the choice
  */
-struct fwd_want {
+struct fwd_criteria {
 	const char *service;
 	const struct engine_profile *engine;
 	const struct model_profile *model;
 	double prompt;
-	double extra_ms;
+	double overhead_ms;
 	const char *domain;
 	const struct fwd_tried *tried;
 	unsigned n_tried;
@@ -51,39 +51,41 @@
  * struct fwd_choice - the endpoint chosen.
  * @endpoint: NULL where none has a free place
  * @first_ms: when its first event is expected; 0 for plain services
- * @extra_ms: part of that which was learned of the model
+ * @overhead_ms: part of that which was learned of the model
  * @load: part of its places that are taken
- * @taken: requests at those that are usable
- * @nearest: a usable endpoint of the kind, full or not, or NULL
- * @opens: of those that asked for rest, the one whose rest ends first, or NULL
- * @closed: endpoints of the kind that rest or leave by their own word
+ * @running: requests at those that are usable
+ * @any_usable: a usable endpoint of the kind, full or not, or NULL
+ * @next_available: of those that asked for rest, the one whose rest ends first,
+ * or NULL
+ * @unavailable: endpoints of the kind that rest or leave by their own word
  * @known: endpoints of the kind, usable or not
  * @usable: those that are usable, full or not, and may have the request
  * @limited: others that are, but for this daemon's turn at their limits
- * @turn: of these, the one with the next turn, or NULL
- * @turn_ms: time until that; INFINITY where this daemon has no share of any
+ * @next_permit: of these, the one with the next turn, or NULL
+ * @permit_ms: time until that; INFINITY where this daemon has no share of any
  * @limits_per_s: requests a second that these take from all daemons together
  */
 struct fwd_choice {
 	struct endpoint *endpoint;
 	double first_ms;
-	double extra_ms;
+	double overhead_ms;
 	double load;
-	double taken;
-	const struct endpoint *nearest;
-	const struct endpoint *opens;
-	unsigned closed;
+	double running;
+	const struct endpoint *any_usable;
+	const struct endpoint *next_available;
+	unsigned unavailable;
 	unsigned known;
 	unsigned usable;
 	unsigned limited;
-	const struct endpoint *turn;
-	double turn_ms;
+	const struct endpoint *next_permit;
+	double permit_ms;
 	double limits_per_s;
 };
 
-bool fwd_choice_all_closed(const struct fwd_choice *);
-void fwd_choose(const struct fleet *, const struct fwd_want *,
+bool fwd_choice_all_unavailable(const struct fwd_choice *);
+void fwd_choose(const struct fleet *, const struct fwd_criteria *,
     struct fwd_choice *);
-void fwd_want_work(const struct fwd_want *, double, struct fwd_work *);
+void fwd_criteria_workload(const struct fwd_criteria *, double,
+    struct fwd_workload *);
 
 #endif
--- a/src/fwd-caller.c
+++ b/src/fwd-conn.c
@@ -3,7 +3,7 @@
 
 #include "clock.h"
 #include "event-log.h"
-#include "fwd-caller.h"
+#include "fwd-conn.h"
 #include "fwd-exchange.h"
 
 /* Bytes of later requests kept while one is in progress. */
@@ -24,10 +24,10 @@
 
 static const char continue_text[] = "HTTP/1.1 100 Continue\r\n\r\n";
 
-static void caller_run(struct fwd_caller *);
+static void caller_run(struct fwd_conn *);
 
 static const struct caller_limits *
-caller_limits_now(const struct fwd_caller *c)
+caller_limits_now(const struct fwd_conn *c)
 {
 	const struct catalog *catalog = c->fwd->registry->catalog;
 
@@ -36,26 +36,26 @@
 
 /* Stops the parser with a status of our own. */
 static int
-caller_bad(struct fwd_caller *c, unsigned status)
+caller_bad(struct fwd_conn *c, unsigned status)
 {
-	c->bad_status = status;
+	c->error_status = status;
 	return (-1);
 }
 
 static int
 on_begin(http_parser *parser)
 {
-	struct fwd_caller *c = parser->data;
+	struct fwd_conn *c = parser->data;
 
 	net_head_reset(&c->head);
 	g_byte_array_set_size(c->body, 0);
-	c->began = true;
+	c->started = true;
 	c->since_ms = clock_loop_ms(c->fwd->loop);
 	return (0);
 }
 
 static int
-caller_head_fits(struct fwd_caller *c)
+caller_head_fits(struct fwd_conn *c)
 {
 	if (c->head.too_large ||
 	    (int64_t)c->head.text->len > caller_limits_now(c)->max_header_bytes)
@@ -67,7 +67,7 @@
 static int
 on_target(http_parser *parser, const char *at, size_t length)
 {
-	struct fwd_caller *c = parser->data;
+	struct fwd_conn *c = parser->data;
 
 	net_head_add_target(&c->head, at, length);
 	return (caller_head_fits(c));
@@ -76,7 +76,7 @@
 static int
 on_field(http_parser *parser, const char *at, size_t length)
 {
-	struct fwd_caller *c = parser->data;
+	struct fwd_conn *c = parser->data;
 
 	/* Trailers are read over: they come after the body. */
 	if (c->body->len > 0)
@@ -92,7 +92,7 @@
 static int
 on_value(http_parser *parser, const char *at, size_t length)
 {
-	struct fwd_caller *c = parser->data;
+	struct fwd_conn *c = parser->data;
 
 	if (c->body->len > 0)
 		return (0);
@@ -103,7 +103,7 @@
 static int
 on_head(http_parser *parser)
 {
-	struct fwd_caller *c = parser->data;
+	struct fwd_conn *c = parser->data;
 	const char *expect;
 
 	net_head_close_value(&c->head);
@@ -122,7 +122,7 @@
 static int
 on_body(http_parser *parser, const char *at, size_t length)
 {
-	struct fwd_caller *c = parser->data;
+	struct fwd_conn *c = parser->data;
 
 	if ((int64_t)(c->body->len + length) >
 	    caller_limits_now(c)->max_body_bytes)
@@ -134,10 +134,10 @@
 static int
 on_complete(http_parser *parser)
 {
-	struct fwd_caller *c = parser->data;
+	struct fwd_conn *c = parser->data;
 
-	c->whole = true;
-	c->keep = http_should_keep_alive(parser) && !parser->upgrade;
+	c->complete = true;
+	c->keep_alive = http_should_keep_alive(parser) && !parser->upgrade;
 	http_parser_pause(parser, 1);
 	return (0);
 }
@@ -154,27 +154,27 @@
 
 /* Refuses what can't be read as a request, and ends the connection. */
 static void
-caller_refuse_input(struct fwd_caller *c)
+caller_refuse_input(struct fwd_conn *c)
 {
 	unsigned status =
-	    c->bad_status != 0 ? c->bad_status : HTTP_STATUS_BAD_REQUEST;
+	    c->error_status != 0 ? c->error_status : HTTP_STATUS_BAD_REQUEST;
 
 	fwd_stats_count(&c->fwd->stats, COUNT_BAD_REQUESTS);
 	event_log(LOG_INFO, "request_unreadable", "status=%u reason=%s", status,
 	    http_errno_name(HTTP_PARSER_ERRNO(&c->parser)));
-	c->keep = false;
-	fwd_caller_answer(c, status, NULL, NULL, 0);
+	c->keep_alive = false;
+	fwd_conn_respond(c, status, NULL, NULL, 0);
 }
 
 /* Reads bytes until a request is whole; returns how many were used. */
 static size_t
-caller_parse(struct fwd_caller *c, const char *at, size_t length)
+caller_parse(struct fwd_conn *c, const char *at, size_t length)
 {
 	size_t used =
 	    http_parser_execute(&c->parser, &request_settings, at, length);
 	enum http_errno rc = HTTP_PARSER_ERRNO(&c->parser);
 
-	if (rc == HPE_PAUSED && c->whole) {
+	if (rc == HPE_PAUSED && c->complete) {
 		http_parser_pause(&c->parser, 0);
 		/* The parser stops on the last byte of a chunked body. */
 		return (used);
@@ -188,30 +188,30 @@
 
 /* Begins the request that was read. */
 static void
-caller_start(struct fwd_caller *c)
+caller_start(struct fwd_conn *c)
 {
-	c->whole = false;
-	c->began = false;
+	c->complete = false;
+	c->started = false;
 	c->chunked = false;
 	fwd_exchange_start(c->fwd, c);
 }
 
 /* Works through held bytes, request by request. */
 static void
-caller_run(struct fwd_caller *c)
+caller_run(struct fwd_conn *c)
 {
 	while (c->exchange == NULL && !c->stream.closing && !c->stream.finish &&
-	    c->held->len > 0) {
-		g_autoptr(GString) bytes = g_steal_pointer(&c->held);
+	    c->pipelined->len > 0) {
+		g_autoptr(GString) bytes = g_steal_pointer(&c->pipelined);
 		size_t used;
 
-		c->held = g_string_new(NULL);
+		c->pipelined = g_string_new(NULL);
 		used = caller_parse(c, bytes->str, bytes->len);
 		if (c->stream.closing || c->stream.finish)
 			return;
-		g_string_append_len(c->held, bytes->str + used,
+		g_string_append_len(c->pipelined, bytes->str + used,
 		    (gssize)(bytes->len - used));
-		if (c->whole)
+		if (c->complete)
 			caller_start(c);
 	}
 }
@@ -219,11 +219,11 @@
 static void
 caller_readable(struct net_stream *stream, const char *at, size_t length)
 {
-	struct fwd_caller *c = stream->owner;
+	struct fwd_conn *c = stream->owner;
 
 	if (c->stream.finish)
 		return;
-	if (c->exchange == NULL && c->held->len == 0) {
+	if (c->exchange == NULL && c->pipelined->len == 0) {
 		size_t used = caller_parse(c, at, length);
 
 		if (c->stream.closing || c->stream.finish)
@@ -231,21 +231,21 @@
 		at += used;
 		length -= used;
 	}
-	g_string_append_len(c->held, at, (gssize)length);
-	if (c->whole)
+	g_string_append_len(c->pipelined, at, (gssize)length);
+	if (c->complete)
 		caller_start(c);
 	caller_run(c);
-	if (c->held != NULL && c->held->len > HELD_BYTES)
+	if (c->pipelined != NULL && c->pipelined->len > HELD_BYTES)
 		net_stream_read(stream, false);
 }
 
 static void
 caller_ended(struct net_stream *stream, bool clean)
 {
-	struct fwd_caller *c = stream->owner;
+	struct fwd_conn *c = stream->owner;
 
 	if (c->exchange != NULL)
-		fwd_exchange_caller_left(c->exchange);
+		fwd_exchange_client_left(c->exchange);
 	c->exchange = NULL;
 	net_stream_close(stream);
 }
@@ -253,7 +253,7 @@
 static void
 caller_drained(struct net_stream *stream)
 {
-	struct fwd_caller *c = stream->owner;
+	struct fwd_conn *c = stream->owner;
 
 	if (c->exchange != NULL)
 		fwd_exchange_pause(c->exchange, false);
@@ -262,12 +262,12 @@
 static void
 caller_closed(struct net_stream *stream)
 {
-	struct fwd_caller *c = stream->owner;
+	struct fwd_conn *c = stream->owner;
 
-	TAILQ_REMOVE(&c->fwd->callers, c, entry);
+	TAILQ_REMOVE(&c->fwd->conns, c, entry);
 	net_head_clear(&c->head);
 	g_byte_array_free(c->body, TRUE);
-	g_string_free(c->held, TRUE);
+	g_string_free(c->pipelined, TRUE);
 	g_string_free(c->out, TRUE);
 	g_free(c);
 }
@@ -286,24 +286,24 @@
 };
 
 /**
- * fwd_caller_accept() - take a new connection.
+ * fwd_conn_accept() - take a new connection.
  * @fwd: the engine
  * @listener: the listener that has it
  */
 void
-fwd_caller_accept(struct fwd *fwd, uv_stream_t *listener)
+fwd_conn_accept(struct fwd *fwd, uv_stream_t *listener)
 {
-	struct fwd_caller *c = g_new0(struct fwd_caller, 1);
+	struct fwd_conn *c = g_new0(struct fwd_conn, 1);
 
 	c->fwd = fwd;
 	c->body = g_byte_array_new();
-	c->held = g_string_new(NULL);
+	c->pipelined = g_string_new(NULL);
 	c->out = g_string_new(NULL);
 	c->since_ms = clock_loop_ms(fwd->loop);
 	net_head_init(&c->head);
 	http_parser_init(&c->parser, HTTP_REQUEST);
 	c->parser.data = c;
-	TAILQ_INSERT_TAIL(&fwd->callers, c, entry);
+	TAILQ_INSERT_TAIL(&fwd->conns, c, entry);
 	fwd_stats_count(&fwd->stats, COUNT_CONNECTIONS);
 	net_stream_init(&c->stream, fwd->loop, &caller_ops, c);
 	if (net_stream_accept(&c->stream, listener) != 0)
@@ -312,37 +312,37 @@
 
 /* The status line and the headers that every answer has. */
 static void
-caller_write_head(struct fwd_caller *c, unsigned status, const char *headers)
+caller_write_head(struct fwd_conn *c, unsigned status, const char *headers)
 {
 	g_string_append_printf(c->out, "HTTP/1.1 %u %s\r\n", status,
 	    http_status_str(status));
 	if (headers != NULL)
 		g_string_append(c->out, headers);
-	if (c->fwd->leaving)
-		c->keep = false;
-	if (!c->keep)
+	if (c->fwd->draining)
+		c->keep_alive = false;
+	if (!c->keep_alive)
 		g_string_append(c->out, "Connection: close\r\n");
 }
 
 /* The answer is written: wait for the next request, or end. */
 static void
-caller_answered(struct fwd_caller *c)
+caller_answered(struct fwd_conn *c)
 {
 	c->exchange = NULL;
 	c->since_ms = clock_loop_ms(c->fwd->loop);
-	fwd_caller_flush(c);
-	if (!c->keep) {
+	fwd_conn_flush(c);
+	if (!c->keep_alive) {
 		net_stream_finish(&c->stream);
 		return;
 	}
 	net_stream_read(&c->stream, true);
 	/* Held bytes are worked on from the loop, not from inside a caller. */
-	if (c->held->len > 0)
-		fwd_kick(c->fwd);
+	if (c->pipelined->len > 0)
+		fwd_schedule_dispatch(c->fwd);
 }
 
 /**
- * fwd_caller_answer() - give a whole answer.
+ * fwd_conn_respond() - give a whole answer.
  * @c: the connection
  * @status: of the answer
  * @headers: lines to send beside our own, or NULL
@@ -350,7 +350,7 @@
  * @length: its length
  */
 void
-fwd_caller_answer(struct fwd_caller *c, unsigned status, const char *headers,
+fwd_conn_respond(struct fwd_conn *c, unsigned status, const char *headers,
     const void *body, size_t length)
 {
 	bool bodiless = status == HTTP_STATUS_NO_CONTENT ||
@@ -367,14 +367,14 @@
 }
 
 /**
- * fwd_caller_refuse() - answer without an endpoint's answer.
+ * fwd_conn_refuse() - answer without an endpoint's answer.
  * @c: the connection
  * @status: of the answer
  * @id: of the request, or NULL
  * @retry_ms: when to come back; negative to say nothing
  */
 void
-fwd_caller_refuse(struct fwd_caller *c, unsigned status, const char *headers,
+fwd_conn_refuse(struct fwd_conn *c, unsigned status, const char *headers,
     int64_t retry_ms)
 {
 	g_autoptr(GString) lines = g_string_new(headers);
@@ -382,21 +382,21 @@
 	if (retry_ms >= 0)
 		g_string_append_printf(lines, "Retry-After: %.3f\r\n",
 		    (double)retry_ms / 1000);
-	fwd_caller_answer(c, status, lines->str, NULL, 0);
+	fwd_conn_respond(c, status, lines->str, NULL, 0);
 }
 
 /**
- * fwd_caller_begin() - begin an answer whose length is not known.
+ * fwd_conn_begin() - begin an answer whose length is not known.
  * @c: the connection
  * @status: of the answer
  * @headers: lines to send beside our own
  */
 void
-fwd_caller_begin(struct fwd_caller *c, unsigned status, const char *headers)
+fwd_conn_begin(struct fwd_conn *c, unsigned status, const char *headers)
 {
 	c->chunked = c->parser.http_major > 1 || c->parser.http_minor >= 1;
 	if (!c->chunked)
-		c->keep = false;
+		c->keep_alive = false;
 	caller_write_head(c, status, headers);
 	if (c->chunked)
 		g_string_append(c->out, "Transfer-Encoding: chunked\r\n");
@@ -404,13 +404,13 @@
 }
 
 /**
- * fwd_caller_piece() - give a piece of the answer's body.
+ * fwd_conn_write() - give a piece of the answer's body.
  * @c: the connection
  * @at: the bytes
  * @length: how many
  */
 void
-fwd_caller_piece(struct fwd_caller *c, const void *at, size_t length)
+fwd_conn_write(struct fwd_conn *c, const void *at, size_t length)
 {
 	if (length == 0 || c->head_only)
 		return;
@@ -422,11 +422,11 @@
 }
 
 /**
- * fwd_caller_flush() - hand what was given to the connection.
+ * fwd_conn_flush() - hand what was given to the connection.
  * @c: the connection
  */
 void
-fwd_caller_flush(struct fwd_caller *c)
+fwd_conn_flush(struct fwd_conn *c)
 {
 	if (c->out->len == 0)
 		return;
@@ -437,11 +437,11 @@
 }
 
 /**
- * fwd_caller_end() - the answer that was begun is whole.
+ * fwd_conn_end() - the answer that was begun is whole.
  * @c: the connection
  */
 void
-fwd_caller_end(struct fwd_caller *c)
+fwd_conn_end(struct fwd_conn *c)
 {
 	if (c->chunked && !c->head_only)
 		g_string_append(c->out, "0\r\n\r\n");
@@ -449,14 +449,14 @@
 }
 
 /**
- * fwd_caller_abort() - the answer that was begun can't be made whole.
+ * fwd_conn_abort() - the answer that was begun can't be made whole.
  * @c: the connection; the caller sees that the answer was cut
  */
 void
-fwd_caller_abort(struct fwd_caller *c)
+fwd_conn_abort(struct fwd_conn *c)
 {
 	c->exchange = NULL;
-	fwd_caller_flush(c);
+	fwd_conn_flush(c);
 	if (c->chunked && c->stream.queued == 0)
 		net_stream_close(&c->stream);
 	else
@@ -464,12 +464,12 @@
 }
 
 /**
- * fwd_caller_tick() - look at the times of a connection without exchange.
+ * fwd_conn_tick() - look at the times of a connection without exchange.
  * @c: the connection
  * @now_ms: loop time
  */
 void
-fwd_caller_tick(struct fwd_caller *c, uint64_t now_ms)
+fwd_conn_tick(struct fwd_conn *c, uint64_t now_ms)
 {
 	const struct caller_limits *limits = caller_limits_now(c);
 	uint64_t waited = now_ms - c->since_ms;
@@ -481,13 +481,13 @@
 			net_stream_close(&c->stream);
 		return;
 	}
-	if (c->held->len > 0) {
+	if (c->pipelined->len > 0) {
 		caller_run(c);
 		return;
 	}
-	if (c->began && waited > (uint64_t)limits->header_timeout_ms &&
+	if (c->started && waited > (uint64_t)limits->header_timeout_ms &&
 	    c->body->len == 0) {
-		c->bad_status = HTTP_STATUS_REQUEST_TIMEOUT;
+		c->error_status = HTTP_STATUS_REQUEST_TIMEOUT;
 		caller_refuse_input(c);
 	} else if (waited > (uint64_t)limits->idle_timeout_ms) {
 		net_stream_close(&c->stream);
--- a/src/fwd-end.c
+++ b/src/fwd-end.c
@@ -26,10 +26,10 @@
 	    (unsigned long long)(ex->first_us > 0 ?
 		    (ex->first_us - ex->arrived_us) / 1000 :
 		    0),
-	    ex->events.held != NULL ? (long long)ex->events.last : -1LL,
+	    ex->events.buf != NULL ? (long long)ex->events.last_id : -1LL,
 	    ex->catalog != NULL ? (long long)ex->catalog->version : -1LL,
 	    ex->prompt, ex->expected_ms, ex->running_at_send,
-	    ex->reading_at_send, WORK_SHORT(ex->work));
+	    ex->backlog_at_send, FINGERPRINT_SHORT(ex->fingerprint));
 }
 
 /**
@@ -47,17 +47,17 @@
 	if (ex->probe)
 		endpoint_backoff_end_probe(&ep->backoff, false);
 	ex->probe = false;
-	ex->turn = false;
-	if (ex->reading) {
+	ex->has_permit = false;
+	if (ex->in_backlog) {
 		fwd_backlog_drop(&ep->backlog, ex->prompt,
 		    clock_loop_ms(ex->fwd->loop));
 		ep->pending = MAX(ep->pending - ex->prompt, 0);
 	}
-	ex->reading = false;
+	ex->in_backlog = false;
 	ep->refs--;
 	ex->endpoint = NULL;
-	if (!TAILQ_EMPTY(&ex->fwd->waiting))
-		fwd_kick(ex->fwd);
+	if (!TAILQ_EMPTY(&ex->fwd->queue))
+		fwd_schedule_dispatch(ex->fwd);
 }
 
 /**
@@ -67,13 +67,13 @@
 void
 fwd_exchange_free(struct fwd_exchange *ex)
 {
-	if (ex->state == EXCHANGE_WAITING)
-		TAILQ_REMOVE(&ex->fwd->waiting, ex, wait_entry);
+	if (ex->state == EXCHANGE_QUEUED)
+		TAILQ_REMOVE(&ex->fwd->queue, ex, queue_entry);
 	ex->state = EXCHANGE_DONE;
-	fwd_poison_over(ex);
-	if (ex->client != NULL) {
-		net_client_abandon(ex->client);
-		ex->client = NULL;
+	fwd_poison_end_probe(ex);
+	if (ex->upstream != NULL) {
+		net_client_abandon(ex->upstream);
+		ex->upstream = NULL;
 	}
 	fwd_exchange_release(ex);
 	for (unsigned i = 0; i < ex->n_tried; i++)
@@ -85,7 +85,7 @@
 	g_string_free(ex->request, TRUE);
 	g_byte_array_unref(ex->body);
 	g_string_free(ex->headers, TRUE);
-	g_byte_array_unref(ex->answer);
+	g_byte_array_unref(ex->response_body);
 	fwd_events_clear(&ex->events);
 	g_free(ex);
 }
@@ -101,13 +101,13 @@
 fwd_exchange_refuse(struct fwd_exchange *ex, unsigned status,
     const char *reason, int64_t retry_ms)
 {
-	struct fwd_caller *caller = ex->caller;
+	struct fwd_conn *caller = ex->conn;
 
 	fwd_stats_count(&ex->fwd->stats, COUNT_REFUSED);
 	end_log(ex, LOG_NOTICE, "request_refused", status, reason);
 	fwd_exchange_free(ex);
 	if (caller != NULL)
-		fwd_caller_refuse(caller, status, NULL, retry_ms);
+		fwd_conn_refuse(caller, status, NULL, retry_ms);
 }
 
 /**
@@ -119,30 +119,30 @@
 void
 fwd_exchange_fail(struct fwd_exchange *ex, unsigned status, const char *reason)
 {
-	struct fwd_caller *caller = ex->caller;
+	struct fwd_conn *caller = ex->conn;
 
 	fwd_stats_count(&ex->fwd->stats, COUNT_FAILED);
 	end_log(ex, LOG_NOTICE, "request_failed", status, reason);
 	fwd_exchange_free(ex);
 	if (caller != NULL)
-		fwd_caller_refuse(caller, status, NULL, -1);
+		fwd_conn_refuse(caller, status, NULL, -1);
 }
 
 /**
- * fwd_exchange_break() - an answer that was begun can't be made whole.
+ * fwd_exchange_abort() - an answer that was begun can't be made whole.
  * @ex: the exchange
  * @reason: for the log
  */
 void
-fwd_exchange_break(struct fwd_exchange *ex, const char *reason)
+fwd_exchange_abort(struct fwd_exchange *ex, const char *reason)
 {
-	struct fwd_caller *caller = ex->caller;
+	struct fwd_conn *caller = ex->conn;
 
 	fwd_stats_count(&ex->fwd->stats, COUNT_BROKEN_OFF);
 	end_log(ex, LOG_NOTICE, "request_broken_off", ex->status, reason);
 	fwd_exchange_free(ex);
 	if (caller != NULL)
-		fwd_caller_abort(caller);
+		fwd_conn_abort(caller);
 }
 
 /**
@@ -157,7 +157,7 @@
     const char *reason, int64_t retry_ms)
 {
 	if (ex->first_us > 0)
-		fwd_exchange_break(ex, reason);
+		fwd_exchange_abort(ex, reason);
 	else if (ex->runs == 0)
 		fwd_exchange_refuse(ex, HTTP_STATUS_SERVICE_UNAVAILABLE, reason,
 		    retry_ms);
@@ -174,7 +174,7 @@
 	fwd_stats_count(&ex->fwd->stats, COUNT_ANSWERED);
 	if (ex->first_us == 0)
 		ex->first_us = now_us;
-	fwd_stats_answer(&ex->fwd->stats, ex->route->name,
+	fwd_stats_add_latency(&ex->fwd->stats, ex->route->name,
 	    ex->customer != NULL ? ex->customer->name : NULL,
 	    ex->first_us - ex->arrived_us, now_us - ex->arrived_us);
 	end_log(ex, LOG_INFO, "request_answered", ex->status, "whole");
@@ -187,15 +187,15 @@
 void
 fwd_exchange_deliver(struct fwd_exchange *ex)
 {
-	struct fwd_caller *caller = ex->caller;
+	struct fwd_conn *caller = ex->conn;
 	g_autoptr(GString) headers = g_string_new(ex->headers->str);
-	g_autoptr(GByteArray) body = g_byte_array_ref(ex->answer);
+	g_autoptr(GByteArray) body = g_byte_array_ref(ex->response_body);
 	unsigned status = ex->status;
 
 	end_answered(ex);
 	fwd_exchange_free(ex);
 	if (caller != NULL)
-		fwd_caller_answer(caller, status, headers->str, body->data,
+		fwd_conn_respond(caller, status, headers->str, body->data,
 		    body->len);
 }
 
@@ -206,10 +206,10 @@
 void
 fwd_exchange_finish(struct fwd_exchange *ex)
 {
-	struct fwd_caller *caller = ex->caller;
+	struct fwd_conn *caller = ex->conn;
 
 	end_answered(ex);
 	fwd_exchange_free(ex);
 	if (caller != NULL)
-		fwd_caller_end(caller);
+		fwd_conn_end(caller);
 }
--- a/src/fwd-events.c
+++ b/src/fwd-events.c
@@ -12,8 +12,8 @@
 void
 fwd_events_init(struct fwd_events *ev, int64_t last)
 {
-	ev->held = g_string_new(NULL);
-	ev->last = last;
+	ev->buf = g_string_new(NULL);
+	ev->last_id = last;
 	ev->scanned = 0;
 }
 
@@ -24,9 +24,9 @@
 void
 fwd_events_clear(struct fwd_events *ev)
 {
-	if (ev->held != NULL)
-		g_string_free(ev->held, TRUE);
-	ev->held = NULL;
+	if (ev->buf != NULL)
+		g_string_free(ev->buf, TRUE);
+	ev->buf = NULL;
 }
 
 /**
@@ -36,7 +36,7 @@
 void
 fwd_events_restart(struct fwd_events *ev)
 {
-	g_string_truncate(ev->held, 0);
+	g_string_truncate(ev->buf, 0);
 	ev->scanned = 0;
 }
 
@@ -51,27 +51,27 @@
 bool
 fwd_events_add(struct fwd_events *ev, const char *at, size_t length)
 {
-	g_string_append_len(ev->held, at, (gssize)length);
-	return (ev->held->len <= FWD_EVENT_BYTES);
+	g_string_append_len(ev->buf, at, (gssize)length);
+	return (ev->buf->len <= FWD_EVENT_MAX_BYTES);
 }
 
 /* Length of the first whole event, or 0. */
 static size_t
 event_length(struct fwd_events *ev)
 {
-	const char *text = ev->held->str;
+	const char *text = ev->buf->str;
 	size_t i = ev->scanned;
 
-	for (; i + 1 < ev->held->len; i++) {
+	for (; i + 1 < ev->buf->len; i++) {
 		if (text[i] != '\n')
 			continue;
 		if (text[i + 1] == '\n')
 			return (i + 2);
-		if (text[i + 1] == '\r' && i + 2 < ev->held->len &&
+		if (text[i + 1] == '\r' && i + 2 < ev->buf->len &&
 		    text[i + 2] == '\n')
 			return (i + 3);
 	}
-	ev->scanned = ev->held->len > 2 ? ev->held->len - 2 : 0;
+	ev->scanned = ev->buf->len > 2 ? ev->buf->len - 2 : 0;
 	return (0);
 }
 
@@ -106,14 +106,14 @@
 	*length = event_length(ev);
 	if (*length == 0)
 		return (FWD_EVENT_NONE);
-	id = event_id(ev->held->str, *length);
+	id = event_id(ev->buf->str, *length);
 	if (id < 0)
 		return (FWD_EVENT_PASS);
-	if (ev->last >= 0 && id <= ev->last)
+	if (ev->last_id >= 0 && id <= ev->last_id)
 		return (FWD_EVENT_SKIP);
-	if (ev->last >= 0 && id != ev->last + 1)
+	if (ev->last_id >= 0 && id != ev->last_id + 1)
 		return (FWD_EVENT_GAP);
-	ev->last = id;
+	ev->last_id = id;
 	return (FWD_EVENT_PASS);
 }
 
@@ -125,6 +125,6 @@
 void
 fwd_events_drop(struct fwd_events *ev, size_t length)
 {
-	g_string_erase(ev->held, 0, (gssize)length);
+	g_string_erase(ev->buf, 0, (gssize)length);
 	ev->scanned = 0;
 }
--- a/src/fwd-events.h
+++ b/src/fwd-events.h
@@ -7,7 +7,7 @@
 #include <stdint.h>
 
 /* Largest event; an endpoint that sends more is broken. */
-#define FWD_EVENT_BYTES (1u << 20)
+#define FWD_EVENT_MAX_BYTES (1u << 20)
 
 /**
  * enum fwd_event_verdict - what to do with the next event.
@@ -25,13 +25,13 @@
 
 /**
  * struct fwd_events - the events of one answer, over all of its endpoints.
- * @held: bytes of the event that is not whole yet
- * @last: id of the last event given on; -1 before the first
- * @scanned: bytes of @held that hold no end of an event
+ * @buf: bytes of the event that is not whole yet
+ * @last_id: id of the last event given on; -1 before the first
+ * @scanned: bytes of @buf that hold no end of an event
  */
 struct fwd_events {
-	GString *held;
-	int64_t last;
+	GString *buf;
+	int64_t last_id;
 	size_t scanned;
 };
 
--- a/src/fwd-exchange.c
+++ b/src/fwd-exchange.c
@@ -23,13 +23,13 @@
 exchange_note_prompt(struct fwd_exchange *ex)
 {
 	struct endpoint *ep = ex->endpoint;
-	struct fwd_want want;
-	struct fwd_work work;
+	struct fwd_criteria want;
+	struct fwd_workload work;
 
-	fwd_exchange_want(ex, &want);
-	fwd_want_work(&want, ex->prompt, &work);
-	ex->reading_at_send = fwd_expect_backlog(ep, &work);
-	ex->mark = fwd_backlog_add(&ep->backlog, ex->prompt,
+	fwd_exchange_criteria(ex, &want);
+	fwd_criteria_workload(&want, ex->prompt, &work);
+	ex->backlog_at_send = fwd_expect_backlog(ep, &work);
+	ex->backlog_mark = fwd_backlog_add(&ep->backlog, ex->prompt,
 	    fwd_expect_rate(ep, &work), want.now_ms);
 	ep->pending += ex->prompt;
 }
@@ -46,15 +46,15 @@
 	ex->known_at_send = choice->known;
 	ep->refs++;
 	ex->probe = endpoint_backoff_begin_probe(&ep->backoff);
-	ex->turn = ep->limit.active &&
+	ex->has_permit = ep->limit.active &&
 	    endpoint_limit_take_permit(&ep->limit,
 		clock_loop_ms(ex->fwd->loop));
-	ex->reading = ex->model != NULL;
-	if (ex->reading)
+	ex->in_backlog = ex->model != NULL;
+	if (ex->in_backlog)
 		exchange_note_prompt(ex);
 	ep->inflight++;
 	ex->expected_ms = choice->first_ms;
-	ex->extra_ms = choice->extra_ms;
+	ex->overhead_ms = choice->overhead_ms;
 }
 
 /* Remembers the endpoint, so that others are chosen first if it fails. */
@@ -78,7 +78,7 @@
 		.customer = ex->customer != NULL ? ex->customer->name : NULL,
 		.left_ms =
 		    (int64_t)(ex->deadline_ms - clock_loop_ms(ex->fwd->loop)),
-		.last_event = ex->events.last,
+		.last_event = ex->events.last_id,
 		.priority = -1,
 	};
 
@@ -101,34 +101,34 @@
 fwd_exchange_send(struct fwd_exchange *ex, const struct fwd_choice *choice)
 {
 	struct fwd *fwd = ex->fwd;
-	bool once = !fwd_exchange_repeatable(ex);
+	bool once = !fwd_exchange_retryable(ex);
 	/* What is sent again goes on a new connection: those that were idle may
 	 * have fallen silent together. */
 	uint64_t idle = once || ex->sends > 0 ? 0 : IDLE_MOST_MS;
 	const struct endpoint_limit *limit = &choice->endpoint->limit;
 	g_autoptr(GString) text = NULL;
 
-	TAILQ_REMOVE(&fwd->waiting, ex, wait_entry);
-	ex->state = ex->first_us > 0 ? EXCHANGE_ANSWERING : EXCHANGE_SENT;
+	TAILQ_REMOVE(&fwd->queue, ex, queue_entry);
+	ex->state = ex->first_us > 0 ? EXCHANGE_RESPONDING : EXCHANGE_SENT;
 	exchange_hold(ex, choice);
 	exchange_note_tried(ex);
 	ex->sends++;
 	ex->sent_ms = clock_loop_ms(fwd->loop);
 	ex->heard_ms = ex->sent_ms;
-	ex->lost = false;
-	ex->resumed = ex->events.last >= 0;
-	fwd_heard_send(ex);
-	ex->client =
-	    net_pool_take(&ex->endpoint->pool, idle, &fwd_answer_ops, ex);
-	if (ex->client == NULL) {
-		if (ex->turn)
+	ex->crash_suspected = false;
+	ex->resumed = ex->events.last_id >= 0;
+	fwd_feedback_check_send(ex);
+	ex->upstream =
+	    net_pool_take(&ex->endpoint->pool, idle, &fwd_response_ops, ex);
+	if (ex->upstream == NULL) {
+		if (ex->has_permit)
 			endpoint_limit_return_permit(&ex->endpoint->limit);
 		fwd_exchange_release(ex);
-		fwd_exchange_again(ex, "no_connection");
+		fwd_exchange_retry(ex, "no_connection");
 		return;
 	}
 	if (once)
-		net_client_hold(ex->client, ONCE_HOLD_MS);
+		net_client_hold(ex->upstream, ONCE_HOLD_MS);
 	ex->runs++;
 	fwd_stats_count(&fwd->stats, COUNT_SENT);
 	log_debug("request_sent",
@@ -140,16 +140,16 @@
 	    (unsigned long long)(limit->active ? ex->sent_ms - limit->as_of_ms :
 						 0));
 	text = exchange_text(ex);
-	net_client_send(ex->client, text->str, text->len, ex->head_only);
+	net_client_send(ex->upstream, text->str, text->len, ex->head_only);
 }
 
 /**
- * fwd_exchange_want() - what a request needs, for the choice.
+ * fwd_exchange_criteria() - what a request needs, for the choice.
  * @ex: the exchange
  * @want: filled in
  */
 void
-fwd_exchange_want(const struct fwd_exchange *ex, struct fwd_want *want)
+fwd_exchange_criteria(const struct fwd_exchange *ex, struct fwd_criteria *want)
 {
 	memset(want, 0, sizeof *want);
 	want->service = ex->service;
@@ -157,7 +157,7 @@
 	want->model = ex->model;
 	want->prompt = ex->prompt;
 	if (ex->model != NULL)
-		want->extra_ms = fwd_exchange_learned(ex)->extra_ms;
+		want->overhead_ms = fwd_exchange_estimate(ex)->overhead_ms;
 	want->domain = ex->fwd->set.domain;
 	want->tried = ex->tried;
 	want->n_tried = ex->n_tried;
@@ -166,13 +166,13 @@
 }
 
 /**
- * fwd_exchange_learned() - what answers of its kind showed.
+ * fwd_exchange_estimate() - what answers of its kind showed.
  * @ex: the exchange
  */
-struct fwd_learned *
-fwd_exchange_learned(const struct fwd_exchange *ex)
+struct fwd_estimate *
+fwd_exchange_estimate(const struct fwd_exchange *ex)
 {
-	return (fwd_learned_of(ex->fwd,
+	return (fwd_estimate_get(ex->fwd,
 	    ex->model != NULL ? ex->model->name : ex->service));
 }
 
@@ -182,7 +182,7 @@
  * @caller: the caller
  */
 void
-fwd_exchange_start(struct fwd *fwd, struct fwd_caller *caller)
+fwd_exchange_start(struct fwd *fwd, struct fwd_conn *caller)
 {
 	struct fwd_exchange *ex = g_new0(struct fwd_exchange, 1);
 	const char *method =
@@ -194,12 +194,12 @@
 	uv_update_time(fwd->loop);
 	fwd->wire->read_request(&caller->head, &req);
 	ex->fwd = fwd;
-	ex->caller = caller;
+	ex->conn = caller;
 	caller->exchange = ex;
 	ex->id = g_strdup(req.id != NULL ? req.id : "-");
 	ex->request = g_string_sized_new(512);
 	ex->headers = g_string_new(NULL);
-	ex->answer = g_byte_array_new();
+	ex->response_body = g_byte_array_new();
 	ex->body = g_steal_pointer(&caller->body);
 	caller->body = g_byte_array_new();
 	ex->head_only = caller->head_only;
@@ -210,32 +210,32 @@
 		ex->catalog = catalog_ref(fwd->registry->catalog);
 	TAILQ_INSERT_TAIL(&fwd->exchanges, ex, entry);
 	fwd->n_exchanges++;
-	fwd_wake(fwd);
+	fwd_tick_soon(fwd);
 	fwd_stats_count(&fwd->stats, COUNT_REQUESTS);
-	if (!fwd_admit(ex, &req, method))
+	if (!fwd_resolve(ex, &req, method))
 		return;
-	fwd_budget_request(fwd_budget_of(fwd, ex->service), &fwd->set.retry,
+	fwd_budget_request(fwd_budget_get(fwd, ex->service), &fwd->set.retry,
 	    ex->arrived_ms);
-	fwd_exchange_try(ex);
+	fwd_exchange_dispatch(ex);
 }
 
 /**
- * fwd_exchange_caller_left() - the caller closed its connection.
+ * fwd_exchange_client_left() - the caller closed its connection.
  * @ex: the exchange; work that may be repeated is ended
  */
 void
-fwd_exchange_caller_left(struct fwd_exchange *ex)
+fwd_exchange_client_left(struct fwd_exchange *ex)
 {
-	fwd_stats_count(&ex->fwd->stats, COUNT_CALLER_LEFT);
+	fwd_stats_count(&ex->fwd->stats, COUNT_CLIENT_LEFT);
 	event_log(LOG_INFO, "caller_left",
 	    "id=%s state=%d endpoint=%s age_ms=%llu", ex->id, ex->state,
 	    ex->endpoint != NULL ? ex->endpoint->report.id : "-",
 	    (unsigned long long)(clock_loop_ms(ex->fwd->loop) -
 		ex->arrived_ms));
-	ex->caller = NULL;
+	ex->conn = NULL;
 	/* What may run once only is let run; its answer is read and dropped. */
 	if (ex->route != NULL && ex->route->retry == RETRY_NEVER &&
-	    ex->client != NULL && ex->client->connected)
+	    ex->upstream != NULL && ex->upstream->connected)
 		return;
 	fwd_exchange_free(ex);
 }
@@ -248,16 +248,16 @@
 void
 fwd_exchange_pause(struct fwd_exchange *ex, bool on)
 {
-	if (ex->client == NULL || ex->paused == on)
+	if (ex->upstream == NULL || ex->paused == on)
 		return;
 	ex->paused = on;
-	net_client_pause(ex->client, on);
+	net_client_pause(ex->upstream, on);
 	/* Silence that we caused is none of the endpoint's. */
 	ex->heard_ms = clock_loop_ms(ex->fwd->loop);
 }
 
 /**
- * fwd_exchange_discount() - the last send is over; did the request run there?
+ * fwd_exchange_end_send() - the last send is over; did the request run there?
  * @ex: the exchange, with its endpoint
  * @reached: the endpoint may have got it
  *
@@ -265,13 +265,13 @@
  * reached one counts.
  */
 void
-fwd_exchange_discount(struct fwd_exchange *ex, bool reached)
+fwd_exchange_end_send(struct fwd_exchange *ex, bool reached)
 {
-	ex->arrived = reached;
+	ex->reached = reached;
 	if (reached)
 		return;
 	ex->runs--;
-	if (ex->turn)
+	if (ex->has_permit)
 		endpoint_limit_return_permit(&ex->endpoint->limit);
 }
 
@@ -284,11 +284,11 @@
 void
 fwd_exchange_move(struct fwd_exchange *ex, bool reached, const char *reason)
 {
-	fwd_exchange_discount(ex, reached);
-	net_client_abandon(ex->client);
-	ex->client = NULL;
+	fwd_exchange_end_send(ex, reached);
+	net_client_abandon(ex->upstream);
+	ex->upstream = NULL;
 	fwd_exchange_release(ex);
-	fwd_exchange_again(ex, reason);
+	fwd_exchange_retry(ex, reason);
 }
 
 /* Whether an endpoint that named a limit since may have the request. */
@@ -297,9 +297,10 @@
 {
 	struct endpoint_limit *limit = &ex->endpoint->limit;
 
-	if (ex->turn || endpoint_limit_wait_ms(limit, 0, now_ms) > 0)
-		return (ex->turn);
-	ex->turn = limit->active && endpoint_limit_take_permit(limit, now_ms);
+	if (ex->has_permit || endpoint_limit_wait_ms(limit, 0, now_ms) > 0)
+		return (ex->has_permit);
+	ex->has_permit =
+	    limit->active && endpoint_limit_take_permit(limit, now_ms);
 	return (true);
 }
 
@@ -317,9 +318,9 @@
 		return;
 	}
 	if (now_ms - ex->sent_ms <= CONNECT_MS ||
-	    now_ms < ex->fwd->blind_until_ms)
+	    now_ms < ex->fwd->grace_until_ms)
 		return;
-	ex->endpoint->cooldown_until_ms = now_ms + REST_SILENT_MS;
+	ex->endpoint->cooldown_until_ms = now_ms + COOLDOWN_SILENT_MS;
 	fwd_exchange_move(ex, false, "no_connection_in_time");
 }
 
@@ -336,10 +337,10 @@
 		    RETRY_LATE_MS);
 		return;
 	}
-	if (ex->state == EXCHANGE_WAITING || ex->client == NULL)
+	if (ex->state == EXCHANGE_QUEUED || ex->upstream == NULL)
 		return;
-	if (ex->client->connected)
-		fwd_silence_look(ex, now_ms);
+	if (ex->upstream->connected)
+		fwd_silence_check(ex, now_ms);
 	else
 		exchange_connecting(ex, now_ms);
 }
--- a/src/fwd-expect.c
+++ b/src/fwd-expect.c
@@ -36,7 +36,7 @@
 
 /* The steps of a pass for the requests that write. */
 static double
-writers_ms(const struct endpoint *ep, const struct fwd_work *work)
+writers_ms(const struct endpoint *ep, const struct fwd_workload *work)
 {
 	double running = fwd_expect_running(ep);
 
@@ -67,21 +67,21 @@
  * Return: 0 where the profile says nothing of reading.
  */
 double
-fwd_expect_rate(const struct endpoint *ep, const struct fwd_work *work)
+fwd_expect_rate(const struct endpoint *ep, const struct fwd_workload *work)
 {
 	return (work->engine->read_per_ms / work->model->pace / ep->slowness);
 }
 
 /* From when a prompt is read to its first event: half a pass, its own steps. */
 static double
-after_ms(const struct endpoint *ep, const struct fwd_work *work)
+after_ms(const struct endpoint *ep, const struct fwd_workload *work)
 {
 	const struct engine_profile *e = work->engine;
 	double running = fwd_expect_running(ep);
 	double steps = step_ms(e, work->model, running + 1) * e->stride;
 
-	return (
-	    (writers_ms(ep, work) / 2 + steps) * ep->slowness + work->extra_ms);
+	return ((writers_ms(ep, work) / 2 + steps) * ep->slowness +
+	    work->overhead_ms);
 }
 
 /**
@@ -94,7 +94,7 @@
  * left; and at least what this daemon sent just now.
  */
 double
-fwd_expect_backlog(const struct endpoint *ep, const struct fwd_work *work)
+fwd_expect_backlog(const struct endpoint *ep, const struct fwd_workload *work)
 {
 	double pending = ep->pending + ep->peer_pending;
 	double read = fwd_expect_rate(ep, work) * after_ms(ep, work);
@@ -116,7 +116,7 @@
  * Return: milliseconds from now.
  */
 double
-fwd_expect_first(const struct endpoint *ep, const struct fwd_work *work)
+fwd_expect_first(const struct endpoint *ep, const struct fwd_workload *work)
 {
 	const struct engine_profile *e = work->engine;
 	double backlog = fwd_expect_backlog(ep, work) + work->prompt;
@@ -137,26 +137,26 @@
 }
 
 /**
- * fwd_learn_first() - a first event came.
+ * fwd_estimate_add_first() - a first event came.
  * @learned: of its model
  * @late_ms: after it was expected without what was learned
  */
 void
-fwd_learn_first(struct fwd_learned *learned, double late_ms)
+fwd_estimate_add_first(struct fwd_estimate *learned, double late_ms)
 {
 	late_ms = CLAMP(late_ms, 0, EXTRA_MOST_MS);
-	learned->extra_ms +=
-	    learn_weight(++learned->seen) * (late_ms - learned->extra_ms);
+	learned->overhead_ms += learn_weight(++learned->n_overhead) *
+	    (late_ms - learned->overhead_ms);
 }
 
 /**
- * fwd_learn_whole() - a request ended that ran.
+ * fwd_estimate_add_duration() - a request ended that ran.
  * @learned: of its model or service
  * @whole_ms: since it was sent
  */
 void
-fwd_learn_whole(struct fwd_learned *learned, double whole_ms)
+fwd_estimate_add_duration(struct fwd_estimate *learned, double whole_ms)
 {
-	learned->whole_ms +=
-	    learn_weight(++learned->ended) * (whole_ms - learned->whole_ms);
+	learned->duration_ms += learn_weight(++learned->n_duration) *
+	    (whole_ms - learned->duration_ms);
 }
--- a/src/fwd-heard.c
+++ b/src/fwd-feedback.c
@@ -9,13 +9,13 @@
 #include "fwd-exchange.h"
 
 /**
- * fwd_endpoint_rest() - prefer other endpoints for a while.
+ * fwd_endpoint_cool_down() - prefer other endpoints for a while.
  * @ex: the exchange, with its endpoint
  * @ms: how long; the endpoint did not ask for it
  * @reason: for the log
  */
 void
-fwd_endpoint_rest(struct fwd_exchange *ex, uint64_t ms, const char *reason)
+fwd_endpoint_cool_down(struct fwd_exchange *ex, uint64_t ms, const char *reason)
 {
 	struct endpoint *ep = ex->endpoint;
 
@@ -37,14 +37,14 @@
 
 /* The endpoint wants nothing from this daemon for a while. */
 static void
-heard_rest(struct fwd_exchange *ex, const struct said *said)
+heard_rest(struct fwd_exchange *ex, const struct feedback *said)
 {
 	struct endpoint *ep = ex->endpoint;
 	uint64_t ms =
 	    endpoint_backoff_normalize(said->number, ex->fwd->set.rest_most_ms);
 
 	endpoint_backoff_extend(&ep->backoff, ms, heard_now(ex));
-	fwd_stats_count(&ex->fwd->stats, COUNT_RESTS);
+	fwd_stats_count(&ex->fwd->stats, COUNT_BACKOFFS);
 	event_log(LOG_NOTICE, "endpoint_asks_rest",
 	    "endpoint=%s started_ms=%lld asked=\"%.40s\" read=%s ms=%llu "
 	    "left_ms=%llu inflight=%u id=%s",
@@ -58,7 +58,7 @@
 
 /* The endpoint ends what it has; for good within its incarnation. */
 static void
-heard_leaving(struct fwd_exchange *ex, const struct said *said)
+heard_leaving(struct fwd_exchange *ex, const struct feedback *said)
 {
 	struct endpoint *ep = ex->endpoint;
 
@@ -67,7 +67,7 @@
 	/* Its entry in the store may say so later, or not at all where the
 	 * store is away. */
 	ep->draining = true;
-	fwd_stats_count(&ex->fwd->stats, COUNT_LEAVING);
+	fwd_stats_count(&ex->fwd->stats, COUNT_DRAINING);
 	event_log(LOG_NOTICE, "endpoint_leaves",
 	    "endpoint=%s started_ms=%lld entry_age_ms=%llu inflight=%u id=%s",
 	    ep->report.id, (long long)ep->report.started_ms,
@@ -86,13 +86,13 @@
 	    "inflight=%u id=%s",
 	    ep->report.id, (long long)ep->report.started_ms, asked,
 	    ep->limit.per_s, ep->inflight, ex->id);
-	if (ex->fwd->limited != NULL)
-		ex->fwd->limited(ex->fwd->limited_arg, ep);
+	if (ex->fwd->on_limit != NULL)
+		ex->fwd->on_limit(ex->fwd->on_limit_arg, ep);
 }
 
 /* The endpoint takes so many requests a second from all daemons together. */
 static void
-heard_limit(struct fwd_exchange *ex, const struct said *said)
+heard_limit(struct fwd_exchange *ex, const struct feedback *said)
 {
 	struct endpoint_limit *limit = &ex->endpoint->limit;
 	double per_s = endpoint_limit_normalize(said->number, limit);
@@ -127,12 +127,12 @@
  * @unsaid: an answer came without it; NULL where that means nothing
  */
 static const struct heard_word {
-	void (*said)(struct fwd_exchange *, const struct said *);
+	void (*said)(struct fwd_exchange *, const struct feedback *);
 	void (*unsaid)(struct fwd_exchange *);
-} heard_words[SAID_WORDS] = {
-	[SAID_REST] = { heard_rest, NULL },
-	[SAID_LEAVING] = { heard_leaving, NULL },
-	[SAID_LIMIT] = { heard_limit, heard_no_limit },
+} heard_words[FEEDBACK_KINDS] = {
+	[FEEDBACK_BACKOFF] = { heard_rest, NULL },
+	[FEEDBACK_DRAINING] = { heard_leaving, NULL },
+	[FEEDBACK_LIMIT] = { heard_limit, heard_no_limit },
 };
 
 /* The endpoint took a request, which may have been to find that out. */
@@ -154,19 +154,19 @@
 static void
 heard_refusal(struct fwd_exchange *ex)
 {
-	fwd_endpoint_rest(ex, endpoint_backoff_refused(&ex->endpoint->backoff),
-	    "refused");
+	fwd_endpoint_cool_down(ex,
+	    endpoint_backoff_refused(&ex->endpoint->backoff), "refused");
 }
 
 /**
- * fwd_heard() - take in what an endpoint says of itself.
+ * fwd_feedback_apply() - take in what an endpoint says of itself.
  * @ex: the exchange that it answers
  * @answer: the head of its answer; another incarnation's says nothing of it
  */
 void
-fwd_heard(struct fwd_exchange *ex, const struct wire_answer *answer)
+fwd_feedback_apply(struct fwd_exchange *ex, const struct wire_response *answer)
 {
-	const struct said *rest = &answer->said[SAID_REST];
+	const struct feedback *rest = &answer->feedback[FEEDBACK_BACKOFF];
 	const struct endpoint *ep = ex->endpoint;
 
 	if (answer->not_run)
@@ -182,15 +182,15 @@
 			ex->sent_ms));
 	if (answer->wrong_endpoint)
 		return;
-	for (enum said_word word = 0; word < SAID_WORDS; word++) {
-		if (answer->said[word].text != NULL)
-			heard_words[word].said(ex, &answer->said[word]);
+	for (enum feedback_kind word = 0; word < FEEDBACK_KINDS; word++) {
+		if (answer->feedback[word].text != NULL)
+			heard_words[word].said(ex, &answer->feedback[word]);
 		else if (heard_words[word].unsaid != NULL)
 			heard_words[word].unsaid(ex);
 	}
 	if (!answer->not_run)
 		heard_taken(ex);
-	else if (answer->at_fault == NULL &&
+	else if (answer->lost_member == NULL &&
 	    !endpoint_backoff_active(&ep->backoff,
 		clock_loop_ms(ex->fwd->loop)))
 		heard_refusal(ex);
@@ -206,7 +206,7 @@
 	if (!limit->active)
 		return;
 	fwd_stats_count(&ex->fwd->stats, COUNT_SENT_LIMITED);
-	if (ex->turn)
+	if (ex->has_permit)
 		return;
 	fwd_stats_count(&ex->fwd->stats, COUNT_SENT_OVER_SHARE);
 	event_log(LOG_WARNING, "sent_over_share",
@@ -217,11 +217,11 @@
 }
 
 /**
- * fwd_heard_send() - a request goes to an endpoint.
+ * fwd_feedback_check_send() - a request goes to an endpoint.
  * @ex: the exchange, with its endpoint
  */
 void
-fwd_heard_send(struct fwd_exchange *ex)
+fwd_feedback_check_send(struct fwd_exchange *ex)
 {
 	const struct endpoint *ep = ex->endpoint;
 	uint64_t now = clock_loop_ms(ex->fwd->loop);
@@ -229,7 +229,7 @@
 	heard_send_limited(ex);
 	if (!endpoint_backoff_active(&ep->backoff, now))
 		return;
-	fwd_stats_count(&ex->fwd->stats, COUNT_SENT_IN_REST);
+	fwd_stats_count(&ex->fwd->stats, COUNT_SENT_IN_BACKOFF);
 	event_log(LOG_WARNING, "sent_in_rest",
 	    "id=%s endpoint=%s left_ms=%llu sends=%u usable=%u known=%u "
 	    "expected_ms=%.0f",
--- a/src/fwd-work.c
+++ b/src/fwd-fingerprint.c
@@ -2,7 +2,7 @@
 #include <glib.h>
 #include <string.h>
 
-#include "fwd-work.h"
+#include "fwd-fingerprint.h"
 
 /* A word with its end, so that no two lists of words run into one. */
 static void
@@ -14,14 +14,14 @@
 }
 
 /**
- * fwd_work_fingerprint() - the same for the same work, at every daemon.
+ * fwd_fingerprint_compute() - the same for the same work, at every daemon.
  * @key: the work
  *
  * A cryptographic hash, so that no caller can make a request that is taken for
  * another's. Never 0.
  */
 uint64_t
-fwd_work_fingerprint(const struct fwd_work_key *key)
+fwd_fingerprint_compute(const struct fwd_fingerprint_input *key)
 {
 	g_autoptr(GChecksum) sum = g_checksum_new(G_CHECKSUM_SHA256);
 	guint8 digest[32];
--- a/src/fwd-work.h
+++ b/src/fwd-fingerprint.h
@@ -1,15 +1,15 @@
 /* What a request asks for, whatever its attempt is called. Pure. */
-#ifndef BL_FWD_WORK_H
-#define BL_FWD_WORK_H
+#ifndef BL_FWD_FINGERPRINT_H
+#define BL_FWD_FINGERPRINT_H
 
 #include <stddef.h>
 #include <stdint.h>
 
 /* The part of a fingerprint that log lines have. */
-#define WORK_SHORT(work) ((uint32_t)((work) >> 32))
+#define FINGERPRINT_SHORT(work) ((uint32_t)((work) >> 32))
 
 /**
- * struct fwd_work_key - what makes two requests the same work.
+ * struct fwd_fingerprint_input - what makes two requests the same work.
  * @method: of the request
  * @host: that it is addressed to
  * @target: path and query
@@ -17,7 +17,7 @@
  * @body: of the request
  * @length: of @body, in bytes
  */
-struct fwd_work_key {
+struct fwd_fingerprint_input {
 	const char *method;
 	const char *host;
 	const char *target;
@@ -26,6 +26,6 @@
 	size_t length;
 };
 
-uint64_t fwd_work_fingerprint(const struct fwd_work_key *);
+uint64_t fwd_fingerprint_compute(const struct fwd_fingerprint_input *);
 
 #endif
--- a/src/fwd-poison.c
+++ b/src/fwd-poison.c
@@ -44,7 +44,7 @@
 	event_log(LOG_NOTICE, event,
 	    "id=%s work=%08x ends=%u doubted=%u explained=%u left_ms=%lld "
 	    "blamed_for=%s",
-	    id, WORK_SHORT(w->fingerprint), verdict->crashes,
+	    id, FINGERPRINT_SHORT(w->fingerprint), verdict->crashes,
 	    verdict->unconfirmed, verdict->explained,
 	    verdict->until_ms != 0 ? (long long)(verdict->until_ms - now) : -1,
 	    blamed);
@@ -87,47 +87,48 @@
 }
 
 /**
- * fwd_poison_lost() - the endpoint may have ended while it had a request.
+ * fwd_poison_observe_crash() - the endpoint may have ended while it had a
+ * request.
  * @ex: the exchange, with its endpoint
  * @silent: it fell silent; otherwise the connection broke
  */
 void
-fwd_poison_lost(struct fwd_exchange *ex, bool silent)
+fwd_poison_observe_crash(struct fwd_exchange *ex, bool silent)
 {
 	struct fwd *fwd = ex->fwd;
 	const struct endpoint *ep = ex->endpoint;
 	uint64_t now = clock_loop_ms(fwd->loop);
 	const struct poison_crash end = poison_crash_of(ep, silent, now);
-	bool news =
-	    poison_observe_crash(&fwd->registry->poison, ex->work, &end, now);
+	bool news = poison_observe_crash(&fwd->registry->poison,
+	    ex->fingerprint, &end, now);
 
 	fwd_stats_count(&fwd->stats, COUNT_LOST);
 	event_log(LOG_NOTICE, "work_lost",
 	    "id=%s work=%08x endpoint=%s started_ms=%lld sign=%s "
 	    "suspected=%d sent_ms_ago=%llu last_event=%lld inflight=%u "
 	    "peer_inflight=%u",
-	    ex->id, WORK_SHORT(ex->work), ep->report.id,
+	    ex->id, FINGERPRINT_SHORT(ex->fingerprint), ep->report.id,
 	    (long long)ep->report.started_ms, silent ? "silent" : "broken",
 	    news, (unsigned long long)(now - ex->sent_ms),
-	    (long long)ex->events.last, ep->inflight, ep->peer_inflight);
+	    (long long)ex->events.last_id, ep->inflight, ep->peer_inflight);
 }
 
 /**
- * fwd_poison_answered() - the endpoint's answer to a request is whole.
+ * fwd_poison_note_success() - the endpoint's answer to a request is whole.
  * @ex: the exchange
  *
  * The rest of an answer says nothing of what its begin does to endpoints.
  */
 void
-fwd_poison_answered(struct fwd_exchange *ex)
+fwd_poison_note_success(struct fwd_exchange *ex)
 {
 	if (ex->resumed)
 		return;
-	if (!poison_note_success(&ex->fwd->registry->poison, ex->work,
+	if (!poison_note_success(&ex->fwd->registry->poison, ex->fingerprint,
 		clock_loop_ms(ex->fwd->loop)))
 		return;
 	event_log(LOG_INFO, "work_cleared", "id=%s work=%08x endpoint=%s",
-	    ex->id, WORK_SHORT(ex->work),
+	    ex->id, FINGERPRINT_SHORT(ex->fingerprint),
 	    ex->n_tried > 0 ? ex->tried[ex->n_tried - 1].endpoint->report.id :
 			      "-");
 }
@@ -140,7 +141,7 @@
 
 	if (list == NULL || list[0] == '\0')
 		return (false);
-	g_snprintf(name, sizeof name, "%08x", WORK_SHORT(work));
+	g_snprintf(name, sizeof name, "%08x", FINGERPRINT_SHORT(work));
 	return (strstr(list, name) != NULL);
 }
 
@@ -163,17 +164,17 @@
 }
 
 /**
- * fwd_poison_over() - an exchange ends; another one may probe its work.
+ * fwd_poison_end_probe() - an exchange ends; another one may probe its work.
  * @ex: the exchange
  */
 void
-fwd_poison_over(struct fwd_exchange *ex)
+fwd_poison_end_probe(struct fwd_exchange *ex)
 {
 	struct poison_request *w;
 
 	if (!ex->poison_probe)
 		return;
-	w = poison_find(&ex->fwd->registry->poison, ex->work);
+	w = poison_find(&ex->fwd->registry->poison, ex->fingerprint);
 	if (w != NULL)
 		w->probing = false;
 }
@@ -184,10 +185,10 @@
 {
 	struct fwd *fwd = ex->fwd;
 	struct poison_request *w =
-	    poison_find(&fwd->registry->poison, ex->work);
+	    poison_find(&fwd->registry->poison, ex->fingerprint);
 	struct poison_verdict verdict;
 
-	if (w == NULL || work_listed(fwd->set.released_works, ex->work))
+	if (w == NULL || work_listed(fwd->set.released_works, ex->fingerprint))
 		return (false);
 	poison_look(fwd, w, &verdict, ex->id);
 	if (verdict.until_ms == 0)
@@ -213,7 +214,7 @@
 	uint64_t until = now + RETRY_OPERATOR_MS;
 	const char *reason = "work_quarantined";
 
-	if (work_listed(fwd->set.refused_works, ex->work))
+	if (work_listed(fwd->set.refused_works, ex->fingerprint))
 		reason = "work_refused_by_operator";
 	else if (!work_quarantined(ex, &until))
 		return (false);
--- a/src/fwd-admit.c
+++ b/src/fwd-resolve.c
@@ -102,14 +102,15 @@
 	life = MIN(life, DEADLINE_MOST_MS);
 	ex->deadline_ms = ex->arrived_ms + (uint64_t)life;
 	/* A client that has waited longer than the objective tries again. */
-	ex->returned = life + ex->route->objective_ms < ex->route->timeout_ms;
+	ex->resubmitted =
+	    life + ex->route->objective_ms < ex->route->timeout_ms;
 }
 
 /* The request's first line and the headers that go on unchanged. */
 static void
 admit_request_text(struct fwd_exchange *ex, const char *method)
 {
-	const struct net_head *head = &ex->caller->head;
+	const struct net_head *head = &ex->conn->head;
 
 	g_string_append_printf(ex->request, "%s %s HTTP/1.1\r\n", method,
 	    net_head_target(head));
@@ -117,7 +118,7 @@
 		const char *name = net_head_name(head, i);
 
 		if (net_head_hop_by_hop(head, i) ||
-		    !ex->fwd->wire->passes(name))
+		    !ex->fwd->wire->passes_header(name))
 			continue;
 		g_string_append_printf(ex->request, "%s: %s\r\n", name,
 		    net_head_value(head, i));
@@ -135,8 +136,8 @@
 static uint64_t
 admit_work(const struct fwd_exchange *ex, const char *method)
 {
-	const struct net_head *head = &ex->caller->head;
-	const struct fwd_work_key key = {
+	const struct net_head *head = &ex->conn->head;
+	const struct fwd_fingerprint_input key = {
 		.method = method,
 		.host = net_head_find(head, "host"),
 		.target = net_head_target(head),
@@ -145,11 +146,11 @@
 		.length = ex->body->len,
 	};
 
-	return (fwd_work_fingerprint(&key));
+	return (fwd_fingerprint_compute(&key));
 }
 
 /**
- * fwd_admit() - decide whether and where a request may go.
+ * fwd_resolve() - decide whether and where a request may go.
  * @ex: the exchange, with its caller and id
  * @req: the decoded head
  * @method: its method
@@ -157,10 +158,10 @@
  * Return: false where the request was answered here.
  */
 bool
-fwd_admit(struct fwd_exchange *ex, const struct wire_request *req,
+fwd_resolve(struct fwd_exchange *ex, const struct wire_request *req,
     const char *method)
 {
-	const struct net_head *head = &ex->caller->head;
+	const struct net_head *head = &ex->conn->head;
 	const char *host = net_head_find(head, "host");
 	g_autofree char *path = target_path(net_head_target(head));
 	uint64_t age = registry_config_age(ex->fwd->registry, ex->arrived_ms);
@@ -177,7 +178,7 @@
 	admit_times(ex, req);
 	if (!admit_customer(ex, req->key, age) || !admit_service(ex, req))
 		return (false);
-	ex->work = admit_work(ex, method);
+	ex->fingerprint = admit_work(ex, method);
 	admit_request_text(ex, method);
 	fwd_events_init(&ex->events, req->last_event);
 	return (true);
--- a/src/fwd-answer.c
+++ b/src/fwd-response.c
@@ -57,9 +57,9 @@
 answer_head(void *owner, unsigned status, const struct net_head *head)
 {
 	struct fwd_exchange *ex = owner;
-	struct wire_answer answer;
+	struct wire_response answer;
 
-	ex->fwd->wire->read_answer(status, head, &answer);
+	ex->fwd->wire->read_response(status, head, &answer);
 	if (answer.id != NULL && strcmp(answer.id, ex->id) != 0) {
 		fwd_stats_count(&ex->fwd->stats, COUNT_STRAY_ANSWERS);
 		event_log(LOG_NOTICE, "stray_answer",
@@ -72,15 +72,15 @@
 	if (!answer.wrong_endpoint)
 		ex->endpoint->heard_ms = ex->heard_ms;
 	ex->status = status;
-	ex->proof = answer.proof;
+	ex->has_signature = answer.has_signature;
 	ex->not_run = answer.not_run;
-	fwd_heard(ex, &answer);
+	fwd_feedback_apply(ex, &answer);
 	if (answer.wrong_endpoint)
 		endpoint_mark_gone(ex->endpoint);
-	if (answer.not_run && answer.at_fault != NULL)
-		fwd_endpoint_rest(ex, REST_BROKEN_MS, "member_lost");
+	if (answer.not_run && answer.lost_member != NULL)
+		fwd_endpoint_cool_down(ex, REST_BROKEN_MS, "member_lost");
 	ex->streaming = ex->route->retry == RETRY_STREAM &&
-	    status_is_success(status) && ex->proof;
+	    status_is_success(status) && ex->has_signature;
 	answer_keep_headers(ex, head);
 	return (NET_TAKE);
 }
@@ -89,17 +89,17 @@
 static void
 answer_first_event(struct fwd_exchange *ex)
 {
-	struct fwd_learned *learned;
+	struct fwd_estimate *learned;
 	uint64_t now = clock_loop_ms(ex->fwd->loop);
 
-	if (!ex->reading)
+	if (!ex->in_backlog)
 		return;
-	ex->reading = false;
-	fwd_backlog_read(&ex->endpoint->backlog, ex->mark, now);
+	ex->in_backlog = false;
+	fwd_backlog_confirm(&ex->endpoint->backlog, ex->backlog_mark, now);
 	ex->endpoint->pending = MAX(ex->endpoint->pending - ex->prompt, 0);
-	learned = fwd_learned_of(ex->fwd, ex->model->name);
-	fwd_learn_first(learned,
-	    (double)(now - ex->sent_ms) - ex->expected_ms + ex->extra_ms);
+	learned = fwd_estimate_get(ex->fwd, ex->model->name);
+	fwd_estimate_add_first(learned,
+	    (double)(now - ex->sent_ms) - ex->expected_ms + ex->overhead_ms);
 }
 
 /* Learns from the time since the last event how slow the endpoint is. */
@@ -109,7 +109,7 @@
 	struct endpoint *ep = ex->endpoint;
 	double expected, ratio;
 
-	if (ex->model == NULL || ex->reading || ex->heard_ms <= ex->sent_ms)
+	if (ex->model == NULL || ex->in_backlog || ex->heard_ms <= ex->sent_ms)
 		return;
 	expected = fwd_expect_gap(ep, ex->engine, ex->model) / ep->slowness *
 	    ex->engine->stride;
@@ -124,14 +124,14 @@
 static void
 answer_pass_event(struct fwd_exchange *ex, size_t length)
 {
-	struct fwd_caller *caller = ex->caller;
+	struct fwd_conn *caller = ex->conn;
 
 	if (ex->state == EXCHANGE_SENT) {
 		ex->first_us = clock_now_us();
-		ex->state = EXCHANGE_ANSWERING;
-		fwd_caller_begin(caller, ex->status, ex->headers->str);
+		ex->state = EXCHANGE_RESPONDING;
+		fwd_conn_begin(caller, ex->status, ex->headers->str);
 	}
-	fwd_caller_piece(caller, ex->events.held->str, length);
+	fwd_conn_write(caller, ex->events.buf->str, length);
 }
 
 /* Gives all whole events on; false where the stream was ended. */
@@ -167,8 +167,8 @@
 		fwd_exchange_move(ex, true, "event_too_large");
 		return;
 	}
-	if (answer_pass_events(ex) && ex->caller != NULL)
-		fwd_caller_flush(ex->caller);
+	if (answer_pass_events(ex) && ex->conn != NULL)
+		fwd_conn_flush(ex->conn);
 }
 
 static void
@@ -176,7 +176,7 @@
 {
 	struct fwd_exchange *ex = owner;
 
-	if (ex->caller == NULL)
+	if (ex->conn == NULL)
 		return;
 	if (ex->streaming) {
 		answer_stream(ex, at, length);
@@ -186,27 +186,30 @@
 	/* What is refused may come from another incarnation. */
 	if (!ex->not_run)
 		ex->endpoint->heard_ms = ex->heard_ms;
-	g_byte_array_append(ex->answer, (const guint8 *)at, (guint)length);
-	if (!ex->passing &&
-	    (ex->answer->len <= HELD_ANSWER_BYTES || ex->not_run || !ex->proof))
+	g_byte_array_append(ex->response_body, (const guint8 *)at,
+	    (guint)length);
+	if (!ex->passthrough &&
+	    (ex->response_body->len <= HELD_ANSWER_BYTES || ex->not_run ||
+		!ex->has_signature))
 		return;
-	if (!ex->passing) {
-		ex->passing = true;
-		ex->state = EXCHANGE_ANSWERING;
+	if (!ex->passthrough) {
+		ex->passthrough = true;
+		ex->state = EXCHANGE_RESPONDING;
 		ex->first_us = clock_now_us();
-		fwd_caller_begin(ex->caller, ex->status, ex->headers->str);
+		fwd_conn_begin(ex->conn, ex->status, ex->headers->str);
 	}
-	fwd_caller_piece(ex->caller, ex->answer->data, ex->answer->len);
-	g_byte_array_set_size(ex->answer, 0);
-	fwd_caller_flush(ex->caller);
+	fwd_conn_write(ex->conn, ex->response_body->data,
+	    ex->response_body->len);
+	g_byte_array_set_size(ex->response_body, 0);
+	fwd_conn_flush(ex->conn);
 }
 
 /* A whole stream ends with a whole event. */
 static void
 answer_stream_done(struct fwd_exchange *ex)
 {
-	if (ex->events.held->len > 0 || ex->first_us == 0) {
-		fwd_exchange_again(ex, "cut_in_event");
+	if (ex->events.buf->len > 0 || ex->first_us == 0) {
+		fwd_exchange_retry(ex, "cut_in_event");
 		return;
 	}
 	fwd_exchange_finish(ex);
@@ -216,13 +219,13 @@
 static bool
 answer_worth_another(struct fwd_exchange *ex)
 {
-	if (ex->status < HTTP_STATUS_INTERNAL_SERVER_ERROR && ex->proof)
+	if (ex->status < HTTP_STATUS_INTERNAL_SERVER_ERROR && ex->has_signature)
 		return (false);
 	if (!status_is_success(ex->status) &&
 	    ex->status < HTTP_STATUS_INTERNAL_SERVER_ERROR)
 		return (false);
 	return (
-	    fwd_exchange_repeatable(ex) && ex->runs < ex->route->max_attempts);
+	    fwd_exchange_retryable(ex) && ex->runs < ex->route->max_attempts);
 }
 
 static void
@@ -230,37 +233,37 @@
 {
 	struct fwd_exchange *ex = owner;
 	struct endpoint *ep = ex->endpoint;
-	bool bad = status_is_success(ex->status) && !ex->proof;
+	bool bad = status_is_success(ex->status) && !ex->has_signature;
 
-	ex->client = NULL;
-	if (ex->proof && !ex->not_run)
-		fwd_poison_answered(ex);
-	if (ex->caller == NULL) {
+	ex->upstream = NULL;
+	if (ex->has_signature && !ex->not_run)
+		fwd_poison_note_success(ex);
+	if (ex->conn == NULL) {
 		fwd_exchange_free(ex);
 		return;
 	}
 	if (ex->not_run) {
 		ex->runs--;
-		ex->arrived = true;
+		ex->reached = true;
 		fwd_stats_count(&ex->fwd->stats, COUNT_NOT_RUN);
 		fwd_exchange_release(ex);
-		fwd_exchange_again(ex, "endpoint_refused");
+		fwd_exchange_retry(ex, "endpoint_refused");
 		return;
 	}
-	ex->arrived = true;
-	fwd_learn_whole(fwd_exchange_learned(ex),
+	ex->reached = true;
+	fwd_estimate_add_duration(fwd_exchange_estimate(ex),
 	    (double)(clock_loop_ms(ex->fwd->loop) - ex->sent_ms));
 	endpoint_judge(ep,
 	    bad || ex->status >= HTTP_STATUS_INTERNAL_SERVER_ERROR);
 	fwd_exchange_release(ex);
 	if (ex->streaming)
 		answer_stream_done(ex);
-	else if (ex->passing)
+	else if (ex->passthrough)
 		fwd_exchange_finish(ex);
 	else if (ex->first_us > 0)
-		fwd_exchange_again(ex, "not_resumed");
+		fwd_exchange_retry(ex, "not_resumed");
 	else if (bad || answer_worth_another(ex))
-		fwd_exchange_again(ex, bad ? "no_proof" : "endpoint_error");
+		fwd_exchange_retry(ex, bad ? "no_proof" : "endpoint_error");
 	else
 		fwd_exchange_deliver(ex);
 }
@@ -271,28 +274,28 @@
 	struct fwd_exchange *ex = owner;
 	struct endpoint *ep = ex->endpoint;
 
-	ex->client = NULL;
+	ex->upstream = NULL;
 	if (why == NET_BROKEN)
-		fwd_poison_lost(ex, false);
-	if (ex->caller == NULL) {
+		fwd_poison_observe_crash(ex, false);
+	if (ex->conn == NULL) {
 		fwd_exchange_free(ex);
 		return;
 	}
 	endpoint_judge(ep, true);
-	fwd_exchange_discount(ex, why != NET_UNREACHED);
+	fwd_exchange_end_send(ex, why != NET_UNREACHED);
 	if (why == NET_UNREACHED) {
-		fwd_endpoint_rest(ex, REST_UNREACHED_MS, "unreached");
+		fwd_endpoint_cool_down(ex, REST_UNREACHED_MS, "unreached");
 	} else if (ep->failures >= FAILURES_TO_REST) {
-		fwd_endpoint_rest(ex, REST_MS, "failures");
+		fwd_endpoint_cool_down(ex, REST_MS, "failures");
 	}
 	fwd_exchange_release(ex);
-	fwd_exchange_again(ex,
+	fwd_exchange_retry(ex,
 	    why == NET_UNREACHED  ? "unreached" :
 		why == NET_BROKEN ? "connection_lost" :
 				    "no_answer_in_protocol");
 }
 
-const struct net_client_ops fwd_answer_ops = {
+const struct net_client_ops fwd_response_ops = {
 	.head = answer_head,
 	.body = answer_body,
 	.done = answer_done,
--- a/src/fwd-again.c
+++ b/src/fwd-retry.c
@@ -13,11 +13,11 @@
 #define RETRY_REFUSED_MS 150
 
 /**
- * fwd_exchange_repeatable() - whether another endpoint may run it too.
+ * fwd_exchange_retryable() - whether another endpoint may run it too.
  * @ex: the exchange
  */
 bool
-fwd_exchange_repeatable(const struct fwd_exchange *ex)
+fwd_exchange_retryable(const struct fwd_exchange *ex)
 {
 	if (ex->route->retry == RETRY_STREAM)
 		return (ex->route->resumable);
@@ -34,7 +34,7 @@
 bool
 fwd_exchange_movable(const struct fwd_exchange *ex)
 {
-	return (ex->caller != NULL && fwd_exchange_repeatable(ex) &&
+	return (ex->conn != NULL && fwd_exchange_retryable(ex) &&
 	    ex->runs < MAX(ex->route->max_attempts, 1) &&
 	    ex->sends < SENDS_MAX);
 }
@@ -46,9 +46,9 @@
 	struct fwd *fwd = ex->fwd;
 	uint64_t now = clock_loop_ms(fwd->loop);
 
-	if (ex->caller == NULL)
+	if (ex->conn == NULL)
 		return ("caller_left");
-	if (ex->runs > 0 && !fwd_exchange_repeatable(ex))
+	if (ex->runs > 0 && !fwd_exchange_retryable(ex))
 		return ("may_have_run");
 	if (ex->runs >= MAX(ex->route->max_attempts, 1))
 		return ("attempts");
@@ -58,18 +58,18 @@
 		return ("deadline");
 	if (ex->runs > 0 &&
 	    !poison_may_retry(&fwd->registry->poison, &fwd->registry->fleet,
-		ex->work, now))
+		ex->fingerprint, now))
 		return ("work_suspected");
 	return (NULL);
 }
 
 /**
- * fwd_exchange_again() - send a request once more, or end it.
+ * fwd_exchange_retry() - send a request once more, or end it.
  * @ex: the exchange; its endpoint was released
  * @reason: why the last send was not enough
  */
 void
-fwd_exchange_again(struct fwd_exchange *ex, const char *reason)
+fwd_exchange_retry(struct fwd_exchange *ex, const char *reason)
 {
 	struct fwd *fwd = ex->fwd;
 	const char *obstacle = again_obstacle(ex);
@@ -77,24 +77,25 @@
 	if (ex->n_tried > 0)
 		ex->tried[ex->n_tried - 1].failed_ms = clock_loop_ms(fwd->loop);
 	/* Only what may have arrived counts as a repeat. */
-	if (obstacle == NULL && ex->arrived &&
-	    !fwd_budget_take(fwd_budget_of(fwd, ex->service), &fwd->set.retry,
+	if (obstacle == NULL && ex->reached &&
+	    !fwd_budget_take(fwd_budget_get(fwd, ex->service), &fwd->set.retry,
 		fwd->daemons, clock_loop_ms(fwd->loop)))
 		obstacle = "retry_budget";
 	event_log(LOG_INFO, "request_again",
 	    "id=%s reason=%s obstacle=%s sends=%u runs=%u "
 	    "last_event=%lld work=%08x",
 	    ex->id, reason, obstacle != NULL ? obstacle : "none", ex->sends,
-	    ex->runs, (long long)ex->events.last, WORK_SHORT(ex->work));
+	    ex->runs, (long long)ex->events.last_id,
+	    FINGERPRINT_SHORT(ex->fingerprint));
 	if (obstacle != NULL) {
 		fwd_exchange_give_up(ex, HTTP_STATUS_BAD_GATEWAY, reason,
 		    RETRY_REFUSED_MS);
 		return;
 	}
-	fwd_stats_count(&fwd->stats, COUNT_REPEATED);
+	fwd_stats_count(&fwd->stats, COUNT_RETRIED);
 	if (ex->first_us > 0)
 		fwd_stats_count(&fwd->stats, COUNT_RESUMED);
-	g_byte_array_set_size(ex->answer, 0);
+	g_byte_array_set_size(ex->response_body, 0);
 	fwd_events_restart(&ex->events);
-	fwd_exchange_try(ex);
+	fwd_exchange_dispatch(ex);
 }
--- a/src/fwd-silence.c
+++ b/src/fwd-silence.c
@@ -26,7 +26,7 @@
 		return (
 		    MAX(PLAIN_SILENCE_FACTOR * (double)ex->route->objective_ms,
 			PLAIN_SILENCE_LEAST_MS));
-	if (ex->reading)
+	if (ex->in_backlog)
 		return (MAX(SILENCE_FIRST_FACTOR * ex->expected_ms,
 		    SILENCE_FIRST_LEAST_MS));
 	gap = fwd_expect_gap(ex->endpoint, ex->engine, ex->model) *
@@ -42,7 +42,7 @@
 
 	/* A replica that answers others is busy, not lost. */
 	heard = MAX(heard, ex->endpoint->peer_heard_ms);
-	if (ex->paused || now < ex->fwd->blind_until_ms)
+	if (ex->paused || now < ex->fwd->grace_until_ms)
 		return (false);
 	/* A plain endpoint's other answers say nothing of this one. */
 	if (ex->model == NULL)
@@ -68,26 +68,27 @@
 		    ep->inflight, ep->pending, ep->slowness, ex->id);
 		/* Its other connections may have fallen silent alike. */
 		net_pool_clear(&ep->pool);
-		ep->cooldown_until_ms = now + REST_SILENT_MS;
+		ep->cooldown_until_ms = now + COOLDOWN_SILENT_MS;
 		ep->warned_ms = now;
-		if (ex->fwd->suspect != NULL)
-			ex->fwd->suspect(ex->fwd->suspect_arg, ep);
+		if (ex->fwd->on_silent != NULL)
+			ex->fwd->on_silent(ex->fwd->on_silent_arg, ep);
 	}
-	if (ex->client->connected && !ex->lost) {
-		ex->lost = true;
-		fwd_poison_lost(ex, true);
+	if (ex->upstream->connected && !ex->crash_suspected) {
+		ex->crash_suspected = true;
+		fwd_poison_observe_crash(ex, true);
 	}
 	if (fwd_exchange_movable(ex))
-		fwd_exchange_move(ex, ex->client->connected, "endpoint_silent");
+		fwd_exchange_move(ex, ex->upstream->connected,
+		    "endpoint_silent");
 }
 
 /**
- * fwd_silence_look() - judge the silence of the endpoint that has a request.
+ * fwd_silence_check() - judge the silence of the endpoint that has a request.
  * @ex: the exchange; it is connected
  * @now_ms: loop time
  */
 void
-fwd_silence_look(struct fwd_exchange *ex, uint64_t now_ms)
+fwd_silence_check(struct fwd_exchange *ex, uint64_t now_ms)
 {
 	if (exchange_is_silent(ex, now_ms))
 		exchange_silent(ex, now_ms);
--- a/src/fwd-stats.c
+++ b/src/fwd-stats.c
@@ -7,16 +7,16 @@
 	[COUNT_REFUSED] = "refused",
 	[COUNT_DENIED] = "denied",
 	[COUNT_FAILED] = "failed",
-	[COUNT_CALLER_LEFT] = "caller_left",
+	[COUNT_CLIENT_LEFT] = "caller_left",
 	[COUNT_SENT] = "sent",
-	[COUNT_REPEATED] = "repeated",
+	[COUNT_RETRIED] = "repeated",
 	[COUNT_RESUMED] = "resumed",
 	[COUNT_BROKEN_OFF] = "broken_off",
 	[COUNT_NOT_RUN] = "not_run",
-	[COUNT_RESTS] = "rests_asked",
-	[COUNT_LEAVING] = "endpoints_leaving",
+	[COUNT_BACKOFFS] = "rests_asked",
+	[COUNT_DRAINING] = "endpoints_leaving",
 	[COUNT_HELD_BACK] = "held_back",
-	[COUNT_SENT_IN_REST] = "sent_in_rest",
+	[COUNT_SENT_IN_BACKOFF] = "sent_in_rest",
 	[COUNT_LIMITS] = "limits_named",
 	[COUNT_SENT_LIMITED] = "sent_to_limited",
 	[COUNT_LIMIT_HELD_BACK] = "limit_held_back",
@@ -71,20 +71,20 @@
 }
 
 /* The histograms of a name; NULL where there are too many names. */
-static struct fwd_label *
+static struct fwd_latency *
 stats_label(GHashTable *table, const char *name)
 {
-	struct fwd_label *label = g_hash_table_lookup(table, name);
+	struct fwd_latency *label = g_hash_table_lookup(table, name);
 
-	if (label != NULL || g_hash_table_size(table) >= FWD_STATS_LABELS)
+	if (label != NULL || g_hash_table_size(table) >= FWD_STATS_LABELS_MAX)
 		return (label);
-	label = g_new0(struct fwd_label, 1);
+	label = g_new0(struct fwd_latency, 1);
 	g_hash_table_insert(table, g_strdup(name), label);
 	return (label);
 }
 
 static void
-label_add(struct fwd_label *label, uint64_t first_us, uint64_t whole_us)
+label_add(struct fwd_latency *label, uint64_t first_us, uint64_t whole_us)
 {
 	if (label == NULL)
 		return;
@@ -93,7 +93,7 @@
 }
 
 /**
- * fwd_stats_answer() - count one answer's times.
+ * fwd_stats_add_latency() - count one answer's times.
  * @stats: the counters
  * @route: name of its route
  * @customer: who asked, or NULL
@@ -101,7 +101,7 @@
  * @whole_us: to the end
  */
 void
-fwd_stats_answer(struct fwd_stats *stats, const char *route,
+fwd_stats_add_latency(struct fwd_stats *stats, const char *route,
     const char *customer, uint64_t first_us, uint64_t whole_us)
 {
 	label_add(stats_label(stats->routes, route), first_us, whole_us);
@@ -132,7 +132,7 @@
 
 	g_hash_table_iter_init(&iter, table);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
-		struct fwd_label *label = value;
+		struct fwd_latency *label = value;
 
 		print_histogram(out, "first_byte", kind, name,
 		    &label->first_us);
--- a/src/fwd-stats.h
+++ b/src/fwd-stats.h
@@ -8,7 +8,7 @@
 
 /* Classes and customers that get histograms of their own; a caller cannot
  * make more, since both come from the configuration. */
-#define FWD_STATS_LABELS 64
+#define FWD_STATS_LABELS_MAX 64
 
 /**
  * enum fwd_count - what is counted.
@@ -19,16 +19,16 @@
 	COUNT_REFUSED,
 	COUNT_DENIED,
 	COUNT_FAILED,
-	COUNT_CALLER_LEFT,
+	COUNT_CLIENT_LEFT,
 	COUNT_SENT,
-	COUNT_REPEATED,
+	COUNT_RETRIED,
 	COUNT_RESUMED,
 	COUNT_BROKEN_OFF,
 	COUNT_NOT_RUN,
-	COUNT_RESTS,
-	COUNT_LEAVING,
+	COUNT_BACKOFFS,
+	COUNT_DRAINING,
 	COUNT_HELD_BACK,
-	COUNT_SENT_IN_REST,
+	COUNT_SENT_IN_BACKOFF,
 	COUNT_LIMITS,
 	COUNT_SENT_LIMITED,
 	COUNT_LIMIT_HELD_BACK,
@@ -44,11 +44,11 @@
 };
 
 /**
- * struct fwd_label - the histograms of one route or customer.
+ * struct fwd_latency - the histograms of one route or customer.
  * @first_us: from the request's arrival to the first byte of its answer
  * @whole_us: to its end
  */
-struct fwd_label {
+struct fwd_latency {
 	struct histogram first_us;
 	struct histogram whole_us;
 };
@@ -56,8 +56,8 @@
 /**
  * struct fwd_stats - all counters and histograms.
  * @counts: by enum fwd_count
- * @routes: route name to struct fwd_label
- * @customers: customer name to struct fwd_label
+ * @routes: route name to struct fwd_latency
+ * @customers: customer name to struct fwd_latency
  */
 struct fwd_stats {
 	uint64_t counts[COUNT_KINDS];
@@ -68,8 +68,8 @@
 void fwd_stats_init(struct fwd_stats *);
 void fwd_stats_clear(struct fwd_stats *);
 void fwd_stats_count(struct fwd_stats *, enum fwd_count);
-void fwd_stats_answer(struct fwd_stats *, const char *, const char *, uint64_t,
-    uint64_t);
+void fwd_stats_add_latency(struct fwd_stats *, const char *, const char *,
+    uint64_t, uint64_t);
 void fwd_stats_print(const struct fwd_stats *, GString *);
 
 #endif
--- a/src/fwd-wire.h
+++ b/src/fwd-wire.h
@@ -13,7 +13,7 @@
  * @model: the model asked for, or NULL
  * @deadline_ms: how long the client waits; -1 when not said
  * @prompt_tokens: size of the prompt; 0 when not said
- * @answer_tokens: most tokens of the answer; 0 when not said
+ * @response_tokens: most tokens of the answer; 0 when not said
  * @last_event: the client has the events up to this one; -1 for none
  */
 struct wire_request {
@@ -22,7 +22,7 @@
 	const char *model;
 	int64_t deadline_ms;
 	double prompt_tokens;
-	double answer_tokens;
+	double response_tokens;
 	int64_t last_event;
 };
 
@@ -43,59 +43,60 @@
 };
 
 /**
- * enum said_word - what an endpoint may say of itself in any answer.
- * @SAID_REST: it wants nothing from this daemon for so many ms
- * @SAID_LEAVING: 1 where it ends what it has and takes nothing new
- * @SAID_LIMIT: the requests a second that it takes from all daemons together
+ * enum feedback_kind - what an endpoint may say of itself in any answer.
+ * @FEEDBACK_BACKOFF: it wants nothing from this daemon for so many ms
+ * @FEEDBACK_DRAINING: 1 where it ends what it has and takes nothing new
+ * @FEEDBACK_LIMIT: the requests a second that it takes from all daemons
+ * together
  */
-enum said_word {
-	SAID_REST,
-	SAID_LEAVING,
-	SAID_LIMIT,
-	SAID_WORDS,
+enum feedback_kind {
+	FEEDBACK_BACKOFF,
+	FEEDBACK_DRAINING,
+	FEEDBACK_LIMIT,
+	FEEDBACK_KINDS,
 };
 
 /**
- * struct said - one word of an endpoint.
+ * struct feedback - one word of an endpoint.
  * @text: as it stands in the head; NULL where it doesn't
  * @number: the same as a number in the word's unit; NAN where it is none
  */
-struct said {
+struct feedback {
 	const char *text;
 	double number;
 };
 
 /**
- * struct wire_answer - what an answer's head says, decoded.
+ * struct wire_response - what an answer's head says, decoded.
  * @id: of the attempt that it answers, or NULL
- * @proof: it carries the endpoint's proof
+ * @has_signature: it carries the endpoint's proof
  * @not_run: the endpoint says that it did not run the request
  * @wrong_endpoint: another incarnation than the one meant has the address
- * @at_fault: the endpoint that the work depended on, or NULL
- * @said: what the endpoint says of itself, by enum said_word
+ * @lost_member: the endpoint that the work depended on, or NULL
+ * @feedback: what the endpoint says of itself, by enum feedback_kind
  */
-struct wire_answer {
+struct wire_response {
 	const char *id;
-	bool proof;
+	bool has_signature;
 	bool not_run;
 	bool wrong_endpoint;
-	const char *at_fault;
-	struct said said[SAID_WORDS];
+	const char *lost_member;
+	struct feedback feedback[FEEDBACK_KINDS];
 };
 
 /**
  * struct wire_ops - an adapter's functions for requests and answers.
  * @read_request: decode a request's head
- * @passes: whether a request header goes on to the endpoint unchanged
+ * @passes_header: whether a request header goes on to the endpoint unchanged
  * @write_forward: append the headers that are set for the endpoint
- * @read_answer: decode an answer's head
+ * @read_response: decode an answer's head
  */
 struct wire_ops {
 	void (*read_request)(const struct net_head *, struct wire_request *);
-	bool (*passes)(const char *);
+	bool (*passes_header)(const char *);
 	void (*write_forward)(GString *, const struct wire_forward *);
-	void (*read_answer)(unsigned, const struct net_head *,
-	    struct wire_answer *);
+	void (*read_response)(unsigned, const struct net_head *,
+	    struct wire_response *);
 };
 
 #endif
--- a/src/fwd.c
+++ b/src/fwd.c
@@ -19,7 +19,7 @@
 on_connection(uv_stream_t *listener, int status)
 {
 	if (status == 0)
-		fwd_caller_accept(listener->data, listener);
+		fwd_conn_accept(listener->data, listener);
 }
 
 /* Looks at every exchange; each may end and free itself. */
@@ -39,11 +39,11 @@
 static void
 tick_callers(struct fwd *fwd, uint64_t now)
 {
-	struct fwd_caller *c, *next;
+	struct fwd_conn *c, *next;
 
-	for (c = TAILQ_FIRST(&fwd->callers); c != NULL; c = next) {
+	for (c = TAILQ_FIRST(&fwd->conns); c != NULL; c = next) {
 		next = TAILQ_NEXT(c, entry);
-		fwd_caller_tick(c, now);
+		fwd_conn_tick(c, now);
 	}
 }
 
@@ -51,12 +51,12 @@
 static void
 try_waiting(struct fwd *fwd)
 {
-	struct fwd_exchange *ex = TAILQ_FIRST(&fwd->waiting);
+	struct fwd_exchange *ex = TAILQ_FIRST(&fwd->queue);
 
 	while (ex != NULL) {
-		struct fwd_exchange *next = TAILQ_NEXT(ex, wait_entry);
+		struct fwd_exchange *next = TAILQ_NEXT(ex, queue_entry);
 
-		fwd_exchange_try(ex);
+		fwd_exchange_dispatch(ex);
 		ex = next;
 	}
 }
@@ -69,7 +69,7 @@
 
 	if (fwd->last_tick_ms != 0 &&
 	    now - fwd->last_tick_ms > TICK_IDLE_MS + PAUSE_MS) {
-		fwd->blind_until_ms = now + BLIND_MS;
+		fwd->grace_until_ms = now + BLIND_MS;
 		event_log(LOG_NOTICE, "paused", "ms=%llu",
 		    (unsigned long long)(now - fwd->last_tick_ms));
 	}
@@ -92,34 +92,34 @@
 }
 
 /**
- * fwd_wake() - an exchange began: look at times often again.
+ * fwd_tick_soon() - an exchange began: look at times often again.
  * @fwd: the engine
  */
 void
-fwd_wake(struct fwd *fwd)
+fwd_tick_soon(struct fwd *fwd)
 {
 	if (fwd->n_exchanges == 1)
 		uv_timer_start(&fwd->tick, on_tick, TICK_BUSY_MS, 0);
 }
 
 /**
- * fwd_kick() - look at waiting exchanges and held requests soon.
+ * fwd_schedule_dispatch() - look at waiting exchanges and held requests soon.
  * @fwd: the engine
  */
 void
-fwd_kick(struct fwd *fwd)
+fwd_schedule_dispatch(struct fwd *fwd)
 {
-	if (!uv_is_active((uv_handle_t *)&fwd->kick))
-		uv_timer_start(&fwd->kick, on_kick, 0, 0);
+	if (!uv_is_active((uv_handle_t *)&fwd->dispatch_timer))
+		uv_timer_start(&fwd->dispatch_timer, on_kick, 0, 0);
 }
 
 /**
- * fwd_budget_of() - the retry budget of a service.
+ * fwd_budget_get() - the retry budget of a service.
  * @fwd: the engine
  * @service: its name
  */
 struct fwd_budget *
-fwd_budget_of(struct fwd *fwd, const char *service)
+fwd_budget_get(struct fwd *fwd, const char *service)
 {
 	struct fwd_budget *b = g_hash_table_lookup(fwd->budgets, service);
 
@@ -131,18 +131,19 @@
 }
 
 /**
- * fwd_learned_of() - what answers of a model or service showed.
+ * fwd_estimate_get() - what answers of a model or service showed.
  * @fwd: the engine
  * @name: of the model, or of a service without models
  */
-struct fwd_learned *
-fwd_learned_of(struct fwd *fwd, const char *name)
+struct fwd_estimate *
+fwd_estimate_get(struct fwd *fwd, const char *name)
 {
-	struct fwd_learned *learned = g_hash_table_lookup(fwd->learned, name);
+	struct fwd_estimate *learned =
+	    g_hash_table_lookup(fwd->estimates, name);
 
 	if (learned == NULL) {
-		learned = g_new0(struct fwd_learned, 1);
-		g_hash_table_insert(fwd->learned, g_strdup(name), learned);
+		learned = g_new0(struct fwd_estimate, 1);
+		g_hash_table_insert(fwd->estimates, g_strdup(name), learned);
 	}
 	return (learned);
 }
@@ -162,19 +163,19 @@
 
 	fwd->loop = loop;
 	fwd->daemons = 1;
-	TAILQ_INIT(&fwd->callers);
+	TAILQ_INIT(&fwd->conns);
 	TAILQ_INIT(&fwd->exchanges);
-	TAILQ_INIT(&fwd->waiting);
+	TAILQ_INIT(&fwd->queue);
 	fwd->budgets =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	fwd->learned =
+	fwd->estimates =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	fwd_stats_init(&fwd->stats);
 	uv_timer_init(loop, &fwd->tick);
-	uv_timer_init(loop, &fwd->kick);
+	uv_timer_init(loop, &fwd->dispatch_timer);
 	uv_tcp_init(loop, &fwd->listener);
 	fwd->tick.data = fwd;
-	fwd->kick.data = fwd;
+	fwd->dispatch_timer.data = fwd;
 	fwd->listener.data = fwd;
 	uv_timer_start(&fwd->tick, on_tick, TICK_IDLE_MS, 0);
 	rc = uv_tcp_bind(&fwd->listener, (const struct sockaddr *)addr, 0);
@@ -185,13 +186,13 @@
 }
 
 /**
- * fwd_leave() - close each connection after its next answer.
+ * fwd_drain() - close each connection after its next answer.
  * @fwd: the engine
  */
 void
-fwd_leave(struct fwd *fwd)
+fwd_drain(struct fwd *fwd)
 {
-	fwd->leaving = true;
+	fwd->draining = true;
 }
 
 /**
@@ -201,44 +202,45 @@
 void
 fwd_stop_listening(struct fwd *fwd)
 {
-	if (fwd->closed)
+	if (fwd->listener_closed)
 		return;
-	fwd->closed = true;
+	fwd->listener_closed = true;
 	uv_close((uv_handle_t *)&fwd->listener, NULL);
 }
 
 /**
- * fwd_close_callers() - close connections.
+ * fwd_close_conns() - close connections.
  * @fwd: the engine
  * @busy: also those with a request in progress
  */
 void
-fwd_close_callers(struct fwd *fwd, bool busy)
+fwd_close_conns(struct fwd *fwd, bool busy)
 {
-	struct fwd_caller *c, *next;
+	struct fwd_conn *c, *next;
 
-	for (c = TAILQ_FIRST(&fwd->callers); c != NULL; c = next) {
+	for (c = TAILQ_FIRST(&fwd->conns); c != NULL; c = next) {
 		next = TAILQ_NEXT(c, entry);
 		if (c->exchange != NULL && busy)
-			fwd_exchange_break(c->exchange, "daemon_ends");
-		else if (c->exchange == NULL && !c->began && !c->stream.finish)
+			fwd_exchange_abort(c->exchange, "daemon_ends");
+		else if (c->exchange == NULL && !c->started &&
+		    !c->stream.finish)
 			net_stream_close(&c->stream);
 	}
 }
 
 /**
- * fwd_callers_quiet() - whether no caller waits for anything.
+ * fwd_conns_drained() - whether no caller waits for anything.
  * @fwd: the engine
  *
  * Those that still read an answer have it in their hands: the system goes on
  * sending it when the process is gone.
  */
 bool
-fwd_callers_quiet(const struct fwd *fwd)
+fwd_conns_drained(const struct fwd *fwd)
 {
-	const struct fwd_caller *c;
+	const struct fwd_conn *c;
 
-	TAILQ_FOREACH(c, &fwd->callers, entry) {
+	TAILQ_FOREACH(c, &fwd->conns, entry) {
 		if (!c->stream.closing && !c->stream.finish)
 			return (false);
 		if (c->stream.queued > 0)
--- a/src/fwd.h
+++ b/src/fwd.h
@@ -8,9 +8,9 @@
 #include "fwd-stats.h"
 #include "fwd-wire.h"
 
-struct fwd_caller;
+struct fwd_conn;
 struct fwd_exchange;
-TAILQ_HEAD(fwd_caller_list, fwd_caller);
+TAILQ_HEAD(fwd_conn_list, fwd_conn);
 TAILQ_HEAD(fwd_exchange_list, fwd_exchange);
 
 /**
@@ -47,23 +47,23 @@
  * @set: settings
  * @listener: where callers connect
  * @tick: looks at times while there are exchanges
- * @kick: gives freed places to exchanges that wait
- * @callers: connections
+ * @dispatch_timer: gives freed places to exchanges that wait
+ * @conns: connections
  * @exchanges: all that are not done
- * @waiting: those without an endpoint
+ * @queue: those without an endpoint
  * @n_exchanges: length of @exchanges
  * @budgets: service name to struct fwd_budget
- * @learned: name of a model, or of a service without models, to struct
+ * @estimates: name of a model, or of a service without models, to struct
  *	fwd_learned
  * @daemons: that share the retry budget
- * @leaving: the daemon ends; connections are closed after their answer
- * @closed: the listener is closed
+ * @draining: the daemon ends; connections are closed after their answer
+ * @listener_closed: the listener is closed
  * @last_tick_ms: loop time of the last tick
- * @blind_until_ms: silence is not judged before, after a pause of our own
- * @suspect: told when all streams of an endpoint fell silent
- * @suspect_arg: for @suspect
- * @limited: told when an endpoint names, changes or lifts a limit
- * @limited_arg: for @limited
+ * @grace_until_ms: silence is not judged before, after a pause of our own
+ * @on_silent: told when all streams of an endpoint fell silent
+ * @on_silent_arg: for @on_silent
+ * @on_limit: told when an endpoint names, changes or lifts a limit
+ * @on_limit_arg: for @on_limit
  * @stats: counters and histograms
  */
 struct fwd {
@@ -73,34 +73,34 @@
 	struct fwd_setting set;
 	uv_tcp_t listener;
 	uv_timer_t tick;
-	uv_timer_t kick;
-	struct fwd_caller_list callers;
+	uv_timer_t dispatch_timer;
+	struct fwd_conn_list conns;
 	struct fwd_exchange_list exchanges;
-	struct fwd_exchange_list waiting;
+	struct fwd_exchange_list queue;
 	unsigned n_exchanges;
 	GHashTable *budgets;
-	GHashTable *learned;
+	GHashTable *estimates;
 	unsigned daemons;
-	bool leaving;
-	bool closed;
+	bool draining;
+	bool listener_closed;
 	uint64_t last_tick_ms;
-	uint64_t blind_until_ms;
-	void (*suspect)(void *, struct endpoint *);
-	void *suspect_arg;
-	void (*limited)(void *, struct endpoint *);
-	void *limited_arg;
+	uint64_t grace_until_ms;
+	void (*on_silent)(void *, struct endpoint *);
+	void *on_silent_arg;
+	void (*on_limit)(void *, struct endpoint *);
+	void *on_limit_arg;
 	struct fwd_stats stats;
 };
 
 int fwd_open(struct fwd *, uv_loop_t *, const struct sockaddr_in *);
-void fwd_leave(struct fwd *);
+void fwd_drain(struct fwd *);
 void fwd_stop_listening(struct fwd *);
-void fwd_close_callers(struct fwd *, bool);
-bool fwd_callers_quiet(const struct fwd *);
-void fwd_kick(struct fwd *);
-void fwd_wake(struct fwd *);
+void fwd_close_conns(struct fwd *, bool);
+bool fwd_conns_drained(const struct fwd *);
+void fwd_schedule_dispatch(struct fwd *);
+void fwd_tick_soon(struct fwd *);
 void fwd_poison_sweep(struct fwd *);
-struct fwd_budget *fwd_budget_of(struct fwd *, const char *);
-struct fwd_learned *fwd_learned_of(struct fwd *, const char *);
+struct fwd_budget *fwd_budget_get(struct fwd *, const char *);
+struct fwd_estimate *fwd_estimate_get(struct fwd *, const char *);
 
 #endif
--- a/src/lease-keeper.c
+++ b/src/lease-elector.c
@@ -6,16 +6,16 @@
  */
 #include <string.h>
 
-#include "lease-keeper.h"
+#include "lease-elector.h"
 #include "lease.h"
 
 /**
- * lease_keeper_init() - begin; an unknown holder may have renewed just now.
+ * lease_elector_init() - begin; an unknown holder may have renewed just now.
  * @keeper: the keeper
  * @now: monotonic milliseconds
  */
 void
-lease_keeper_init(struct lease_keeper *keeper, uint64_t now)
+lease_elector_init(struct lease_elector *keeper, uint64_t now)
 {
 	memset(keeper, 0, sizeof *keeper);
 	keeper->seen_ms = now;
@@ -23,7 +23,7 @@
 
 /* Takes note of a renewal that replay has reached. */
 static void
-keeper_observe(struct lease_keeper *k, const struct lease_times *t,
+keeper_observe(struct lease_elector *k, const struct lease_times *t,
     const struct lease *lease, bool mine, uint64_t now)
 {
 	if (lease->renewed != k->seen_renewed || lease->term != k->seen_term) {
@@ -40,7 +40,7 @@
 }
 
 /**
- * lease_keeper_step() - what to do about the lease now.
+ * lease_elector_step() - what to do about the lease now.
  * @k: the keeper
  * @t: the bounds
  * @lease: the newest lease by replay, or NULL when none was ever taken
@@ -49,7 +49,7 @@
  * @now: monotonic milliseconds
  */
 enum lease_step
-lease_keeper_step(struct lease_keeper *k, const struct lease_times *t,
+lease_elector_step(struct lease_elector *k, const struct lease_times *t,
     const struct lease *lease, const char *me, uint64_t delay, uint64_t now)
 {
 	bool mine, vacant;
@@ -69,25 +69,25 @@
 }
 
 /**
- * lease_keeper_sent() - note that a lease record was appended.
+ * lease_elector_sent() - note that a lease record was appended.
  * @k: the keeper
  * @sent_ms: time just before the append was sent
  * @offset: its offset; 0 when the answer was lost, which extends nothing
  */
 void
-lease_keeper_sent(struct lease_keeper *k, uint64_t sent_ms, uint64_t offset)
+lease_elector_sent(struct lease_elector *k, uint64_t sent_ms, uint64_t offset)
 {
 	k->sent_ms = sent_ms;
 	k->sent_offset = offset;
 }
 
 /**
- * lease_keeper_holds() - whether this daemon may act on the lease now.
+ * lease_elector_holds() - whether this daemon may act on the lease now.
  * @k: the keeper
  * @now: monotonic milliseconds; read it just before acting
  */
 bool
-lease_keeper_holds(const struct lease_keeper *k, uint64_t now)
+lease_elector_holds(const struct lease_elector *k, uint64_t now)
 {
 	return (now < k->hold_until_ms);
 }
--- a/src/lease-keeper.h
+++ b/src/lease-elector.h
@@ -1,6 +1,6 @@
 /* Keeping a control lease: when to take, renew and stop. Pure decisions. */
-#ifndef BL_LEASE_KEEPER_H
-#define BL_LEASE_KEEPER_H
+#ifndef BL_LEASE_ELECTOR_H
+#define BL_LEASE_ELECTOR_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -26,7 +26,7 @@
 };
 
 /**
- * struct lease_keeper - one daemon's view of one lease.
+ * struct lease_elector - one daemon's view of one lease.
  * @seen_term: term that was read last
  * @seen_renewed: renewal that was read last
  * @seen_ms: when that renewal was first read
@@ -34,7 +34,7 @@
  * @sent_offset: offset of that record, 0 while it is not known
  * @hold_until_ms: the holder may act before this time
  */
-struct lease_keeper {
+struct lease_elector {
 	uint64_t seen_term;
 	uint64_t seen_renewed;
 	uint64_t seen_ms;
@@ -43,11 +43,11 @@
 	uint64_t hold_until_ms;
 };
 
-void lease_keeper_init(struct lease_keeper *, uint64_t);
-enum lease_step lease_keeper_step(struct lease_keeper *,
+void lease_elector_init(struct lease_elector *, uint64_t);
+enum lease_step lease_elector_step(struct lease_elector *,
     const struct lease_times *, const struct lease *, const char *, uint64_t,
     uint64_t);
-void lease_keeper_sent(struct lease_keeper *, uint64_t, uint64_t);
-bool lease_keeper_holds(const struct lease_keeper *, uint64_t);
+void lease_elector_sent(struct lease_elector *, uint64_t, uint64_t);
+bool lease_elector_holds(const struct lease_elector *, uint64_t);
 
 #endif
--- a/src/limit-model.c
+++ b/src/limit-model.c
@@ -30,18 +30,18 @@
  * @busy: of so many daemons each one has
  */
 struct limit_model *
-limit_model_new(struct fleet_model *fleet, const struct limit_way *way,
+limit_model_new(struct fleet_model *fleet, const struct limit_scheme *way,
     double demand, unsigned busy)
 {
 	struct limit_model *m = g_new0(struct limit_model, 1);
 
 	m->fleet = fleet;
-	m->way = way;
+	m->scheme = way;
 	m->daemons = g_new0(struct limit_daemon, fleet->n);
 	m->per_s = -1;
 	m->demand = demand;
 	m->busy = busy;
-	m->came = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	m->arrivals = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	return (m);
 }
 
@@ -52,25 +52,25 @@
 void
 limit_model_free(struct limit_model *m)
 {
-	g_array_free(m->came, TRUE);
+	g_array_free(m->arrivals, TRUE);
 	g_free(m->daemons);
 	g_free(m);
 }
 
 /**
- * limit_model_name() - the endpoint names another limit from now on.
+ * limit_model_set_limit() - the endpoint names another limit from now on.
  * @m: the model
  * @per_s: requests a second; below 0 for none
  */
 void
-limit_model_name(struct limit_model *m, double per_s)
+limit_model_set_limit(struct limit_model *m, double per_s)
 {
 	m->per_s = per_s;
-	m->named_ms = m->fleet->now_ms;
-	m->got = m->over = m->untold = 0;
-	g_array_set_size(m->came, 0);
+	m->limit_set_ms = m->fleet->now_ms;
+	m->n_requests = m->n_over = m->n_uninformed = 0;
+	g_array_set_size(m->arrivals, 0);
 	for (unsigned i = 0; i < m->fleet->n; i++)
-		m->daemons[i].told_ms = 0;
+		m->daemons[i].notified_ms = 0;
 }
 
 /* Counts a request of a daemon that was told, in the last span. */
@@ -80,13 +80,13 @@
 	uint64_t now = m->fleet->now_ms;
 	guint old = 0;
 
-	while (old < m->came->len &&
-	    now - g_array_index(m->came, uint64_t, old) >= SPAN_MS)
+	while (old < m->arrivals->len &&
+	    now - g_array_index(m->arrivals, uint64_t, old) >= SPAN_MS)
 		old++;
-	g_array_remove_range(m->came, 0, old);
-	g_array_append_val(m->came, now);
-	m->over += now - m->named_ms >= STABLE_MS &&
-	    m->came->len >
+	g_array_remove_range(m->arrivals, 0, old);
+	g_array_append_val(m->arrivals, now);
+	m->n_over += now - m->limit_set_ms >= STABLE_MS &&
+	    m->arrivals->len >
 		SPAN_TIMES * m->per_s * SPAN_MS / MS_PER_S + SPAN_MORE;
 }
 
@@ -97,17 +97,17 @@
 	struct limit_daemon *d = &m->daemons[at];
 	uint64_t now = m->fleet->now_ms;
 
-	m->got += now - m->named_ms >= STABLE_MS;
+	m->n_requests += now - m->limit_set_ms >= STABLE_MS;
 	if (m->per_s < 0) {
-		m->way->heard(m, at, now);
+		m->scheme->notified(m, at, now);
 		return;
 	}
-	if (d->told_ms != 0 && now - d->told_ms >= CROSSING_MS)
+	if (d->notified_ms != 0 && now - d->notified_ms >= CROSSING_MS)
 		model_judge(m);
-	m->untold += d->told_ms == 0;
-	if (d->told_ms == 0)
-		d->told_ms = now + ANSWER_MS;
-	m->way->heard(m, at, now);
+	m->n_uninformed += d->notified_ms == 0;
+	if (d->notified_ms == 0)
+		d->notified_ms = now + ANSWER_MS;
+	m->scheme->notified(m, at, now);
 }
 
 /* Whether a daemon has a request for the endpoint in this millisecond. */
@@ -116,7 +116,7 @@
 {
 	if (!m->fleet->daemons[at].up || at % m->busy != 0)
 		return (false);
-	return (fleet_model_draw(m->fleet, 1000000) <
+	return (fleet_model_random(m->fleet, 1000000) <
 	    m->demand / MS_PER_S * 1000000);
 }
 
@@ -130,10 +130,10 @@
 {
 	while (ms-- > 0) {
 		fleet_model_run(m->fleet, 1);
-		if (m->way->look != NULL)
-			m->way->look(m);
+		if (m->scheme->step != NULL)
+			m->scheme->step(m);
 		for (unsigned i = 0; i < m->fleet->n; i++) {
-			if (model_arrives(m, i) && m->way->take(m, i))
+			if (model_arrives(m, i) && m->scheme->admit(m, i))
 				model_request(m, i);
 		}
 	}
@@ -147,17 +147,17 @@
 limit_model_used(const struct limit_model *m)
 {
 	double s =
-	    (double)(m->fleet->now_ms - m->named_ms - STABLE_MS) / MS_PER_S;
+	    (double)(m->fleet->now_ms - m->limit_set_ms - STABLE_MS) / MS_PER_S;
 
-	return (m->got / (m->per_s * s));
+	return (m->n_requests / (m->per_s * s));
 }
 
 /**
- * limit_model_knowing() - daemons that know of the limit.
+ * limit_model_informed() - daemons that know of the limit.
  * @m: the model
  */
 unsigned
-limit_model_knowing(const struct limit_model *m)
+limit_model_informed(const struct limit_model *m)
 {
 	unsigned n = 0;
 
@@ -209,12 +209,12 @@
 	ep->limit.heard_ms = now_ms;
 	if (!news)
 		return;
-	mesh_limit_heard(mesh, ep);
-	mesh_tell(mesh);
+	mesh_limit_changed(mesh, ep);
+	mesh_send(mesh);
 }
 
-const struct limit_way limit_way_users = {
+const struct limit_scheme limit_scheme_users = {
 	.name = "users",
-	.take = users_take,
-	.heard = users_heard,
+	.admit = users_take,
+	.notified = users_heard,
 };
--- a/src/limit-ways.c
+++ b/src/limit-schemes.c
@@ -25,7 +25,7 @@
 static void
 ways_fill(struct limit_daemon *d, double per_s)
 {
-	d->turns = MIN(d->turns + per_s / MS_PER_S, TURNS_MOST);
+	d->permits = MIN(d->permits + per_s / MS_PER_S, TURNS_MOST);
 }
 
 static bool
@@ -34,11 +34,11 @@
 	struct limit_daemon *d = &m->daemons[at];
 
 	/* One that the endpoint has not told yet sends as it likes. */
-	if (d->told_ms == 0)
+	if (d->notified_ms == 0)
 		return (true);
-	if (d->turns < 1)
+	if (d->permits < 1)
 		return (false);
-	d->turns--;
+	d->permits--;
 	return (true);
 }
 
@@ -57,11 +57,11 @@
 		ways_fill(&m->daemons[i], m->per_s / living);
 }
 
-const struct limit_way limit_way_equal = {
+const struct limit_scheme limit_scheme_equal = {
 	.name = "equal",
-	.look = equal_look,
-	.take = ways_take,
-	.heard = ways_heard,
+	.step = equal_look,
+	.admit = ways_take,
+	.notified = ways_heard,
 };
 
 /* Each daemon has a share by the requests that it had lately. */
@@ -83,39 +83,40 @@
 		    m->per_s * m->daemons[i].demand / sum);
 }
 
-const struct limit_way limit_way_demand = {
+const struct limit_scheme limit_scheme_demand = {
 	.name = "demand",
-	.look = demand_look,
-	.take = ways_take,
-	.heard = ways_heard,
+	.step = demand_look,
+	.admit = ways_take,
+	.notified = ways_heard,
 };
 
 /* One daemon hands out each request; another takes over when it is lost. */
 static void
 owner_look(struct limit_model *m)
 {
-	m->owner_turns = MIN(m->owner_turns + m->per_s / MS_PER_S, TURNS_MOST);
+	m->owner_permits =
+	    MIN(m->owner_permits + m->per_s / MS_PER_S, TURNS_MOST);
 	if (m->fleet->daemons[m->owner].up)
 		return;
 	m->owner = (m->owner + 1) % m->fleet->n;
 	m->owner_since_ms = m->fleet->now_ms + DEAD_MS;
-	m->owner_turns = 0;
+	m->owner_permits = 0;
 }
 
 static bool
 owner_take(struct limit_model *m, unsigned at)
 {
-	if (m->daemons[at].told_ms == 0)
+	if (m->daemons[at].notified_ms == 0)
 		return (true);
-	if (m->owner_turns < 1 || m->fleet->now_ms < m->owner_since_ms)
+	if (m->owner_permits < 1 || m->fleet->now_ms < m->owner_since_ms)
 		return (false);
-	m->owner_turns--;
+	m->owner_permits--;
 	return (true);
 }
 
-const struct limit_way limit_way_owner = {
+const struct limit_scheme limit_scheme_owner = {
 	.name = "owner",
-	.look = owner_look,
-	.take = owner_take,
-	.heard = ways_heard,
+	.step = owner_look,
+	.admit = owner_take,
+	.notified = ways_heard,
 };
--- a/src/mesh-config.c
+++ b/src/mesh-config.c
@@ -22,7 +22,7 @@
 {
 	struct mesh *mesh = arg;
 
-	mesh->fetching = false;
+	mesh->fetching_config = false;
 	if (answer->status != HTTP_STATUS_OK) {
 		event_log(LOG_INFO, "config_not_fetched", "status=%u",
 		    answer->status);
@@ -54,7 +54,7 @@
 	if (peer != mesh->relay)
 		return (peer);
 	TAILQ_FOREACH(other, &mesh->peers, entry) {
-		if (other->newest && other->listed_ms == mesh->now_ms &&
+		if (other->config_current && other->listed_ms == mesh->now_ms &&
 		    random_below(++n) == 0)
 			source = other;
 	}
@@ -68,7 +68,7 @@
 static bool
 fetch_due(const struct mesh *mesh, const struct mesh_peer *peer)
 {
-	uint64_t behind = mesh->now_ms - mesh->behind_ms;
+	uint64_t behind = mesh->now_ms - mesh->behind_since_ms;
 
 	if (mesh->relay == NULL && !mesh_flat(mesh))
 		return (true);
@@ -94,16 +94,16 @@
 	struct mesh_peer *source;
 	uint64_t now = mesh->now_ms;
 
-	mesh->newest = MAX(mesh->newest, peer->config_version);
-	if (mesh->newest <= own)
-		mesh->behind_ms = 0;
-	else if (mesh->behind_ms == 0)
-		mesh->behind_ms = now;
+	mesh->newest_version = MAX(mesh->newest_version, peer->config_version);
+	if (mesh->newest_version <= own)
+		mesh->behind_since_ms = 0;
+	else if (mesh->behind_since_ms == 0)
+		mesh->behind_since_ms = now;
 	if (peer->config_version <= own)
 		return;
-	if (mesh->fetching || (own >= 0 && !fetch_due(mesh, peer)))
+	if (mesh->fetching_config || (own >= 0 && !fetch_due(mesh, peer)))
 		return;
-	if (now - mesh->behind_ms >= STORE_AFTER_MS)
+	if (now - mesh->behind_since_ms >= STORE_AFTER_MS)
 		topic_follower_poll(&mesh->registry->config);
 	mesh->fetched_version = peer->config_version;
 	mesh->fetched_offset = peer->config_offset;
@@ -111,6 +111,6 @@
 	source = config_source(mesh, peer);
 	event_log(LOG_INFO, "config_fetch", "peer=%s version=%lld own=%lld",
 	    source->name, (long long)peer->config_version, (long long)own);
-	mesh->fetching = net_call_start(&source->pool, &req, FETCH_TIMEOUT_MS,
-			     on_fetched, mesh) != NULL;
+	mesh->fetching_config = net_call_start(&source->pool, &req,
+				    FETCH_TIMEOUT_MS, on_fetched, mesh) != NULL;
 }
--- a/src/mesh-entries.c
+++ b/src/mesh-entries.c
@@ -12,7 +12,7 @@
 #define ASK_MAGIC 0x424c4101u
 
 static bool_t
-xdr_ask(XDR *xdr, struct mesh_ask *ask)
+xdr_ask(XDR *xdr, struct mesh_resend *ask)
 {
 	uint32_t magic = ASK_MAGIC;
 	char *name = ask->name;
@@ -23,7 +23,7 @@
 }
 
 /**
- * mesh_ask_encode() - write a question for entries.
+ * mesh_resend_encode() - write a question for entries.
  * @ask: the question
  * @out: where to
  * @size: room there
@@ -31,20 +31,20 @@
  * Return: its length, or 0 where it does not fit.
  */
 size_t
-mesh_ask_encode(const struct mesh_ask *ask, char *out, size_t size)
+mesh_resend_encode(const struct mesh_resend *ask, char *out, size_t size)
 {
 	size_t length = 0;
 	XDR xdr;
 
 	xdrmem_create(&xdr, out, (u_int)size, XDR_ENCODE);
-	if (xdr_ask(&xdr, (struct mesh_ask *)ask))
+	if (xdr_ask(&xdr, (struct mesh_resend *)ask))
 		length = xdr_getpos(&xdr);
 	xdr_destroy(&xdr);
 	return (length);
 }
 
 /**
- * mesh_ask_decode() - read a question for entries.
+ * mesh_resend_decode() - read a question for entries.
  * @ask: filled in
  * @in: the datagram
  * @length: its length
@@ -52,7 +52,7 @@
  * Return: false where it is another datagram.
  */
 bool
-mesh_ask_decode(struct mesh_ask *ask, char *in, size_t length)
+mesh_resend_decode(struct mesh_resend *ask, char *in, size_t length)
 {
 	bool ok;
 	XDR xdr;
--- a/src/mesh-entries.h
+++ b/src/mesh-entries.h
@@ -7,7 +7,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "mesh-news.h"
+#include "mesh-message.h"
 
 /* Records told at once: all endpoints that serve, to a daemon that starts. */
 #define MESH_RECORDS_MAX 4096
@@ -31,17 +31,17 @@
 };
 
 /**
- * struct mesh_ask - a question for entries that were missed.
+ * struct mesh_resend - a question for entries that were missed.
  * @name: of the sender
  * @from: it lacks what changed from this offset on
  */
-struct mesh_ask {
+struct mesh_resend {
 	char name[MESH_NAME_MAX];
 	uint64_t from;
 };
 
-size_t mesh_ask_encode(const struct mesh_ask *, char *, size_t);
-bool mesh_ask_decode(struct mesh_ask *, char *, size_t);
+size_t mesh_resend_encode(const struct mesh_resend *, char *, size_t);
+bool mesh_resend_decode(struct mesh_resend *, char *, size_t);
 size_t mesh_entries_encode(const struct mesh_entries *, guint, guint, char *,
     size_t);
 bool mesh_entries_decode(struct mesh_entries *, char *, size_t);
--- a/src/mesh-feed.c
+++ b/src/mesh-feed.c
@@ -29,9 +29,9 @@
 far_due(const struct mesh *mesh, const struct mesh_peer *peer)
 {
 	if (mesh_flat(mesh))
-		return (mesh_peer_hinted(mesh, peer) ||
-		    mesh_peer_relays(mesh, peer));
-	return (mesh_peer_relays(mesh, peer));
+		return (mesh_peer_maybe_alive(mesh, peer) ||
+		    mesh_peer_is_relay(mesh, peer));
+	return (mesh_peer_is_relay(mesh, peer));
 }
 
 /* Sends a datagram to the own cell, to other relays, or to both. */
@@ -42,15 +42,16 @@
 	struct mesh_peer *peer;
 
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
-		bool near = mesh_peer_near(mesh, peer);
+		bool near = mesh_peer_in_cell(mesh, peer);
 
 		if (peer == origin)
 			continue;
 		if ((near &&
 			(mesh_peer_reports(mesh, peer) ||
-			    mesh_peer_relays(mesh, peer))) ||
+			    mesh_peer_is_relay(mesh, peer))) ||
 		    (far && !near && far_due(mesh, peer)))
-			mesh->send(mesh->send_arg, &peer->addr, bytes, length);
+			mesh->send_datagram(mesh->send_arg, &peer->addr, bytes,
+			    length);
 	}
 }
 
@@ -59,8 +60,8 @@
 feed_keep(struct mesh *mesh, uint64_t from, uint64_t end, const char *bytes,
     size_t length)
 {
-	struct mesh_kept *kept =
-	    &mesh->kept[mesh->n_kept++ % MESH_ENTRIES_KEPT];
+	struct mesh_sent_entries *kept =
+	    &mesh->sent_entries[mesh->n_sent_entries++ % MESH_SENT_ENTRIES_MAX];
 
 	g_clear_pointer(&kept->bytes, g_bytes_unref);
 	kept->from = from;
@@ -75,11 +76,11 @@
 void
 mesh_feed_clear(struct mesh *mesh)
 {
-	for (unsigned i = 0; i < MESH_ENTRIES_KEPT; i++)
-		g_clear_pointer(&mesh->kept[i].bytes, g_bytes_unref);
-	if (mesh->told != NULL)
-		g_array_free(mesh->told, TRUE);
-	mesh->told = NULL;
+	for (unsigned i = 0; i < MESH_SENT_ENTRIES_MAX; i++)
+		g_clear_pointer(&mesh->sent_entries[i].bytes, g_bytes_unref);
+	if (mesh->last_entries != NULL)
+		g_array_free(mesh->last_entries, TRUE);
+	mesh->last_entries = NULL;
 }
 
 /* Tells some of the records. */
@@ -87,7 +88,7 @@
 entries_send(struct mesh *mesh, const struct mesh_entries *entries, guint first,
     guint n)
 {
-	static char out[MESH_BYTES];
+	static char out[MESH_DATAGRAM_MAX];
 	size_t length = mesh_entries_encode(entries, first, n, out, sizeof out);
 
 	if (length == 0) {
@@ -96,7 +97,8 @@
 	}
 	feed_keep(mesh, entries->from, entries->end, out, length);
 	if (mesh->relay != NULL)
-		mesh->send(mesh->send_arg, &mesh->relay->addr, out, length);
+		mesh->send_datagram(mesh->send_arg, &mesh->relay->addr, out,
+		    length);
 	else
 		feed_send(mesh, NULL, out, length, true);
 }
@@ -148,7 +150,7 @@
 }
 
 /**
- * mesh_tell_entries() - tell the others what was read and changed.
+ * mesh_send_entries() - tell the others what was read and changed.
  * @mesh: the mesh
  * @from: read from this offset
  * @end: to this one
@@ -158,14 +160,15 @@
  * datagram leaves no gap.
  */
 void
-mesh_tell_entries(struct mesh *mesh, uint64_t from, uint64_t end,
+mesh_send_entries(struct mesh *mesh, uint64_t from, uint64_t end,
     const GArray *records)
 {
 	const struct topic_follower *f = &mesh->registry->endpoints;
 	struct mesh_entries entries = { .from = from,
 		.returned_ms = UINT32_MAX };
-	bool again = mesh->told != NULL && mesh->told_from < from &&
-	    mesh->told->len + records->len <= ENTRIES_TOLD;
+	bool again = mesh->last_entries != NULL &&
+	    mesh->last_entries_from < from &&
+	    mesh->last_entries->len + records->len <= ENTRIES_TOLD;
 	g_autoptr(GArray) all =
 	    g_array_new(FALSE, TRUE, sizeof(struct store_record));
 
@@ -176,59 +179,61 @@
 			MIN(f->regained_ms, mesh->now_ms),
 		    UINT32_MAX);
 	if (again) {
-		entries_append(all, mesh->told);
-		entries.from = mesh->told_from;
+		entries_append(all, mesh->last_entries);
+		entries.from = mesh->last_entries_from;
 	}
 	entries_append(all, records);
 	/* Those of a snapshot are in the order of their keys. */
 	g_array_sort(all, by_offset);
 	entries.records = all;
 	entries_tell(mesh, &entries, end);
-	if (mesh->told == NULL) {
-		mesh->told =
+	if (mesh->last_entries == NULL) {
+		mesh->last_entries =
 		    g_array_new(FALSE, TRUE, sizeof(struct store_record));
-		g_array_set_clear_func(mesh->told, store_record_clear);
+		g_array_set_clear_func(mesh->last_entries, store_record_clear);
 	}
-	g_array_set_size(mesh->told, 0);
-	entries_append(mesh->told, records);
-	mesh->told_from = from;
+	g_array_set_size(mesh->last_entries, 0);
+	entries_append(mesh->last_entries, records);
+	mesh->last_entries_from = from;
 }
 
 /* Asks a peer for what is missing here. */
 static void
 feed_ask(struct mesh *mesh, const struct mesh_peer *peer)
 {
-	struct mesh_ask ask = { .from = mesh->registry->endpoints.next };
+	struct mesh_resend ask = { .from = mesh->registry->endpoints.next };
 	char out[MESH_NAME_MAX * 2];
 	size_t length;
 
-	if (mesh->asked_ms != 0 && mesh->now_ms - mesh->asked_ms < ASK_AGAIN_MS)
+	if (mesh->resend_asked_ms != 0 &&
+	    mesh->now_ms - mesh->resend_asked_ms < ASK_AGAIN_MS)
 		return;
-	mesh->asked_ms = mesh->now_ms;
+	mesh->resend_asked_ms = mesh->now_ms;
 	g_strlcpy(ask.name, mesh->name, sizeof ask.name);
-	length = mesh_ask_encode(&ask, out, sizeof out);
-	mesh->send(mesh->send_arg, &peer->addr, out, length);
+	length = mesh_resend_encode(&ask, out, sizeof out);
+	mesh->send_datagram(mesh->send_arg, &peer->addr, out, length);
 	event_log(LOG_INFO, "entries_missed",
 	    "peer=%s next=%llu told=%llu gap_ms=%llu", peer->name,
 	    (unsigned long long)ask.from, (unsigned long long)mesh->feed_end,
-	    (unsigned long long)(mesh->now_ms - mesh->gap_ms));
+	    (unsigned long long)(mesh->now_ms - mesh->missing_since_ms));
 }
 
 /* Sends again what a peer missed, as far as it is kept. */
 static void
-feed_answer(struct mesh *mesh, const struct mesh_ask *ask,
+feed_answer(struct mesh *mesh, const struct mesh_resend *ask,
     const struct sockaddr_in *to)
 {
-	unsigned n = MIN(mesh->n_kept, MESH_ENTRIES_KEPT);
+	unsigned n = MIN(mesh->n_sent_entries, MESH_SENT_ENTRIES_MAX);
 
-	for (unsigned i = mesh->n_kept - n; i < mesh->n_kept; i++) {
-		const struct mesh_kept *kept =
-		    &mesh->kept[i % MESH_ENTRIES_KEPT];
+	for (unsigned i = mesh->n_sent_entries - n; i < mesh->n_sent_entries;
+	     i++) {
+		const struct mesh_sent_entries *kept =
+		    &mesh->sent_entries[i % MESH_SENT_ENTRIES_MAX];
 		gsize length;
 		const char *bytes = g_bytes_get_data(kept->bytes, &length);
 
 		if (kept->end > ask->from)
-			mesh->send(mesh->send_arg, to, bytes, length);
+			mesh->send_datagram(mesh->send_arg, to, bytes, length);
 	}
 }
 
@@ -238,7 +243,7 @@
     const char *bytes, size_t length)
 {
 	const struct mesh_peer *origin = mesh_find(mesh, entries->name);
-	bool own = origin != NULL && mesh_peer_near(mesh, origin);
+	bool own = origin != NULL && mesh_peer_in_cell(mesh, origin);
 
 	if (mesh->relay != NULL || mesh_flat(mesh))
 		return;
@@ -278,12 +283,12 @@
 	if (!registry_apply_endpoints(mesh->registry, entries->from,
 		entries->end, entries->records, entries->returned_ms,
 		mesh->now_ms) &&
-	    mesh->gap_ms == 0)
-		mesh->gap_ms = mesh->now_ms;
+	    mesh->missing_since_ms == 0)
+		mesh->missing_since_ms = mesh->now_ms;
 }
 
 /**
- * mesh_take_entries() - take in a datagram about entries.
+ * mesh_receive_entries() - take in a datagram about entries.
  * @mesh: the mesh
  * @in: the datagram
  * @length: its length
@@ -292,14 +297,14 @@
  * Return: false where it is about something else.
  */
 bool
-mesh_take_entries(struct mesh *mesh, char *in, size_t length,
+mesh_receive_entries(struct mesh *mesh, char *in, size_t length,
     const struct sockaddr_in *from)
 {
 	struct mesh_entries entries;
-	struct mesh_ask ask;
+	struct mesh_resend ask;
 	bool ok;
 
-	if (mesh_ask_decode(&ask, in, length)) {
+	if (mesh_resend_decode(&ask, in, length)) {
 		feed_answer(mesh, &ask, from);
 		return (true);
 	}
@@ -311,7 +316,7 @@
 }
 
 /**
- * mesh_feed_look() - see whether entries are missing here.
+ * mesh_feed_check() - see whether entries are missing here.
  * @mesh: the mesh
  * @peer: a daemon that was heard
  * @end: its entries are complete up to this offset, or MESH_NO_ENTRIES
@@ -319,25 +324,25 @@
  * Asks it for them, and reads the store where that does not help.
  */
 void
-mesh_feed_look(struct mesh *mesh, const struct mesh_peer *peer, uint64_t end)
+mesh_feed_check(struct mesh *mesh, const struct mesh_peer *peer, uint64_t end)
 {
 	struct topic_follower *f = &mesh->registry->endpoints;
 	uint64_t gap;
 
 	if (end == MESH_NO_ENTRIES)
 		return;
-	if (mesh_peer_relays(mesh, peer))
+	if (mesh_peer_is_relay(mesh, peer))
 		mesh->feed_end = MAX(mesh->feed_end, end);
 	if (f->reader || !f->synced || f->snapshot_keys != NULL ||
 	    f->next >= mesh->feed_end) {
-		mesh->gap_ms = 0;
+		mesh->missing_since_ms = 0;
 		return;
 	}
-	if (mesh->gap_ms == 0)
-		mesh->gap_ms = mesh->now_ms;
-	gap = mesh->now_ms - mesh->gap_ms;
+	if (mesh->missing_since_ms == 0)
+		mesh->missing_since_ms = mesh->now_ms;
+	gap = mesh->now_ms - mesh->missing_since_ms;
 	if (gap >= GAP_STORE_MS) {
-		mesh->gap_ms = mesh->now_ms;
+		mesh->missing_since_ms = mesh->now_ms;
 		if (mesh->missed != NULL)
 			mesh->missed(mesh->missed_arg);
 	} else if (gap >= GAP_WAIT_MS && end > f->next) {
--- a/src/mesh-limits.c
+++ b/src/mesh-limits.c
@@ -37,24 +37,25 @@
 
 static void
 limit_fill(const struct mesh *mesh, const struct endpoint *ep,
-    struct mesh_news *news)
+    struct mesh_message *news)
 {
 	const struct endpoint_limit *limit = &ep->limit;
 	struct mesh_limit *told = &news->limits[news->n_limits++];
 
-	told->key = ep->id_hash;
-	told->milli = limit->active ? (uint32_t)lround(limit->per_s * MILLI) :
-				      MESH_NO_LIMIT;
+	told->id_hash = ep->id_hash;
+	told->milli_per_s = limit->active ?
+	    (uint32_t)lround(limit->per_s * MILLI) :
+	    MESH_NO_LIMIT;
 	told->age_ms =
 	    (uint32_t)MIN(mesh->now_ms - limit->as_of_ms, UINT32_MAX);
 	told->users = limit->cell_users;
-	told->each_micro =
+	told->each_micro_per_s =
 	    (uint32_t)MIN(lround(limit->cell_each_per_s * MICRO), UINT32_MAX);
 }
 
 /* Tells of what changed lately, or of all. */
 static void
-fill_news(const struct mesh *mesh, struct mesh_news *news, bool all)
+fill_news(const struct mesh *mesh, struct mesh_message *news, bool all)
 {
 	const struct endpoint *ep;
 
@@ -69,7 +70,7 @@
 
 /* Tells of some of the others, in turn. */
 static void
-fill_again(struct mesh *mesh, struct mesh_news *news)
+fill_again(struct mesh *mesh, struct mesh_message *news)
 {
 	unsigned *next = &mesh->limits_next[news->kind];
 	unsigned most = MIN(news->n_limits + AGAIN_MOST, MESH_LIMITS_MAX);
@@ -96,9 +97,9 @@
  * @news: the datagram; its kind is set
  */
 void
-mesh_fill_limits(struct mesh *mesh, struct mesh_news *news)
+mesh_fill_limits(struct mesh *mesh, struct mesh_message *news)
 {
-	uint64_t *told_ms = &mesh->limits_told_ms[news->kind];
+	uint64_t *told_ms = &mesh->limits_sent_ms[news->kind];
 	bool all = mesh->newcomer_ms != 0 &&
 	    mesh->now_ms - mesh->newcomer_ms < NEWS_MS;
 
@@ -116,17 +117,17 @@
 {
 	uint64_t now = mesh->now_ms;
 	struct endpoint *ep =
-	    fleet_find_by_hash(&mesh->registry->fleet, told->key);
-	bool none = told->milli == MESH_NO_LIMIT;
+	    fleet_find_by_hash(&mesh->registry->fleet, told->id_hash);
+	bool none = told->milli_per_s == MESH_NO_LIMIT;
 
 	if (ep == NULL)
 		return (false);
 	if (peer == mesh->relay) {
 		ep->limit.cell_users = told->users;
-		ep->limit.cell_each_per_s = told->each_micro / MICRO;
+		ep->limit.cell_each_per_s = told->each_micro_per_s / MICRO;
 	}
 	if (!endpoint_limit_merge(&ep->limit,
-		none ? INFINITY : told->milli / MILLI,
+		none ? INFINITY : told->milli_per_s / MILLI,
 		now - MIN(told->age_ms, now - 1), now))
 		return (false);
 	event_log(LOG_INFO, "endpoint_limit_told",
@@ -138,14 +139,14 @@
 }
 
 /**
- * mesh_take_limits() - take in what a datagram tells of limits.
+ * mesh_apply_limits() - take in what a datagram tells of limits.
  * @mesh: the mesh
  * @peer: its sender
  * @news: the datagram
  */
 void
-mesh_take_limits(struct mesh *mesh, const struct mesh_peer *peer,
-    const struct mesh_news *news)
+mesh_apply_limits(struct mesh *mesh, const struct mesh_peer *peer,
+    const struct mesh_message *news)
 {
 	bool fresh = false;
 
@@ -155,5 +156,5 @@
 		mesh_share_limits(mesh);
 	/* A relay tells news on at once. */
 	if (fresh && mesh->relay == NULL && !mesh_flat(mesh))
-		mesh_tell(mesh);
+		mesh_send(mesh);
 }
--- a/src/mesh-peers.c
+++ b/src/mesh-peers.c
@@ -22,13 +22,13 @@
 {
 	mesh->now_ms = now_ms;
 	mesh->opened_ms = now_ms;
-	mesh->life = life;
+	mesh->incarnation = life;
 	mesh->holder.gap_ms = 2 * MESH_ROUND_MS;
-	mesh->key = XXH32(mesh->name, strlen(mesh->name), 0);
+	mesh->name_hash = XXH32(mesh->name, strlen(mesh->name), 0);
 	mesh->by_name = g_hash_table_new(g_str_hash, g_str_equal);
-	mesh->by_key = g_hash_table_new(g_direct_hash, g_direct_equal);
+	mesh->by_name_hash = g_hash_table_new(g_direct_hash, g_direct_equal);
 	TAILQ_INIT(&mesh->peers);
-	for (unsigned i = 0; i < MESH_REPORTS; i++)
+	for (unsigned i = 0; i < MESH_REPORTS_MAX; i++)
 		mesh->reports[i].loads =
 		    g_array_new(FALSE, FALSE, sizeof(struct mesh_load));
 }
@@ -45,21 +45,21 @@
 	while ((peer = TAILQ_FIRST(&mesh->peers)) != NULL)
 		mesh_peer_free(mesh, peer);
 	g_hash_table_destroy(mesh->by_name);
-	g_hash_table_destroy(mesh->by_key);
-	for (unsigned i = 0; i < MESH_REPORTS; i++)
+	g_hash_table_destroy(mesh->by_name_hash);
+	for (unsigned i = 0; i < MESH_REPORTS_MAX; i++)
 		g_array_free(mesh->reports[i].loads, TRUE);
 	mesh_feed_clear(mesh);
 }
 
 /**
- * mesh_known() - the records of all daemons have been read.
+ * mesh_set_records_read() - the records of all daemons have been read.
  * @mesh: the mesh
  */
 void
-mesh_known(struct mesh *mesh)
+mesh_set_records_read(struct mesh *mesh)
 {
-	if (mesh->known_ms == 0)
-		mesh->known_ms = mesh->now_ms > 0 ? mesh->now_ms : 1;
+	if (mesh->records_read_ms == 0)
+		mesh->records_read_ms = mesh->now_ms > 0 ? mesh->now_ms : 1;
 }
 
 /**
@@ -74,14 +74,14 @@
 }
 
 /**
- * mesh_find_key() - a daemon by its short name.
+ * mesh_find_by_hash() - a daemon by its short name.
  * @mesh: the mesh
  * @key: the short name
  */
 struct mesh_peer *
-mesh_find_key(const struct mesh *mesh, uint32_t key)
+mesh_find_by_hash(const struct mesh *mesh, uint32_t key)
 {
-	return (g_hash_table_lookup(mesh->by_key, GUINT_TO_POINTER(key)));
+	return (g_hash_table_lookup(mesh->by_name_hash, GUINT_TO_POINTER(key)));
 }
 
 static struct mesh_peer *
@@ -92,14 +92,15 @@
 
 	peer->name = g_strdup(name);
 	peer->domain = g_strdup(domain);
-	peer->key = XXH32(name, strlen(name), 0);
+	peer->name_hash = XXH32(name, strlen(name), 0);
 	peer->loads = g_array_new(FALSE, FALSE, sizeof(struct mesh_load));
-	peer->met_ms = mesh->now_ms;
+	peer->first_seen_ms = mesh->now_ms;
 	peer->config_version = -1;
 	net_pool_init(&peer->pool, mesh->loop, addr);
 	TAILQ_INSERT_TAIL(&mesh->peers, peer, entry);
 	g_hash_table_insert(mesh->by_name, peer->name, peer);
-	g_hash_table_insert(mesh->by_key, GUINT_TO_POINTER(peer->key), peer);
+	g_hash_table_insert(mesh->by_name_hash,
+	    GUINT_TO_POINTER(peer->name_hash), peer);
 	mesh->n_peers++;
 	log_debug("peer_known", "peer=%s domain=%s", name, domain);
 	return (peer);
@@ -139,12 +140,13 @@
 void
 mesh_peer_free(struct mesh *mesh, struct mesh_peer *peer)
 {
-	mesh_uncount(mesh, peer);
+	mesh_remove_loads(mesh, peer);
 	if (mesh->relay == peer)
 		mesh->relay = NULL;
 	TAILQ_REMOVE(&mesh->peers, peer, entry);
 	g_hash_table_remove(mesh->by_name, peer->name);
-	g_hash_table_remove(mesh->by_key, GUINT_TO_POINTER(peer->key));
+	g_hash_table_remove(mesh->by_name_hash,
+	    GUINT_TO_POINTER(peer->name_hash));
 	mesh->n_peers--;
 	g_free(peer->name);
 	g_free(peer->domain);
@@ -161,43 +163,44 @@
 }
 
 /**
- * mesh_peer_near() - whether a daemon belongs to the own cell.
+ * mesh_peer_in_cell() - whether a daemon belongs to the own cell.
  * @mesh: the mesh
  * @peer: the daemon
  */
 bool
-mesh_peer_near(const struct mesh *mesh, const struct mesh_peer *peer)
+mesh_peer_in_cell(const struct mesh *mesh, const struct mesh_peer *peer)
 {
 	return (!mesh_flat(mesh) && strcmp(peer->domain, mesh->domain) == 0);
 }
 
 /**
- * mesh_peer_relays() - whether a daemon was lately heard as a relay.
+ * mesh_peer_is_relay() - whether a daemon was lately heard as a relay.
  * @mesh: the mesh
  * @peer: the daemon
  */
 bool
-mesh_peer_relays(const struct mesh *mesh, const struct mesh_peer *peer)
+mesh_peer_is_relay(const struct mesh *mesh, const struct mesh_peer *peer)
 {
-	uint64_t bound =
-	    mesh_peer_near(mesh, peer) ? MESH_RELAY_LOST_MS : MESH_PEER_DEAD_MS;
+	uint64_t bound = mesh_peer_in_cell(mesh, peer) ? MESH_RELAY_TIMEOUT_MS :
+							 MESH_PEER_TIMEOUT_MS;
 
-	return (within(mesh, peer->relayed_ms, bound) && !peer->self.leaving);
+	return (
+	    within(mesh, peer->relay_heard_ms, bound) && !peer->self.leaving);
 }
 
 /**
- * mesh_peer_relayed() - a daemon spoke as a relay just now.
+ * mesh_peer_note_relay() - a daemon spoke as a relay just now.
  * @mesh: the mesh
  * @peer: the daemon
  */
 void
-mesh_peer_relayed(const struct mesh *mesh, struct mesh_peer *peer)
+mesh_peer_note_relay(const struct mesh *mesh, struct mesh_peer *peer)
 {
-	double gap = (double)(mesh->now_ms - peer->relayed_ms);
+	double gap = (double)(mesh->now_ms - peer->relay_heard_ms);
 
-	if (mesh_peer_relays(mesh, peer))
-		peer->gap_ms += GAP_ALPHA * (gap - peer->gap_ms);
-	peer->relayed_ms = mesh->now_ms;
+	if (mesh_peer_is_relay(mesh, peer))
+		peer->relay_gap_ms += GAP_ALPHA * (gap - peer->relay_gap_ms);
+	peer->relay_heard_ms = mesh->now_ms;
 }
 
 /**
@@ -208,57 +211,57 @@
 bool
 mesh_peer_reports(const struct mesh *mesh, const struct mesh_peer *peer)
 {
-	return (mesh_peer_near(mesh, peer) &&
-	    within(mesh, peer->reported_ms, MESH_PEER_DEAD_MS));
+	return (mesh_peer_in_cell(mesh, peer) &&
+	    within(mesh, peer->last_report_ms, MESH_PEER_TIMEOUT_MS));
 }
 
 /**
- * mesh_peer_hinted() - whether there is a word, of itself or of another, that
- * a daemon lives.
+ * mesh_peer_maybe_alive() - whether there is a word, of itself or of another,
+ * that a daemon lives.
  * @mesh: the mesh
  * @peer: the daemon
  *
  * What it said as a relay does not count: that it still is one shows by itself.
  */
 bool
-mesh_peer_hinted(const struct mesh *mesh, const struct mesh_peer *peer)
+mesh_peer_maybe_alive(const struct mesh *mesh, const struct mesh_peer *peer)
 {
-	uint64_t met = peer->heard_ms == 0 ? peer->met_ms : 0;
+	uint64_t met = peer->heard_ms == 0 ? peer->first_seen_ms : 0;
 
 	return (within(mesh, met, HINT_MS) ||
 	    within(mesh, peer->listed_ms, HINT_MS) ||
-	    within(mesh, peer->pointed_ms, HINT_MS) ||
-	    within(mesh, peer->reported_ms, HINT_MS));
+	    within(mesh, peer->redirected_ms, HINT_MS) ||
+	    within(mesh, peer->last_report_ms, HINT_MS));
 }
 
 /**
- * mesh_led() - whether this daemon hears the relay that it reports to.
+ * mesh_relay_alive() - whether this daemon hears the relay that it reports to.
  * @mesh: the mesh
  */
 bool
-mesh_led(const struct mesh *mesh)
+mesh_relay_alive(const struct mesh *mesh)
 {
-	return (mesh->relay != NULL && mesh_peer_relays(mesh, mesh->relay));
+	return (mesh->relay != NULL && mesh_peer_is_relay(mesh, mesh->relay));
 }
 
 /**
- * mesh_living() - how many other daemons live.
+ * mesh_count_alive() - how many other daemons live.
  * @mesh: the mesh
  */
 unsigned
-mesh_living(const struct mesh *mesh)
+mesh_count_alive(const struct mesh *mesh)
 {
 	const struct mesh_peer *peer;
 	unsigned n = 0;
 
-	if (mesh_led(mesh))
-		return (MAX(mesh->relay->living, 1) - 1);
+	if (mesh_relay_alive(mesh))
+		return (MAX(mesh->relay->n_alive, 1) - 1);
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
 		if (mesh_peer_reports(mesh, peer))
 			n++;
-		else if (!mesh_peer_near(mesh, peer) &&
-		    mesh_peer_relays(mesh, peer))
-			n += peer->living;
+		else if (!mesh_peer_in_cell(mesh, peer) &&
+		    mesh_peer_is_relay(mesh, peer))
+			n += peer->n_alive;
 	}
 	return (n);
 }
--- a/src/mesh-poison.c
+++ b/src/mesh-poison.c
@@ -1,7 +1,7 @@
 /* Work that is suspected of ending endpoints: who is told, and what is taken.
  */
 #include "event-log.h"
-#include "fwd-work.h"
+#include "fwd-fingerprint.h"
 #include "mesh.h"
 
 /* What is new is told in every datagram for so long, so that some may be lost,
@@ -29,7 +29,7 @@
 	switch (kind) {
 	case MESH_REPORT:
 		return (reach == POISON_LOCAL);
-	case MESH_CELL:
+	case MESH_CELL_SUMMARY:
 		return (reach != POISON_REMOTE);
 	default:
 		return (true);
@@ -38,29 +38,29 @@
 
 /* Whether there is room for all that is told of some work. */
 static bool
-has_room(const struct mesh_news *news, unsigned most,
+has_room(const struct mesh_message *news, unsigned most,
     const struct poison_request *w)
 {
 	return (news->n_poison + MAX(w->n_crashes, 1) <= most);
 }
 
 static struct mesh_poison *
-news_add(struct mesh_news *news, uint64_t work, uint64_t age_ms)
+news_add(struct mesh_message *news, uint64_t work, uint64_t age_ms)
 {
 	struct mesh_poison *told = &news->poison[news->n_poison++];
 
-	told->work = work;
-	told->key = 0;
+	told->fingerprint = work;
+	told->id_hash = 0;
 	told->started = 0;
 	told->age_ms = (uint32_t)MIN(age_ms, UINT32_MAX);
-	told->sign = MESH_CLEARED;
+	told->kind = MESH_POISON_CLEARED;
 	return (told);
 }
 
 /* Tells the ends of some work that are of a reach, or that it was cleared. */
 static void
 work_fill(const struct mesh *mesh, const struct poison_request *w, bool all,
-    struct mesh_news *news)
+    struct mesh_message *news)
 {
 	for (unsigned i = 0; i < w->n_crashes; i++) {
 		const struct poison_crash *end = &w->crashes[i];
@@ -70,9 +70,10 @@
 			continue;
 		told = news_add(news, w->fingerprint,
 		    mesh->now_ms - MIN(end->at_ms, mesh->now_ms));
-		told->key = end->id_hash;
+		told->id_hash = end->id_hash;
 		told->started = end->started;
-		told->sign = end->silent ? MESH_SILENT : MESH_BROKEN;
+		told->kind =
+		    end->silent ? MESH_POISON_SILENT : MESH_POISON_BROKEN;
 	}
 	if (w->n_crashes == 0 && w->cleared_ms != 0 &&
 	    reach_told(news->kind, w->cleared_origin))
@@ -81,7 +82,7 @@
 
 /* Tells of what changed lately, or of all, if it has ends enough. */
 static void
-fill_news(const struct mesh *mesh, struct mesh_news *news, bool all,
+fill_news(const struct mesh *mesh, struct mesh_message *news, bool all,
     unsigned least, unsigned most)
 {
 	const struct poison_request *w;
@@ -109,7 +110,7 @@
 
 /* Tells of some of the others, in turn. */
 static void
-fill_again(struct mesh *mesh, struct mesh_news *news)
+fill_again(struct mesh *mesh, struct mesh_message *news)
 {
 	unsigned *next = &mesh->poison_next[news->kind];
 	unsigned most = MIN(news->n_poison + AGAIN_MOST, MESH_POISON_MAX);
@@ -138,9 +139,9 @@
  * innocent.
  */
 void
-mesh_fill_poison(struct mesh *mesh, struct mesh_news *news)
+mesh_fill_poison(struct mesh *mesh, struct mesh_message *news)
 {
-	uint64_t *told_ms = &mesh->poison_told_ms[news->kind];
+	uint64_t *told_ms = &mesh->poison_sent_ms[news->kind];
 	bool all = mesh->newcomer_ms != 0 &&
 	    mesh->now_ms - mesh->newcomer_ms < RELAY_NEWS_MS;
 
@@ -156,7 +157,7 @@
 static int
 told_level(const struct poison *poison, const struct mesh_poison *told)
 {
-	const struct poison_request *w = poison_find(poison, told->work);
+	const struct poison_request *w = poison_find(poison, told->fingerprint);
 
 	return (w != NULL && w->n_crashes > 1 ? LOG_INFO : LOG_DEBUG);
 }
@@ -169,38 +170,39 @@
 	struct poison *poison = &mesh->registry->poison;
 	uint64_t now = mesh->now_ms, at = now - MIN(told->age_ms, now - 1);
 	const struct poison_crash end = {
-		.id_hash = told->key,
+		.id_hash = told->id_hash,
 		.started = told->started,
 		.at_ms = at,
-		.silent = told->sign == MESH_SILENT,
+		.silent = told->kind == MESH_POISON_SILENT,
 		.origin = reach,
 	};
-	bool cleared = told->sign == MESH_CLEARED;
-	bool news = cleared ? poison_clear(poison, told->work, at, reach, now) :
-			      poison_add_crash(poison, told->work, &end, now);
+	bool cleared = told->kind == MESH_POISON_CLEARED;
+	bool news = cleared ?
+	    poison_clear(poison, told->fingerprint, at, reach, now) :
+	    poison_add_crash(poison, told->fingerprint, &end, now);
 
 	/* A single end is a bystander's most often, and there are many. */
 	if (news)
 		event_log(told_level(poison, told), "work_told",
 		    "work=%08x sign=%s endpoint_key=%08x started=%08x "
 		    "age_ms=%u peer=%s",
-		    WORK_SHORT(told->work),
+		    FINGERPRINT_SHORT(told->fingerprint),
 		    cleared	   ? "cleared" :
 			end.silent ? "silent" :
 				     "broken",
-		    told->key, told->started, told->age_ms, peer->name);
+		    told->id_hash, told->started, told->age_ms, peer->name);
 	return (news);
 }
 
 /**
- * mesh_take_poison() - take in what a datagram tells of suspected work.
+ * mesh_apply_poison() - take in what a datagram tells of suspected work.
  * @mesh: the mesh
  * @peer: its sender
  * @news: the datagram
  */
 void
-mesh_take_poison(struct mesh *mesh, const struct mesh_peer *peer,
-    const struct mesh_news *news)
+mesh_apply_poison(struct mesh *mesh, const struct mesh_peer *peer,
+    const struct mesh_message *news)
 {
 	enum poison_origin reach =
 	    news->kind == MESH_REPORT ? POISON_CELL : POISON_REMOTE;
@@ -210,5 +212,5 @@
 		fresh |= take_poison(mesh, peer, reach, &news->poison[i]);
 	/* A relay tells news on at once. */
 	if (fresh && mesh->relay == NULL && !mesh_flat(mesh))
-		mesh_tell(mesh);
+		mesh_send(mesh);
 }
--- a/src/mesh-take.c
+++ b/src/mesh-receive.c
@@ -20,7 +20,7 @@
  * there. The time that the answer took can only make it younger than that.
  */
 static uint64_t
-proof_ms(const struct mesh_news *news, uint64_t asked_ms)
+proof_ms(const struct mesh_message *news, uint64_t asked_ms)
 {
 	if (asked_ms == 0 || news->config_age_ms == MESH_NEVER ||
 	    news->config_age_ms >= asked_ms)
@@ -53,7 +53,7 @@
 {
 	uint64_t now = mesh->now_ms, at = now - MIN(avoid->age_ms, now);
 	struct endpoint *ep =
-	    fleet_find_by_hash(&mesh->registry->fleet, avoid->key);
+	    fleet_find_by_hash(&mesh->registry->fleet, avoid->id_hash);
 	bool first;
 
 	if (ep == NULL || at <= ep->avoided_ms ||
@@ -74,14 +74,14 @@
 /* Takes all warnings; a relay tells new ones on at once. */
 static void
 take_avoids(struct mesh *mesh, const struct mesh_peer *peer,
-    const struct mesh_news *news)
+    const struct mesh_message *news)
 {
 	bool fresh = false;
 
 	for (uint32_t i = 0; i < news->n_avoid; i++)
 		fresh |= take_avoid(mesh, peer, &news->avoid[i]);
 	if (fresh && mesh->relay == NULL && !mesh_flat(mesh))
-		mesh_tell(mesh);
+		mesh_send(mesh);
 }
 
 /* Names the own relay to one that took this daemon for it. */
@@ -89,31 +89,31 @@
 point(struct mesh *mesh, struct mesh_peer *peer)
 {
 	if (mesh->relay != NULL && mesh->relay != peer)
-		mesh_tell_peer(mesh, peer, MESH_POINTER);
+		mesh_send_to(mesh, peer, MESH_REDIRECT);
 }
 
 static void
 take_report(struct mesh *mesh, struct mesh_peer *peer,
-    const struct mesh_news *news)
+    const struct mesh_message *news)
 {
 	bool known = mesh_peer_reports(mesh, peer);
 
 	/* At first the others know more of the fleet's size. */
 	if (mesh->now_ms - mesh->opened_ms < BEGIN_MS &&
 	    strcmp(peer->domain, mesh->domain) == 0)
-		mesh->fleet_ms = mesh->now_ms;
-	peer->reported_ms = mesh->now_ms;
+		mesh->cells_heard_ms = mesh->now_ms;
+	peer->last_report_ms = mesh->now_ms;
 	if (mesh->relay != NULL) {
 		point(mesh, peer);
 		return;
 	}
-	if (!known && mesh_peer_near(mesh, peer))
+	if (!known && mesh_peer_in_cell(mesh, peer))
 		event_log(LOG_INFO, "peer_reports", "peer=%s life=%llx",
-		    peer->name, (unsigned long long)news->life);
-	mesh_count(mesh, peer, news, mesh_peer_near(mesh, peer));
+		    peer->name, (unsigned long long)news->incarnation);
+	mesh_add_loads(mesh, peer, news, mesh_peer_in_cell(mesh, peer));
 	/* One that starts waits for what is known here. */
-	if (!known && mesh_peer_near(mesh, peer))
-		mesh_tell_peer(mesh, peer, MESH_FLEET);
+	if (!known && mesh_peer_in_cell(mesh, peer))
+		mesh_send_to(mesh, peer, MESH_FLEET_SUMMARY);
 }
 
 /* The relay that a peer names becomes known, and worth a word. */
@@ -128,14 +128,14 @@
 		return;
 	/* In the own cell a relay that is known shows by its own words, and its
 	 * silence counts for more than what others have not noticed yet. */
-	if (named != NULL && mesh_peer_near(mesh, named))
+	if (named != NULL && mesh_peer_in_cell(mesh, named))
 		return;
 	addr.sin_addr.s_addr = relay->ip;
 	addr.sin_port = htons(relay->port);
 	named =
 	    mesh_add(mesh, relay->name, peer->domain, relay->capacity, &addr);
 	if (named != NULL)
-		named->pointed_ms = mesh->now_ms;
+		named->redirected_ms = mesh->now_ms;
 }
 
 /* A cell whose new relay speaks is no longer spoken for by the old one, unless
@@ -146,155 +146,157 @@
 	struct mesh_peer *other;
 
 	TAILQ_FOREACH(other, &mesh->peers, entry) {
-		double quiet = (double)(mesh->now_ms - other->relayed_ms);
+		double quiet = (double)(mesh->now_ms - other->relay_heard_ms);
 
-		if (other == peer || other->relayed_ms == 0 ||
+		if (other == peer || other->relay_heard_ms == 0 ||
 		    strcmp(other->domain, peer->domain) != 0 ||
-		    quiet <= OLD_RELAY_GAPS * other->gap_ms + MESH_ROUND_MS)
+		    quiet <=
+			OLD_RELAY_GAPS * other->relay_gap_ms + MESH_ROUND_MS)
 			continue;
-		other->relayed_ms = 0;
-		mesh_uncount(mesh, other);
+		other->relay_heard_ms = 0;
+		mesh_remove_loads(mesh, other);
 	}
 }
 
 static void
 take_cell(struct mesh *mesh, struct mesh_peer *peer,
-    const struct mesh_news *news)
+    const struct mesh_message *news)
 {
-	mesh_peer_relayed(mesh, peer);
+	mesh_peer_note_relay(mesh, peer);
 	if (mesh->relay != NULL) {
 		point(mesh, peer);
 		return;
 	}
 	if (!mesh_flat(mesh))
 		drop_old_relays(mesh, peer);
-	mesh_count(mesh, peer, news, false);
+	mesh_add_loads(mesh, peer, news, false);
 }
 
 /* Notes which daemons of the cell live, and which could give a configuration.
  */
 static void
-take_members(struct mesh *mesh, const struct mesh_news *news)
+take_members(struct mesh *mesh, const struct mesh_message *news)
 {
 	for (uint32_t i = 0; i < news->n_members; i++) {
 		struct mesh_peer *peer =
-		    mesh_find_key(mesh, news->members[i].key);
+		    mesh_find_by_hash(mesh, news->members[i].name_hash);
 
 		if (peer == NULL)
 			continue;
 		peer->listed_ms = mesh->now_ms;
-		peer->newest = news->members[i].newest;
+		peer->config_current = news->members[i].config_current;
 	}
 }
 
 /* Notes who else belongs to the own cell. */
 static void
 take_cell_keys(struct mesh *mesh, const struct mesh_peer *relay,
-    const struct mesh_news *news)
+    const struct mesh_message *news)
 {
-	mesh->n_cell_keys = 0;
-	mesh->cell_keys[mesh->n_cell_keys++] = relay->key;
+	mesh->n_cell_hashes = 0;
+	mesh->cell_hashes[mesh->n_cell_hashes++] = relay->name_hash;
 	for (uint32_t i = 0;
-	     i < news->n_members && mesh->n_cell_keys < MESH_MEMBERS_MAX; i++) {
-		if (news->members[i].key != mesh->key)
-			mesh->cell_keys[mesh->n_cell_keys++] =
-			    news->members[i].key;
+	     i < news->n_members && mesh->n_cell_hashes < MESH_MEMBERS_MAX;
+	     i++) {
+		if (news->members[i].name_hash != mesh->name_hash)
+			mesh->cell_hashes[mesh->n_cell_hashes++] =
+			    news->members[i].name_hash;
 	}
 }
 
 static void
 take_fleet(struct mesh *mesh, struct mesh_peer *peer,
-    const struct mesh_news *news)
+    const struct mesh_message *news)
 {
-	const struct mesh_told *told = mesh_answered_report(mesh, news);
+	const struct mesh_report *told = mesh_acked_report(mesh, news);
 
 	if (strcmp(peer->domain, mesh->domain) != 0)
 		return;
-	mesh->fleet_ms = mesh->now_ms;
-	mesh_peer_relayed(mesh, peer);
+	mesh->cells_heard_ms = mesh->now_ms;
+	mesh_peer_note_relay(mesh, peer);
 	take_members(mesh, news);
 	if (told != NULL)
 		peer->config_proof_ms = proof_ms(news, told->sent_ms);
 	if (peer != mesh->relay)
 		return;
 	take_cell_keys(mesh, peer, news);
-	mesh_count_fleet(mesh, peer, news);
+	mesh_set_fleet_loads(mesh, peer, news);
 }
 
 /* A line for each change of what is believed of a daemon. */
 static void
-log_change(const struct mesh_peer *peer, const struct mesh_news *news)
+log_change(const struct mesh_peer *peer, const struct mesh_message *news)
 {
-	if (peer->life == news->life &&
+	if (peer->incarnation == news->incarnation &&
 	    peer->self.placer == news->self.placer &&
 	    peer->self.leaving == news->self.leaving)
 		return;
 	event_log(LOG_INFO, "peer_changed",
 	    "peer=%s life=%llx placer=%d term=%lld leaving=%d store_ok=%d",
-	    peer->name, (unsigned long long)news->life, news->self.placer,
-	    (long long)news->self.term, news->self.leaving,
+	    peer->name, (unsigned long long)news->incarnation,
+	    news->self.placer, (long long)news->self.term, news->self.leaving,
 	    news->self.store_ok);
 }
 
 /* Notes what a peer says of itself. */
 static void
 take_self(struct mesh *mesh, struct mesh_peer *peer,
-    const struct mesh_news *news)
+    const struct mesh_message *news)
 {
 	log_change(peer, news);
-	if (peer->life != news->life)
+	if (peer->incarnation != news->incarnation)
 		mesh->newcomer_ms = mesh->now_ms;
-	peer->life = news->life;
+	peer->incarnation = news->incarnation;
 	peer->sequence = news->sequence;
 	peer->ping = news->ping;
 	peer->self = news->self;
-	peer->living = news->living;
+	peer->n_alive = news->n_alive;
 	peer->config_version = news->config_version;
 	peer->config_offset = news->config_offset;
 	peer->config_proof_ms = proof_ms(news, news->pong);
 	peer->heard_ms = mesh->now_ms;
 	mesh->self.term = MAX(mesh->self.term, news->self.term);
-	mesh_note_holder(mesh, news);
+	mesh_update_holder(mesh, news);
 }
 
 /* What the kind of a datagram says. */
 static void
 take_kind(struct mesh *mesh, struct mesh_peer *peer,
-    const struct mesh_news *news)
+    const struct mesh_message *news)
 {
 	switch (news->kind) {
 	case MESH_REPORT:
 		take_report(mesh, peer, news);
 		break;
-	case MESH_POINTER:
+	case MESH_REDIRECT:
 		take_pointer(mesh, peer, &news->relay);
 		break;
-	case MESH_CELL:
+	case MESH_CELL_SUMMARY:
 		take_cell(mesh, peer, news);
 		break;
-	case MESH_FLEET:
+	case MESH_FLEET_SUMMARY:
 		take_fleet(mesh, peer, news);
 		break;
 	}
 }
 
 /**
- * mesh_take() - take in a datagram.
+ * mesh_receive() - take in a datagram.
  * @mesh: the mesh
  * @in: the datagram
  * @length: its length
  * @from: where it came from
  */
 void
-mesh_take(struct mesh *mesh, char *in, size_t length,
+mesh_receive(struct mesh *mesh, char *in, size_t length,
     const struct sockaddr_in *from)
 {
-	static struct mesh_news news;
+	static struct mesh_message news;
 	struct mesh_peer *peer;
 
-	if (mesh_take_entries(mesh, in, length, from))
+	if (mesh_receive_entries(mesh, in, length, from))
 		return;
-	if (!mesh_news_decode(&news, in, length)) {
+	if (!mesh_message_decode(&news, in, length)) {
 		event_log(LOG_WARNING, "peer_news_ignored",
 		    "bytes=%zu reason=format", length);
 		return;
@@ -302,15 +304,16 @@
 	peer = mesh_add(mesh, news.name, news.domain, news.capacity, from);
 	/* Datagrams may overtake each other, and may come twice. */
 	if (peer == NULL ||
-	    (peer->life == news.life && news.sequence <= peer->sequence))
+	    (peer->incarnation == news.incarnation &&
+		news.sequence <= peer->sequence))
 		return;
 	take_self(mesh, peer, &news);
 	take_kind(mesh, peer, &news);
 	take_proof(mesh, peer);
 	mesh_fetch_config(mesh, peer);
 	take_avoids(mesh, peer, &news);
-	mesh_take_limits(mesh, peer, &news);
-	mesh_take_poison(mesh, peer, &news);
+	mesh_apply_limits(mesh, peer, &news);
+	mesh_apply_poison(mesh, peer, &news);
 	mesh_fetch_entries(mesh, peer, news.entries_end);
-	mesh_feed_look(mesh, peer, news.entries_end);
+	mesh_feed_check(mesh, peer, news.entries_end);
 }
--- a/src/mesh-role.c
+++ b/src/mesh-role.c
@@ -43,11 +43,11 @@
 bool
 mesh_flat(const struct mesh *mesh)
 {
-	bool told = mesh->fleet_ms != 0 &&
-	    mesh->now_ms - mesh->fleet_ms < MESH_PEER_DEAD_MS;
+	bool told = mesh->cells_heard_ms != 0 &&
+	    mesh->now_ms - mesh->cells_heard_ms < MESH_PEER_TIMEOUT_MS;
 
 	/* A daemon that knows few may still be told by those that know more. */
-	return (mesh->size <= FLAT_MOST && !told);
+	return (mesh->n_others <= FLAT_MOST && !told);
 }
 
 /* The order of daemons for duties: those with more room, then by name. */
@@ -61,24 +61,24 @@
 }
 
 /**
- * mesh_before() - whether this daemon comes before another for duties.
+ * mesh_outranks() - whether this daemon comes before another for duties.
  * @mesh: the mesh
  * @peer: the other
  */
 bool
-mesh_before(const struct mesh *mesh, const struct mesh_peer *peer)
+mesh_outranks(const struct mesh *mesh, const struct mesh_peer *peer)
 {
 	return (comes_before(mesh->capacity, mesh->name, peer->capacity,
 	    peer->name));
 }
 
 /**
- * mesh_peer_before() - whether a daemon comes before another for duties.
+ * mesh_peer_outranks() - whether a daemon comes before another for duties.
  * @a: the one
  * @b: the other
  */
 bool
-mesh_peer_before(const struct mesh_peer *a, const struct mesh_peer *b)
+mesh_peer_outranks(const struct mesh_peer *a, const struct mesh_peer *b)
 {
 	return (comes_before(a->capacity, a->name, b->capacity, b->name));
 }
@@ -87,16 +87,16 @@
 static bool
 peer_failed(const struct mesh *mesh, const struct mesh_peer *peer)
 {
-	uint64_t since = mesh->now_ms - peer->tried_ms;
+	uint64_t since = mesh->now_ms - peer->trial_ms;
 
-	return (peer->tried_ms != 0 && since >= TRY_MS && since < TRY_AGAIN_MS);
+	return (peer->trial_ms != 0 && since >= TRY_MS && since < TRY_AGAIN_MS);
 }
 
 /* Whether a daemon might relay if it were reported to. */
 static bool
 peer_might_relay(const struct mesh *mesh, const struct mesh_peer *peer)
 {
-	return (mesh_peer_hinted(mesh, peer) && !peer_failed(mesh, peer) &&
+	return (mesh_peer_maybe_alive(mesh, peer) && !peer_failed(mesh, peer) &&
 	    !peer->self.leaving);
 }
 
@@ -108,8 +108,8 @@
 	struct mesh_peer *peer, *first = NULL;
 
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
-		if (mesh_peer_near(mesh, peer) && holds(mesh, peer) &&
-		    (first == NULL || mesh_peer_before(peer, first)))
+		if (mesh_peer_in_cell(mesh, peer) && holds(mesh, peer) &&
+		    (first == NULL || mesh_peer_outranks(peer, first)))
 			first = peer;
 	}
 	return (first);
@@ -122,7 +122,7 @@
 	const struct catalog *catalog = mesh->registry->catalog;
 
 	return (mesh->now_ms - mesh->opened_ms >= SETTLE_MS &&
-	    mesh->newest <= (catalog != NULL ? catalog->version : -1));
+	    mesh->newest_version <= (catalog != NULL ? catalog->version : -1));
 }
 
 /**
@@ -142,17 +142,18 @@
 
 	if (mesh_flat(mesh))
 		return (NULL);
-	first = first_of_cell(mesh, mesh_peer_relays);
+	first = first_of_cell(mesh, mesh_peer_is_relay);
 	if (first != NULL)
-		return (able && mesh_before(mesh, first) && self_settled(mesh) ?
+		return (
+		    able && mesh_outranks(mesh, first) && self_settled(mesh) ?
 			NULL :
 			first);
 	first = first_of_cell(mesh, peer_might_relay);
-	if (first == NULL || (able && mesh_before(mesh, first)))
+	if (first == NULL || (able && mesh_outranks(mesh, first)))
 		return (NULL);
-	if (first->tried_ms == 0 ||
-	    mesh->now_ms - first->tried_ms >= TRY_AGAIN_MS)
-		first->tried_ms = mesh->now_ms;
+	if (first->trial_ms == 0 ||
+	    mesh->now_ms - first->trial_ms >= TRY_AGAIN_MS)
+		first->trial_ms = mesh->now_ms;
 	return (first);
 }
 
@@ -164,32 +165,34 @@
 	if (placer->term < holder->term ||
 	    (placer->term == holder->term && at_ms <= holder->heard_ms))
 		return;
-	if (placer->term == holder->term && placer->key == holder->key)
+	if (placer->term == holder->term &&
+	    placer->name_hash == holder->name_hash)
 		holder->gap_ms += HOLDER_GAP_ALPHA *
 		    ((double)(at_ms - holder->heard_ms) - holder->gap_ms);
-	holder->key = placer->key;
+	holder->name_hash = placer->name_hash;
 	holder->term = placer->term;
 	holder->heard_ms = at_ms;
-	holder->fit = placer->fit;
+	holder->can_place = placer->can_place;
 }
 
 /**
- * mesh_note_holder() - take in what a daemon knows of the placer.
+ * mesh_update_holder() - take in what a daemon knows of the placer.
  * @mesh: the mesh
  * @news: its datagram
  */
 void
-mesh_note_holder(struct mesh *mesh, const struct mesh_news *news)
+mesh_update_holder(struct mesh *mesh, const struct mesh_message *news)
 {
 	struct mesh_holder *holder = &mesh->holder;
 	const struct mesh_peer *peer = mesh_find(mesh, news->name);
 
 	/* One that gave its lease up says so itself. */
-	if (peer != NULL && peer->key == holder->key && !news->self.placer)
-		holder->fit = false;
+	if (peer != NULL && peer->name_hash == holder->name_hash &&
+	    !news->self.placer)
+		holder->can_place = false;
 	if (news->placer.age_ms == MESH_NEVER ||
 	    news->placer.age_ms >= mesh->now_ms ||
-	    news->placer.key == mesh->key)
+	    news->placer.name_hash == mesh->name_hash)
 		return;
 	holder_heard(holder, &news->placer, mesh->now_ms - news->placer.age_ms);
 }
@@ -207,21 +210,21 @@
 	    CLAMP(HOLDER_LOST_MORE_MS + HOLDER_LOST_GAPS * holder->gap_ms,
 		HOLDER_LOST_LEAST_MS, HOLDER_LOST_MOST_MS);
 
-	return (holder->heard_ms != 0 && holder->fit &&
+	return (holder->heard_ms != 0 && holder->can_place &&
 	    holder->term >= mesh->self.term &&
 	    (double)(mesh->now_ms - MIN(holder->heard_ms, mesh->now_ms)) <
 		lost);
 }
 
 /**
- * mesh_lease_outdone() - whether another daemon took the lease that this one
+ * mesh_lease_superseded() - whether another daemon took the lease that this one
  * holds.
  * @mesh: the mesh
  *
  * One that the store turns away learns it from the others only.
  */
 bool
-mesh_lease_outdone(const struct mesh *mesh)
+mesh_lease_superseded(const struct mesh *mesh)
 {
 	return (mesh->self.placer && mesh->holder.term > mesh->held_term);
 }
@@ -230,7 +233,7 @@
 static bool
 peer_able(const struct mesh *mesh, const struct mesh_peer *peer)
 {
-	return (mesh_peer_relays(mesh, peer) && peer->self.store_ok);
+	return (mesh_peer_is_relay(mesh, peer) && peer->self.store_ok);
 }
 
 /**
@@ -249,15 +252,15 @@
 		bool able = peer_able(mesh, peer);
 
 		relays += able;
-		before += able && !mesh_before(mesh, peer);
+		before += able && !mesh_outranks(mesh, peer);
 	}
 	return (mesh->relay == NULL ?
 		before :
-		relays + RANK_NO_RELAY + mesh->key % RANK_SPREAD);
+		relays + RANK_NO_RELAY + mesh->name_hash % RANK_SPREAD);
 }
 
 /**
- * mesh_first_reader() - whether this daemon should read the store for the
+ * mesh_is_reader() - whether this daemon should read the store for the
  * others.
  * @mesh: the mesh
  *
@@ -265,20 +268,21 @@
  * relays, so that one of them notices the store's return.
  */
 bool
-mesh_first_reader(const struct mesh *mesh)
+mesh_is_reader(const struct mesh *mesh)
 {
 	const struct mesh_peer *peer;
 	bool reached = mesh->self.store_ok;
 
-	if (mesh->relay != NULL || mesh->known_ms == 0)
+	if (mesh->relay != NULL || mesh->records_read_ms == 0)
 		return (false);
 	TAILQ_FOREACH(peer, &mesh->peers, entry)
 		reached = reached || peer_able(mesh, peer);
 	if (reached && !mesh->self.store_ok)
 		return (false);
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
-		if (mesh_peer_relays(mesh, peer) &&
-		    peer->self.store_ok == reached && !mesh_before(mesh, peer))
+		if (mesh_peer_is_relay(mesh, peer) &&
+		    peer->self.store_ok == reached &&
+		    !mesh_outranks(mesh, peer))
 			return (false);
 	}
 	return (true);
@@ -293,14 +297,14 @@
 static double
 mesh_wait_share(const struct mesh *mesh)
 {
-	double others = MAX(mesh->size, 1) + 1.0;
-	double draw = (mesh->key + 1.0) / (UINT32_MAX + 1.0);
+	double others = MAX(mesh->n_others, 1) + 1.0;
+	double draw = (mesh->name_hash + 1.0) / (UINT32_MAX + 1.0);
 
 	return (MAX(0.0, 1.0 + log2(draw) / log2(others)));
 }
 
 /**
- * mesh_patience_ms() - how old others' word of the store may get before this
+ * mesh_stale_after_ms() - how old others' word of the store may get before this
  * daemon reads the store for itself.
  * @mesh: the mesh
  * @least: above the usual age, in milliseconds
@@ -311,7 +315,7 @@
  * daemons that follow them could read it.
  */
 unsigned
-mesh_patience_ms(const struct mesh *mesh, unsigned least, unsigned most)
+mesh_stale_after_ms(const struct mesh *mesh, unsigned least, unsigned most)
 {
 	if (mesh->relay == NULL)
 		return (least);
