--- a/src/mesh-tell.c
+++ b/src/mesh-send.c
@@ -39,7 +39,7 @@
 
 /* A warning of an endpoint, by this daemon or told to it. */
 static void
-fill_avoid(const struct mesh *mesh, struct mesh_news *news)
+fill_avoid(const struct mesh *mesh, struct mesh_message *news)
 {
 	const struct endpoint *ep;
 
@@ -53,13 +53,13 @@
 		if (at == 0 || age >= AVOID_TOLD_MS ||
 		    news->n_avoid == MESH_AVOID_MAX)
 			continue;
-		news->avoid[news->n_avoid].key = ep->id_hash;
+		news->avoid[news->n_avoid].id_hash = ep->id_hash;
 		news->avoid[news->n_avoid++].age_ms = (uint32_t)age;
 	}
 }
 
 static void
-fill_members(const struct mesh *mesh, struct mesh_news *news)
+fill_members(const struct mesh *mesh, struct mesh_message *news)
 {
 	const struct mesh_peer *peer;
 
@@ -70,9 +70,10 @@
 			return;
 		if (!mesh_peer_reports(mesh, peer))
 			continue;
-		member->key = peer->key;
+		member->name_hash = peer->name_hash;
 		member->sequence = (uint16_t)peer->sequence;
-		member->newest = peer->config_version >= news->config_version;
+		member->config_current =
+		    peer->config_version >= news->config_version;
 		news->n_members++;
 	}
 }
@@ -82,19 +83,19 @@
 {
 	const struct mesh_holder *holder = &mesh->holder;
 
-	placer->key = holder->key;
+	placer->name_hash = holder->name_hash;
 	placer->term = holder->term;
-	placer->fit = holder->fit;
+	placer->can_place = holder->can_place;
 	placer->age_ms = MESH_NEVER;
 	if (holder->heard_ms != 0)
 		placer->age_ms = (uint32_t)MIN(mesh->now_ms -
 			MIN(holder->heard_ms, mesh->now_ms),
 		    MESH_NEVER);
-	if (!mesh->self.placer || mesh_lease_outdone(mesh))
+	if (!mesh->self.placer || mesh_lease_superseded(mesh))
 		return;
-	placer->key = mesh->key;
+	placer->name_hash = mesh->name_hash;
 	placer->term = mesh->held_term;
-	placer->fit = mesh->self.store_ok && !mesh->self.leaving;
+	placer->can_place = mesh->self.store_ok && !mesh->self.leaving;
 	placer->age_ms = 0;
 }
 
@@ -118,15 +119,15 @@
 	const struct mesh_peer *peer;
 	uint32_t n = 1;
 
-	if (kind == MESH_FLEET)
-		return (1 + mesh_living(mesh));
+	if (kind == MESH_FLEET_SUMMARY)
+		return (1 + mesh_count_alive(mesh));
 	TAILQ_FOREACH(peer, &mesh->peers, entry)
-		n += kind == MESH_CELL && mesh_peer_reports(mesh, peer);
+		n += kind == MESH_CELL_SUMMARY && mesh_peer_reports(mesh, peer);
 	return (n);
 }
 
 static void
-fill_config(const struct mesh *mesh, struct mesh_news *news)
+fill_config(const struct mesh *mesh, struct mesh_message *news)
 {
 	const struct registry *registry = mesh->registry;
 	/* A proof by a peer's word is as good as an own one, and as old. */
@@ -148,46 +149,46 @@
 
 /* What this daemon says, but for what differs by receiver. */
 static void
-news_fill(struct mesh *mesh, enum mesh_kind kind, struct mesh_news *news)
+news_fill(struct mesh *mesh, enum mesh_kind kind, struct mesh_message *news)
 {
-	mesh_news_clear(news);
+	mesh_message_clear(news);
 	news->kind = kind;
 	g_strlcpy(news->name, mesh->name, sizeof news->name);
 	g_strlcpy(news->domain, mesh->domain, sizeof news->domain);
 	news->capacity = mesh->capacity;
-	news->life = mesh->life;
+	news->incarnation = mesh->incarnation;
 	news->sequence = ++mesh->sequence;
 	news->ping = mesh->now_ms;
 	news->self = mesh->self;
-	if (kind == MESH_CELL || kind == MESH_FLEET)
+	if (kind == MESH_CELL_SUMMARY || kind == MESH_FLEET_SUMMARY)
 		news->self.serving = mesh_serving(mesh);
 	fill_placer(mesh, &news->placer);
 	fill_relay(mesh, &news->relay);
 	fill_config(mesh, news);
-	news->living = living_of(mesh, kind);
-	if (kind == MESH_POINTER)
+	news->n_alive = living_of(mesh, kind);
+	if (kind == MESH_REDIRECT)
 		return;
 	mesh_fill_loads(mesh, news);
 	fill_avoid(mesh, news);
 	mesh_fill_limits(mesh, news);
 	mesh_fill_poison(mesh, news);
-	if (kind == MESH_FLEET)
+	if (kind == MESH_FLEET_SUMMARY)
 		fill_members(mesh, news);
 }
 
 /* Encodes once more where the receiver's own clock is told back to it. */
 static size_t
 news_send(struct mesh *mesh, const struct mesh_peer *peer,
-    struct mesh_news *news)
+    struct mesh_message *news)
 {
-	static char out[MESH_BYTES];
+	static char out[MESH_DATAGRAM_MAX];
 	size_t length;
 
 	news->pong = peer->ping;
-	length = mesh_news_encode(news, out, sizeof out);
+	length = mesh_message_encode(news, out, sizeof out);
 	/* A datagram that does not go out now is made good by the next. */
 	if (length > 0)
-		mesh->send(mesh->send_arg, &peer->addr, out, length);
+		mesh->send_datagram(mesh->send_arg, &peer->addr, out, length);
 	else
 		event_log(LOG_WARNING, "news_not_told", "peer=%s loads=%u",
 		    peer->name, news->n_loads);
@@ -195,19 +196,19 @@
 }
 
 /**
- * mesh_tell_peer() - tell one daemon something.
+ * mesh_send_to() - tell one daemon something.
  * @mesh: the mesh
  * @peer: the daemon
  * @kind: what
  */
 void
-mesh_tell_peer(struct mesh *mesh, struct mesh_peer *peer, enum mesh_kind kind)
+mesh_send_to(struct mesh *mesh, struct mesh_peer *peer, enum mesh_kind kind)
 {
-	static struct mesh_news news;
+	static struct mesh_message news;
 
 	news_fill(mesh, kind, &news);
 	if (kind == MESH_REPORT)
-		mesh_keep_report(mesh, &news);
+		mesh_save_report(mesh, &news);
 	news_send(mesh, peer, &news);
 }
 
@@ -215,29 +216,30 @@
 static bool
 near_due(const struct mesh *mesh, const struct mesh_peer *peer)
 {
-	return (mesh_peer_hinted(mesh, peer) || mesh_peer_relays(mesh, peer) ||
-	    mesh->n_told % PROBE_TURNS == 0);
+	return (mesh_peer_maybe_alive(mesh, peer) ||
+	    mesh_peer_is_relay(mesh, peer) || mesh->n_sent % PROBE_TURNS == 0);
 }
 
 /* Tells the cell; all get the same bytes. */
 static size_t
 tell_cell(struct mesh *mesh)
 {
-	static struct mesh_news news;
-	static char out[MESH_BYTES];
+	static struct mesh_message news;
+	static char out[MESH_DATAGRAM_MAX];
 	struct mesh_peer *peer;
 	size_t length;
 
-	news_fill(mesh, MESH_FLEET, &news);
-	length = mesh_news_encode(&news, out, sizeof out);
+	news_fill(mesh, MESH_FLEET_SUMMARY, &news);
+	length = mesh_message_encode(&news, out, sizeof out);
 	if (length == 0) {
 		event_log(LOG_WARNING, "news_not_told", "loads=%u members=%u",
 		    news.n_loads, news.n_members);
 		return (0);
 	}
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
-		if (mesh_peer_near(mesh, peer) && near_due(mesh, peer))
-			mesh->send(mesh->send_arg, &peer->addr, out, length);
+		if (mesh_peer_in_cell(mesh, peer) && near_due(mesh, peer))
+			mesh->send_datagram(mesh->send_arg, &peer->addr, out,
+			    length);
 	}
 	return (length);
 }
@@ -246,9 +248,9 @@
 static bool
 far_relay(const struct mesh *mesh, const struct mesh_peer *peer)
 {
-	return (mesh_peer_relays(mesh, peer) ||
-	    (peer->pointed_ms != 0 &&
-		mesh->now_ms - peer->pointed_ms < MESH_PEER_DEAD_MS));
+	return (mesh_peer_is_relay(mesh, peer) ||
+	    (peer->redirected_ms != 0 &&
+		mesh->now_ms - peer->redirected_ms < MESH_PEER_TIMEOUT_MS));
 }
 
 /**
@@ -283,7 +285,7 @@
 static struct mesh_peer *
 cell_some(const struct mesh *mesh, const struct cell_seen *cell)
 {
-	unsigned at = (unsigned)(mesh->n_told / SEEK_TURNS) % cell->n;
+	unsigned at = (unsigned)(mesh->n_sent / SEEK_TURNS) % cell->n;
 	struct mesh_peer *peer;
 
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
@@ -295,7 +297,7 @@
 
 /* Looks for the relays of cells of which none is known. */
 static void
-seek_relays(struct mesh *mesh, struct mesh_news *news)
+seek_relays(struct mesh *mesh, struct mesh_message *news)
 {
 	struct cell_seen cells[CELLS_MAX];
 	struct mesh_peer *peer;
@@ -304,12 +306,13 @@
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
 		struct cell_seen *cell;
 
-		if (mesh_peer_near(mesh, peer) ||
+		if (mesh_peer_in_cell(mesh, peer) ||
 		    (cell = cell_of(cells, &n, peer->domain)) == NULL)
 			continue;
 		cell->n++;
 		cell->found = cell->found || far_relay(mesh, peer);
-		if (cell->first == NULL || mesh_peer_before(peer, cell->first))
+		if (cell->first == NULL ||
+		    mesh_peer_outranks(peer, cell->first))
 			cell->first = peer;
 	}
 	for (unsigned i = 0; i < n; i++) {
@@ -328,48 +331,48 @@
 static void
 tell_relays(struct mesh *mesh)
 {
-	static struct mesh_news news;
+	static struct mesh_message news;
 	struct mesh_peer *peer;
 	bool flat = mesh_flat(mesh);
 
-	news_fill(mesh, MESH_CELL, &news);
+	news_fill(mesh, MESH_CELL_SUMMARY, &news);
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
-		if (mesh_peer_near(mesh, peer))
+		if (mesh_peer_in_cell(mesh, peer))
 			continue;
 		if (far_relay(mesh, peer) ||
 		    (flat &&
-			(mesh_peer_hinted(mesh, peer) ||
-			    mesh->n_told % PROBE_TURNS == 0)))
+			(mesh_peer_maybe_alive(mesh, peer) ||
+			    mesh->n_sent % PROBE_TURNS == 0)))
 			news_send(mesh, peer, &news);
 	}
-	if (!flat && mesh->n_told % SEEK_TURNS == 0)
+	if (!flat && mesh->n_sent % SEEK_TURNS == 0)
 		seek_relays(mesh, &news);
 }
 
 /**
- * mesh_tell() - tell the others now, as relay or to the own relay.
+ * mesh_send() - tell the others now, as relay or to the own relay.
  * @mesh: the mesh
  */
 void
-mesh_tell(struct mesh *mesh)
+mesh_send(struct mesh *mesh)
 {
 	size_t length = 0;
 
 	if (mesh->relay != NULL) {
-		mesh_tell_peer(mesh, mesh->relay, MESH_REPORT);
+		mesh_send_to(mesh, mesh->relay, MESH_REPORT);
 		return;
 	}
-	if (mesh->told_ms != 0 && mesh->now_ms - mesh->told_ms < URGENT_MS) {
+	if (mesh->sent_ms != 0 && mesh->now_ms - mesh->sent_ms < URGENT_MS) {
 		/* Soon enough with the next round. */
-		mesh->tell_ms = 0;
+		mesh->send_interval_ms = 0;
 		return;
 	}
-	mesh->told_ms = mesh->now_ms;
-	mesh->n_told++;
+	mesh->sent_ms = mesh->now_ms;
+	mesh->n_sent++;
 	tell_relays(mesh);
 	if (!mesh_flat(mesh))
 		length = tell_cell(mesh);
-	mesh->tell_ms = mesh_flat(mesh) ?
+	mesh->send_interval_ms = mesh_flat(mesh) ?
 	    MESH_ROUND_MS :
 	    CLAMP(length * 1000 / RELAY_BYTES_S, RELAY_LEAST_MS, RELAY_MOST_MS);
 }
@@ -396,14 +399,14 @@
 	struct mesh_peer *peer, *next;
 
 	for (peer = TAILQ_FIRST(&mesh->peers); peer != NULL; peer = next) {
-		uint64_t since = MAX(peer->heard_ms, peer->met_ms);
-		uint64_t old = peer->loads_cell ? REPORT_OLD_MS : SUM_OLD_MS;
+		uint64_t since = MAX(peer->heard_ms, peer->first_seen_ms);
+		uint64_t old = peer->loads_in_cell ? REPORT_OLD_MS : SUM_OLD_MS;
 
 		next = TAILQ_NEXT(peer, entry);
 		since = MAX(since, peer->listed_ms);
 		if (peer->loads->len > 0 &&
 		    mesh->now_ms - peer->loads_ms >= old)
-			mesh_uncount(mesh, peer);
+			mesh_remove_loads(mesh, peer);
 		if (peer->pool.open > 0)
 			net_pool_expire(&peer->pool);
 		if (mesh->now_ms - since >= PEER_FORGET_MS &&
@@ -423,11 +426,11 @@
 	event_log(LOG_INFO, "relay_changed", "relay=%s was=%s living=%u",
 	    relay != NULL ? relay->name : mesh->name,
 	    mesh->relay != NULL ? mesh->relay->name : mesh->name,
-	    mesh_living(mesh));
+	    mesh_count_alive(mesh));
 	mesh->relay = relay;
 	/* The first word is urgent for a cell that lost its relay. */
-	mesh->told_ms = 0;
-	mesh_tell(mesh);
+	mesh->sent_ms = 0;
+	mesh_send(mesh);
 }
 
 /* Others that live, by what this daemon hears or is told. */
@@ -438,9 +441,9 @@
 	unsigned n = 0;
 
 	TAILQ_FOREACH(peer, &mesh->peers, entry)
-		n += mesh_peer_hinted(mesh, peer) ||
-		    mesh_peer_relays(mesh, peer);
-	return (MAX(n, mesh_living(mesh)));
+		n += mesh_peer_maybe_alive(mesh, peer) ||
+		    mesh_peer_is_relay(mesh, peer);
+	return (MAX(n, mesh_count_alive(mesh)));
 }
 
 /**
@@ -452,15 +455,16 @@
 {
 	mesh->round++;
 	mesh_age(mesh);
-	mesh->size = fleet_size(mesh);
+	mesh->n_others = fleet_size(mesh);
 	relay_update(mesh);
 	mesh_share_limits(mesh);
 	if (mesh->relay != NULL) {
 		if (mesh->round % IDLE_ROUNDS == 0 || self_busy(mesh))
-			mesh_tell(mesh);
+			mesh_send(mesh);
 		return;
 	}
 	/* Half a round early is as good as half a round late. */
-	if (mesh->now_ms - mesh->told_ms + MESH_ROUND_MS / 2 >= mesh->tell_ms)
-		mesh_tell(mesh);
+	if (mesh->now_ms - mesh->sent_ms + MESH_ROUND_MS / 2 >=
+	    mesh->send_interval_ms)
+		mesh_send(mesh);
 }
--- a/src/mesh-serve.c
+++ b/src/mesh-serve.c
@@ -120,7 +120,7 @@
 	if (f->synced || mesh->fetching_entries)
 		return (false);
 	return (f->held ? peer == mesh->relay :
-			  f->failures > 0 && mesh_peer_relays(mesh, peer));
+			  f->failures > 0 && mesh_peer_is_relay(mesh, peer));
 }
 
 /**
--- a/src/mesh-shares.c
+++ b/src/mesh-shares.c
@@ -104,17 +104,17 @@
 
 	view->n_others = 0;
 	if (mesh->relay != NULL) {
-		view->n_others = mesh->n_cell_keys;
-		memcpy(view->others, mesh->cell_keys,
-		    mesh->n_cell_keys * sizeof mesh->cell_keys[0]);
+		view->n_others = mesh->n_cell_hashes;
+		memcpy(view->others, mesh->cell_hashes,
+		    mesh->n_cell_hashes * sizeof mesh->cell_hashes[0]);
 		return;
 	}
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
 		if (strcmp(peer->domain, mesh->domain) == 0 &&
-		    (mesh_peer_relays(mesh, peer) ||
+		    (mesh_peer_is_relay(mesh, peer) ||
 			mesh_peer_reports(mesh, peer)) &&
 		    view->n_others < MESH_MEMBERS_MAX)
-			view->others[view->n_others++] = peer->key;
+			view->others[view->n_others++] = peer->name_hash;
 	}
 }
 
@@ -125,13 +125,13 @@
 {
 	unsigned steady = 0;
 
-	mesh->lived_least = MIN(mesh->lived_least, living);
-	if (mesh->now_ms - mesh->lived_since_ms >= STEADY_MS) {
-		steady = mesh->lived_least;
-		mesh->lived_least = living;
-		mesh->lived_since_ms = mesh->now_ms;
+	mesh->alive_min = MIN(mesh->alive_min, living);
+	if (mesh->now_ms - mesh->alive_since_ms >= STEADY_MS) {
+		steady = mesh->alive_min;
+		mesh->alive_min = living;
+		mesh->alive_since_ms = mesh->now_ms;
 	}
-	return (fwd_sharers_note(&mesh->lived, steady, LIVED_SPAN_MS,
+	return (fwd_daemon_peak_update(&mesh->alive_peak, steady, LIVED_SPAN_MS,
 	    mesh->now_ms));
 }
 
@@ -143,7 +143,7 @@
 
 	/* One that starts goes by the records until it has heard of all. */
 	if (mesh->now_ms - mesh->opened_ms < BEGIN_MS)
-		most = MAX(most, 1 + mesh->size);
+		most = MAX(most, 1 + mesh->n_others);
 	return ((double)living / MAX(most, living));
 }
 
@@ -158,12 +158,12 @@
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
 		if (mesh_peer_reports(mesh, peer))
 			view_add(view, mesh->domain, 1);
-		else if (!mesh_peer_near(mesh, peer) &&
-		    mesh_peer_relays(mesh, peer))
-			view_add(view, peer->domain, MAX(peer->living, 1));
+		else if (!mesh_peer_in_cell(mesh, peer) &&
+		    mesh_peer_is_relay(mesh, peer))
+			view_add(view, peer->domain, MAX(peer->n_alive, 1));
 	}
 	view->part = view_part(mesh,
-	    mesh->relay == NULL ? view->living : 1 + mesh->size);
+	    mesh->relay == NULL ? view->living : 1 + mesh->n_others);
 }
 
 /* The cell that gets the next user of an endpoint; NULL where all have one. */
@@ -230,7 +230,7 @@
 others_before(const struct mesh *mesh, const struct limit_view *view,
     uint32_t key)
 {
-	uint32_t own = pair_place(mesh->key, key);
+	uint32_t own = pair_place(mesh->name_hash, key);
 	unsigned before = 0;
 
 	for (unsigned i = 0; i < view->n_others; i++)
@@ -255,7 +255,8 @@
 
 	if (mesh->relay == NULL && mesh->now_ms - mesh->opened_ms >= SETTLE_MS)
 		limit_decide(view, ep, mesh->now_ms);
-	if (mesh->known_ms != 0 || mesh->now_ms - mesh->opened_ms >= BEGIN_MS)
+	if (mesh->records_read_ms != 0 ||
+	    mesh->now_ms - mesh->opened_ms >= BEGIN_MS)
 		share =
 		    others_before(mesh, view, ep->id_hash) < limit->cell_users ?
 		    limit->cell_each_per_s :
@@ -263,7 +264,8 @@
 	/* A part of a turn by their names, so that not all send at once. */
 	if (limit->share_per_s == 0 && share > 0)
 		endpoint_limit_init_permits(&ep->limit,
-		    pair_place(mesh->key, ep->id_hash) / (UINT32_MAX + 1.0),
+		    pair_place(mesh->name_hash, ep->id_hash) /
+			(UINT32_MAX + 1.0),
 		    mesh->now_ms +
 			(limit_is_new(mesh, limit) ? 0 : TAKE_OVER_MS));
 	endpoint_limit_set_share(&ep->limit, share, mesh->now_ms);
@@ -287,12 +289,13 @@
 }
 
 /**
- * mesh_limit_heard() - an endpoint told this daemon something new of its limit.
+ * mesh_limit_changed() - an endpoint told this daemon something new of its
+ * limit.
  * @mesh: the mesh
  * @ep: the endpoint
  */
 void
-mesh_limit_heard(struct mesh *mesh, struct endpoint *ep)
+mesh_limit_changed(struct mesh *mesh, struct endpoint *ep)
 {
 	ep->limit.changed_ms = mesh->now_ms;
 	mesh_share_limits(mesh);
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -6,7 +6,7 @@
 #include "mesh.h"
 #include "random.h"
 
-static char receive_buffer[MESH_BYTES];
+static char receive_buffer[MESH_DATAGRAM_MAX];
 
 /* An age must not be told as less than it is, also where this loop's round
  * takes long or the process stood still in it. */
@@ -32,7 +32,7 @@
 	if (n <= 0 || from == NULL)
 		return;
 	mesh_time(mesh);
-	mesh_take(mesh, buf->base, (size_t)n,
+	mesh_receive(mesh, buf->base, (size_t)n,
 	    (const struct sockaddr_in *)(const void *)from);
 }
 
@@ -57,27 +57,28 @@
 }
 
 /**
- * mesh_tell_now() - tell the others before the next round.
+ * mesh_send_now() - tell the others before the next round.
  * @mesh: the mesh
  */
 void
-mesh_tell_now(struct mesh *mesh)
+mesh_send_now(struct mesh *mesh)
 {
 	mesh_time(mesh);
-	mesh_tell(mesh);
+	mesh_send(mesh);
 }
 
 /**
- * mesh_limit_now() - an endpoint told this daemon something new of its limit.
+ * mesh_limit_announce() - an endpoint told this daemon something new of its
+ * limit.
  * @mesh: the mesh
  * @ep: the endpoint
  */
 void
-mesh_limit_now(struct mesh *mesh, struct endpoint *ep)
+mesh_limit_announce(struct mesh *mesh, struct endpoint *ep)
 {
 	mesh_time(mesh);
-	mesh_limit_heard(mesh, ep);
-	mesh_tell(mesh);
+	mesh_limit_changed(mesh, ep);
+	mesh_send(mesh);
 }
 
 /**
@@ -88,7 +89,7 @@
 mesh_begin(struct mesh *mesh)
 {
 	mesh_time(mesh);
-	mesh_known(mesh);
+	mesh_set_records_read(mesh);
 	mesh_round(mesh);
 }
 
@@ -107,7 +108,7 @@
 
 	mesh->loop = loop;
 	mesh->addr = *addr;
-	mesh->send = send_udp;
+	mesh->send_datagram = send_udp;
 	mesh->send_arg = mesh;
 	mesh_init(mesh, clock_loop_ms(loop), random_u64());
 	uv_udp_init(loop, &mesh->udp);
--- a/src/place-common.c
+++ b/src/place-common.c
@@ -25,13 +25,13 @@
 {
 	for (int pass = 0; pass < 2; pass++) {
 		for (int g = view->n_groups - 1; g >= 0; g--) {
-			if (place_missing(view, actions) >= 0)
+			if (place_groups_missing(view, actions) >= 0)
 				return;
 			if (group_dissolved(actions, g))
 				continue;
-			if (pass == 0 && view->groups[g].whole)
+			if (pass == 0 && view->groups[g].intact)
 				continue;
-			place_dissolve(actions, g);
+			place_add_dissolve(actions, g);
 		}
 	}
 }
@@ -40,7 +40,7 @@
 static int
 fabric_left(const struct place_view *view, int fabric, const GArray *actions)
 {
-	int n = place_fabric_free(view, fabric);
+	int n = place_fabric_reusable(view, fabric);
 
 	for (guint i = 0; i < actions->len; i++) {
 		const struct place_action *a =
@@ -72,7 +72,7 @@
 		if (left < view->size + reserve)
 			continue;
 		if (prefer_cached)
-			score += place_cached(view, f) * view->n_hosts;
+			score += place_shards_held(view, f) * view->n_hosts;
 		if (score > best_score) {
 			best = f;
 			best_score = score;
@@ -95,9 +95,9 @@
 {
 	int fabric;
 
-	while (place_missing(view, actions) > 0) {
+	while (place_groups_missing(view, actions) > 0) {
 		fabric = best_fabric(view, reserve, prefer_cached, actions);
-		if (fabric < 0 || !place_form_in(view, fabric, actions))
+		if (fabric < 0 || !place_add_form(view, fabric, actions))
 			return;
 	}
 }
@@ -116,19 +116,19 @@
 }
 
 /**
- * place_fill_loading() - as place_fill(), but only groups whose loads can
+ * place_fill_with_loads() - as place_fill(), but only groups whose loads can
  * begin now: hosts that would only wait for the weight store are not held.
  * @view: the view
  * @actions: the plan
  */
 void
-place_fill_loading(const struct place_view *view, GArray *actions)
+place_fill_with_loads(const struct place_view *view, GArray *actions)
 {
 	int fabric, loads_free = view->loads_free;
 
-	while (loads_free > 0 && place_missing(view, actions) > 0) {
+	while (loads_free > 0 && place_groups_missing(view, actions) > 0) {
 		fabric = best_fabric(view, 0, true, actions);
-		if (fabric < 0 || !place_form_in(view, fabric, actions))
+		if (fabric < 0 || !place_add_form(view, fabric, actions))
 			return;
 		loads_free -= loads_of_newest(view, actions);
 	}
--- a/src/place-common.h
+++ b/src/place-common.h
@@ -5,7 +5,7 @@
 #include "place.h"
 
 void place_shrink(const struct place_view *, GArray *);
-void place_fill_loading(const struct place_view *, GArray *);
+void place_fill_with_loads(const struct place_view *, GArray *);
 void place_fill(const struct place_view *, int, bool, GArray *);
 
 #endif
--- a/src/place-live.c
+++ b/src/place-live.c
@@ -46,7 +46,7 @@
 		    strcmp(group->deployment, deployment->name) != 0)
 			continue;
 		out.fabric = fabric_number(live, group->fabric);
-		out.whole = true;
+		out.intact = true;
 		g_array_append_val(live->groups, out);
 	}
 }
@@ -101,7 +101,7 @@
 		if (out.group != PLACE_NO_GROUP && !out.alive)
 			g_array_index(live->groups, struct place_group,
 			    out.group)
-			    .whole = false;
+			    .intact = false;
 		g_array_append_val(live->hosts, out);
 	}
 }
@@ -126,7 +126,7 @@
 
 			if (inventory_find(inv, out.name) != NULL)
 				continue;
-			pg->whole = false;
+			pg->intact = false;
 			g_array_append_val(live->hosts, out);
 		}
 	}
--- a/src/place-weighted.c
+++ b/src/place-weighted.c
@@ -21,10 +21,10 @@
 {
 	int fabric = view->groups[g].fabric;
 
-	if (place_fabric_free(view, fabric) >= lost)
+	if (place_fabric_reusable(view, fabric) >= lost)
 		return (true);
 	for (int f = 0; f < view->n_fabrics; f++) {
-		if (f != fabric && place_fabric_free(view, f) >= view->size)
+		if (f != fabric && place_fabric_reusable(view, f) >= view->size)
 			return (true);
 	}
 	return (false);
@@ -49,7 +49,7 @@
 group_worth_ending(const struct place_view *view, int g)
 {
 	uint64_t lost_ms, patience;
-	int lost = place_lost(view, g, &lost_ms);
+	int lost = place_hosts_lost(view, g, &lost_ms);
 
 	if (lost == 0)
 		return (false);
@@ -65,10 +65,10 @@
 {
 	for (int g = 0; g < view->n_groups; g++) {
 		if (group_worth_ending(view, g))
-			place_dissolve(actions, g);
+			place_add_dissolve(actions, g);
 	}
 	place_shrink(view, actions);
-	place_fill_loading(view, actions);
+	place_fill_with_loads(view, actions);
 }
 
 const struct place_policy place_weighted = {
--- a/src/place.c
+++ b/src/place.c
@@ -52,13 +52,13 @@
 }
 
 /**
- * place_lost() - how many hosts a group has lost.
+ * place_hosts_lost() - how many hosts a group has lost.
  * @view: the view
  * @group: index of the group
  * @lost_ms: set to how long the latest loss has lasted
  */
 int
-place_lost(const struct place_view *view, int group, uint64_t *lost_ms)
+place_hosts_lost(const struct place_view *view, int group, uint64_t *lost_ms)
 {
 	int lost = 0;
 
@@ -76,12 +76,12 @@
 }
 
 /**
- * place_fabric_free() - how many hosts of a fabric domain can be used now.
+ * place_fabric_reusable() - how many hosts of a fabric domain can be used now.
  * @view: the view
  * @fabric: number of the fabric domain
  */
 int
-place_fabric_free(const struct place_view *view, int fabric)
+place_fabric_reusable(const struct place_view *view, int fabric)
 {
 	int n = 0;
 
@@ -93,13 +93,13 @@
 }
 
 /**
- * place_cached() - how many distinct shards the usable hosts of a fabric
+ * place_shards_held() - how many distinct shards the usable hosts of a fabric
  * domain hold.
  * @view: the view
  * @fabric: number of the fabric domain
  */
 int
-place_cached(const struct place_view *view, int fabric)
+place_shards_held(const struct place_view *view, int fabric)
 {
 	uint64_t held = 0;
 
@@ -114,12 +114,12 @@
 }
 
 /**
- * place_dissolve() - add the end of a group to a plan.
+ * place_add_dissolve() - add the end of a group to a plan.
  * @actions: the plan
  * @group: index of the group
  */
 void
-place_dissolve(GArray *actions, int group)
+place_add_dissolve(GArray *actions, int group)
 {
 	struct place_action action = { .kind = PLACE_DISSOLVE, .group = group };
 
@@ -166,7 +166,7 @@
 }
 
 /**
- * place_form_in() - add a new group in one fabric domain to a plan.
+ * place_add_form() - add a new group in one fabric domain to a plan.
  * @view: the view
  * @fabric: number of the fabric domain
  * @actions: the plan
@@ -176,7 +176,7 @@
  * Return: false when the fabric domain has too few usable hosts.
  */
 bool
-place_form_in(const struct place_view *view, int fabric, GArray *actions)
+place_add_form(const struct place_view *view, int fabric, GArray *actions)
 {
 	struct place_action action = { .kind = PLACE_FORM };
 	int *ranks;
@@ -203,12 +203,12 @@
 }
 
 /**
- * place_missing() - how many groups are still to be formed after a plan.
+ * place_groups_missing() - how many groups are still to be formed after a plan.
  * @view: the view
  * @actions: the plan
  */
 int
-place_missing(const struct place_view *view, const GArray *actions)
+place_groups_missing(const struct place_view *view, const GArray *actions)
 {
 	int n = view->n_groups;
 
--- a/src/place.h
+++ b/src/place.h
@@ -9,7 +9,7 @@
 #define PLACE_NO_GROUP (-1)
 #define PLACE_NO_SHARD (-1)
 /* The policy of deployments that name none. */
-#define PLACE_DEFAULT "weighted"
+#define PLACE_POLICY_DEFAULT "weighted"
 
 /**
  * struct place_host - one host of the failure domain and pool.
@@ -35,12 +35,12 @@
  * struct place_group - one group of the deployment.
  * @name: its name
  * @fabric: number of its fabric domain
- * @whole: serving now
+ * @intact: serving now
  */
 struct place_group {
 	const char *name;
 	int fabric;
-	bool whole;
+	bool intact;
 };
 
 /**
@@ -105,11 +105,11 @@
 
 const struct place_policy *place_policy_find(const char *);
 GArray *place_plan(const struct place_policy *, const struct place_view *);
-int place_lost(const struct place_view *, int, uint64_t *);
-int place_fabric_free(const struct place_view *, int);
-void place_dissolve(GArray *, int);
-bool place_form_in(const struct place_view *, int, GArray *);
-int place_missing(const struct place_view *, const GArray *);
-int place_cached(const struct place_view *, int);
+int place_hosts_lost(const struct place_view *, int, uint64_t *);
+int place_fabric_reusable(const struct place_view *, int);
+void place_add_dissolve(GArray *, int);
+bool place_add_form(const struct place_view *, int, GArray *);
+int place_groups_missing(const struct place_view *, const GArray *);
+int place_shards_held(const struct place_view *, int);
 
 #endif
--- a/src/keeper-call.c
+++ b/src/placer-call.c
@@ -3,7 +3,7 @@
 
 #include "clock.h"
 #include "event-log.h"
-#include "keeper.h"
+#include "placer.h"
 
 /* An order that has no answer after this is given again. */
 #define ORDER_TIMEOUT_MS 800
@@ -18,8 +18,8 @@
 #define ASK_AGAIN_MS 300
 
 /* An order or question on its way to a member. */
-struct keeper_call {
-	struct keeper *keeper;
+struct placer_call {
+	struct placer *placer;
 	int64_t term;
 	char *group;
 	char *id;
@@ -28,7 +28,7 @@
 };
 
 static struct replica *
-replica_find(struct keeper *k, const char *name)
+replica_find(struct placer *k, const char *name)
 {
 	struct replica *r;
 
@@ -41,12 +41,12 @@
 
 /* The member that a call went to, if it is still the placer's. */
 static struct replica_member *
-call_member(const struct keeper_call *call, struct replica **replica)
+call_member(const struct placer_call *call, struct replica **replica)
 {
-	struct keeper *k = call->keeper;
+	struct placer *k = call->placer;
 	struct replica *r = NULL;
 
-	if (k->state == KEEPER_HOLDING && k->term == call->term)
+	if (k->state == PLACER_HOLDING && k->term == call->term)
 		r = replica_find(k, call->group);
 	*replica = r;
 	for (unsigned i = 0; r != NULL && i < r->n; i++) {
@@ -57,31 +57,31 @@
 }
 
 static void
-call_free(struct keeper_call *call)
+call_free(struct placer_call *call)
 {
-	call->keeper->calls--;
+	call->placer->n_calls--;
 	g_free(call->group);
 	g_free(call->id);
 	g_free(call);
 }
 
 /**
- * keeper_calls_free() - whether one more order or question may go out now.
- * @k: the keeper
+ * placer_call_allowed() - whether one more order or question may go out now.
+ * @k: the placer
  */
 bool
-keeper_calls_free(const struct keeper *k)
+placer_call_allowed(const struct placer *k)
 {
-	return (k->calls < CALLS_MOST);
+	return (k->n_calls < CALLS_MOST);
 }
 
-static struct keeper_call *
-call_new(struct keeper *k, const struct replica *r, unsigned member)
+static struct placer_call *
+call_new(struct placer *k, const struct replica *r, unsigned member)
 {
-	struct keeper_call *call = g_new0(struct keeper_call, 1);
+	struct placer_call *call = g_new0(struct placer_call, 1);
 
-	call->keeper = k;
-	k->calls++;
+	call->placer = k;
+	k->n_calls++;
 	call->term = k->term;
 	call->group = g_strdup(r->name);
 	call->id = g_strdup(r->members[member].id);
@@ -94,7 +94,7 @@
  * though its entry may stand for three beats more: no group is formed with it.
  */
 static void
-host_ended(struct keeper *k, const char *id)
+host_ended(struct placer *k, const char *id)
 {
 	struct endpoint *ep = fleet_find(&k->registry->fleet, id);
 
@@ -108,13 +108,13 @@
     uint64_t now_ms)
 {
 	if (result == ORDER_UNKNOWN)
-		m->late_until_ms = now_ms + REPLICA_LATE_MS;
+		m->late_join_until_ms = now_ms + REPLICA_LATE_ORDER_MS;
 	if (result == ORDER_FENCED)
-		m->refused = true;
+		m->join_fenced = true;
 	if (result != ORDER_TAKEN)
 		return;
 	m->joined = true;
-	m->unproven = false;
+	m->unverified = false;
 }
 
 /* What the end of an order tells of the member. */
@@ -141,15 +141,15 @@
 member_doubt(struct replica_member *m, enum order_kind order, uint64_t now_ms)
 {
 	m->suspect_ms = now_ms;
-	m->doubt_ms = now_ms;
-	m->doubt = order;
+	m->unanswered_ms = now_ms;
+	m->unanswered_order = order;
 }
 
 static void
 on_ordered(void *arg, enum order_result result)
 {
-	struct keeper_call *call = arg;
-	struct keeper *k = call->keeper;
+	struct placer_call *call = arg;
+	struct placer *k = call->placer;
 	struct replica *r;
 	struct replica_member *m = call_member(call, &r);
 
@@ -162,33 +162,34 @@
 	if (result == ORDER_OTHER)
 		host_ended(k, call->id);
 	if (m != NULL) {
-		m->busy = false;
+		m->order_pending = false;
 		if (result == ORDER_UNKNOWN)
 			member_doubt(m, call->order, clock_loop_ms(k->loop));
 		member_learn(r, m, call->order, result, clock_loop_ms(k->loop));
 		if (result == ORDER_OTHER)
-			m->life = MEMBER_DEAD;
+			m->liveness = MEMBER_DEAD;
 		if (result == ORDER_FENCED && call->order != ORDER_JOIN)
-			keeper_lose(k, "fenced");
+			placer_step_down(k, "fenced");
 	}
 	topic_follower_poll(&k->registry->endpoints);
-	keeper_look_soon(k);
+	placer_schedule_pass(k);
 	call_free(call);
 }
 
 /**
- * keeper_sole() - whether a group is one of a single host, never opened.
+ * placer_is_warm_group() - whether a group is one of a single host, never
+ * opened.
  * @name: of the group
  */
 bool
-keeper_sole(const char *name)
+placer_is_warm_group(const char *name)
 {
 	return (g_str_has_prefix(name, SOLE_PREFIX));
 }
 
 /* Connections for calls to a host: its endpoint's, or ones for its address. */
 static struct net_pool *
-member_pool(struct keeper *k, const struct replica_member *m)
+member_pool(struct placer *k, const struct replica_member *m)
 {
 	struct endpoint *ep = fleet_find(&k->registry->fleet, m->id);
 	struct net_pool *pool;
@@ -209,19 +210,19 @@
 }
 
 /**
- * keeper_order() - give an order to a member.
- * @k: the keeper; its lease was checked just before
+ * placer_order_member() - give an order to a member.
+ * @k: the placer; its lease was checked just before
  * @r: the replica
  * @index: of the member
  * @kind: which
  */
 void
-keeper_order(struct keeper *k, struct replica *r, unsigned index,
+placer_order_member(struct placer *k, struct replica *r, unsigned index,
     enum order_kind kind)
 {
 	struct replica_member *m = &r->members[index];
 	g_autoptr(GPtrArray) ids = g_ptr_array_new();
-	struct keeper_call *call = call_new(k, r, index);
+	struct placer_call *call = call_new(k, r, index);
 	struct order order = { .kind = kind,
 		.fence = k->term,
 		.group = r->name,
@@ -234,16 +235,16 @@
 		order.members = ids;
 	}
 	call->order = kind;
-	m->order = kind;
+	m->last_order = kind;
 	m->ordered_ms = clock_loop_ms(k->loop);
 	/* A placer that ends leaves no line on the orders' ends. */
 	event_log(LOG_INFO, "order_given",
 	    "group=%s member=%s rank=%u order=%s epoch=%lld term=%lld", r->name,
 	    m->id, index, order_kind_name(kind), (long long)r->epoch,
 	    (long long)k->term);
-	m->busy = k->orders->send(member_pool(k, m), m->id, &order,
+	m->order_pending = k->orders->send(member_pool(k, m), m->id, &order,
 	    ORDER_TIMEOUT_MS, on_ordered, call);
-	if (!m->busy)
+	if (!m->order_pending)
 		call_free(call);
 }
 
@@ -252,13 +253,13 @@
 member_log_told(const struct replica *r, const struct replica_member *m,
     const struct replica_member *was, const struct endpoint_report *report)
 {
-	if (m->here == was->here && m->state == was->state &&
-	    m->elsewhere == was->elsewhere)
+	if (m->in_group == was->in_group && m->state == was->state &&
+	    m->in_newer_group == was->in_newer_group)
 		return;
 	event_log(LOG_INFO, "member_told",
 	    "group=%s member=%s here=%d state=%s said_group=%s said_epoch=%lld "
 	    "sequence=%lld started_ms=%lld",
-	    r->name, m->id, m->here, group_state_name(m->state),
+	    r->name, m->id, m->in_group, group_state_name(m->state),
 	    report->group != NULL ? report->group : "-",
 	    (long long)report->epoch, (long long)report->sequence,
 	    (long long)report->started_ms);
@@ -271,85 +272,85 @@
 {
 	struct replica_member was = *m;
 
-	replica_member_told(r, m, report, now_ms);
+	replica_member_set_answer(r, m, report, now_ms);
 	member_log_told(r, m, &was, report);
 }
 
 static void
 on_reported(void *arg, enum order_answer answer, struct endpoint_report *report)
 {
-	struct keeper_call *call = arg;
+	struct placer_call *call = arg;
 	struct replica *r;
 	struct replica_member *m = call_member(call, &r);
-	uint64_t now = clock_loop_ms(call->keeper->loop);
+	uint64_t now = clock_loop_ms(call->placer->loop);
 
 	if (answer == ANSWER_ABSENT)
-		host_ended(call->keeper, call->id);
+		host_ended(call->placer, call->id);
 	if (m != NULL) {
-		m->asking = false;
+		m->ask_pending = false;
 		if (answer == ANSWER_REPORT)
 			member_take(r, m, report, now);
-		else if (m->silent_ms == 0)
-			m->silent_ms = call->sent_ms;
-		m->absent = answer == ANSWER_ABSENT;
+		else if (m->silent_since_ms == 0)
+			m->silent_since_ms = call->sent_ms;
+		m->address_reused = answer == ANSWER_ABSENT;
 		if (answer != ANSWER_REPORT)
 			event_log(LOG_INFO, "member_silent",
 			    "group=%s member=%s absent=%d silent_ms=%llu",
 			    call->group, call->id, answer == ANSWER_ABSENT,
-			    (unsigned long long)(now - m->silent_ms));
+			    (unsigned long long)(now - m->silent_since_ms));
 	}
 	call_free(call);
 }
 
 /**
- * keeper_ask() - ask a member directly, unless it was asked just now.
- * @k: the keeper
+ * placer_ask_member() - ask a member directly, unless it was asked just now.
+ * @k: the placer
  * @r: the replica
  * @index: of the member
  */
 void
-keeper_ask(struct keeper *k, struct replica *r, unsigned index)
+placer_ask_member(struct placer *k, struct replica *r, unsigned index)
 {
 	struct replica_member *m = &r->members[index];
 	uint64_t now = clock_loop_ms(k->loop);
-	struct keeper_call *call;
+	struct placer_call *call;
 
-	if (m->asking || !keeper_calls_free(k) ||
+	if (m->ask_pending || !placer_call_allowed(k) ||
 	    (m->asked_ms != 0 && now - m->asked_ms < ASK_AGAIN_MS))
 		return;
 	call = call_new(k, r, index);
 	m->asked_ms = now;
-	m->asking = k->orders->ask(member_pool(k, m), m->id, ASK_TIMEOUT_MS,
-	    on_reported, call);
-	if (!m->asking)
+	m->ask_pending = k->orders->ask(member_pool(k, m), m->id,
+	    ASK_TIMEOUT_MS, on_reported, call);
+	if (!m->ask_pending)
 		call_free(call);
 }
 
 static void
 on_prepared(void *arg, enum order_result result)
 {
-	struct keeper_call *call = arg;
+	struct placer_call *call = arg;
 
 	event_log(result == ORDER_TAKEN ? LOG_INFO : LOG_NOTICE, "order_ended",
 	    "member=%s order=%s result=%s term=%lld", call->id,
 	    call->order == ORDER_STAGE ? "stage" : "warm",
 	    order_result_name(result), (long long)call->term);
 	if (result == ORDER_OTHER)
-		host_ended(call->keeper, call->id);
+		host_ended(call->placer, call->id);
 	if (call->order == ORDER_STAGE)
-		keeper_stage_answered(call->keeper, call->id, result);
+		placer_copy_answered(call->placer, call->id, result);
 	call_free(call);
 }
 
 /* Gives an order to a host by itself; false where none was sent. */
 static bool
-host_order(struct keeper *k, const char *id, const struct order *order)
+host_order(struct placer *k, const char *id, const struct order *order)
 {
 	struct endpoint *ep = fleet_find(&k->registry->fleet, id);
-	struct keeper_call *call = g_new0(struct keeper_call, 1);
+	struct placer_call *call = g_new0(struct placer_call, 1);
 
-	call->keeper = k;
-	k->calls++;
+	call->placer = k;
+	k->n_calls++;
 	call->term = k->term;
 	call->id = g_strdup(id);
 	call->order = order->kind;
@@ -362,15 +363,15 @@
 }
 
 /**
- * keeper_order_stage() - have a host copy a model beside its work.
- * @k: the keeper
+ * placer_order_stage() - have a host copy a model beside its work.
+ * @k: the placer
  * @id: the host
  * @model: the model
  *
  * Return: false where nothing was sent.
  */
 bool
-keeper_order_stage(struct keeper *k, const char *id, const char *model)
+placer_order_stage(struct placer *k, const char *id, const char *model)
 {
 	const struct order order = { .kind = ORDER_STAGE,
 		.fence = k->term,
@@ -380,8 +381,8 @@
 }
 
 /**
- * keeper_order_warm() - have an idle host take a model into memory.
- * @k: the keeper
+ * placer_order_warm() - have an idle host take a model into memory.
+ * @k: the placer
  * @id: the host
  * @model: the model
  * @epoch: above those of all groups so far
@@ -390,7 +391,7 @@
  * needs no record; the next join replaces it.
  */
 void
-keeper_order_warm(struct keeper *k, const char *id, const char *model,
+placer_order_warm(struct placer *k, const char *id, const char *model,
     int64_t epoch)
 {
 	g_autofree char *group =
--- a/src/keeper-record.c
+++ b/src/placer-record.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "event-log.h"
-#include "keeper.h"
+#include "placer.h"
 
 /* The text of a JSON object as a record's value. */
 static guint8 *
@@ -21,12 +21,12 @@
 }
 
 /**
- * keeper_encode_replica() - a replica's record.
+ * placer_encode_replica() - a replica's record.
  * @r: the replica
  * @length: set to the length
  */
 guint8 *
-keeper_encode_replica(const struct replica *r, size_t *length)
+placer_encode_replica(const struct replica *r, size_t *length)
 {
 	json_t *root = json_object();
 	json_t *members = json_array();
@@ -50,7 +50,7 @@
 }
 
 /**
- * keeper_decode_replica() - a replica from its record.
+ * placer_decode_replica() - a replica from its record.
  * @name: its name
  * @bytes: the record's value
  * @length: its length
@@ -58,7 +58,7 @@
  * Return: the replica, or NULL.
  */
 struct replica *
-keeper_decode_replica(const char *name, const void *bytes, size_t length)
+placer_decode_replica(const char *name, const void *bytes, size_t length)
 {
 	json_auto_t *root = json_loadb(bytes, length, 0, NULL);
 	const char *service, *model, *id, *ip;
@@ -94,13 +94,13 @@
 }
 
 /**
- * keeper_encode_lease() - the lease's record.
+ * placer_encode_lease() - the lease's record.
  * @holder: name of the daemon
  * @term: of the lease
  * @length: set to the length
  */
 guint8 *
-keeper_encode_lease(const char *holder, int64_t term, size_t *length)
+placer_encode_lease(const char *holder, int64_t term, size_t *length)
 {
 	return (record_bytes(json_pack("{s:s,s:I}", "holder", holder, "term",
 				 (json_int_t)term),
@@ -108,14 +108,14 @@
 }
 
 /**
- * keeper_decode_lease() - the term of a lease's record.
+ * placer_decode_lease() - the term of a lease's record.
  * @bytes: the record's value
  * @length: its length
  *
  * Return: the term; 0 where the record can't be read.
  */
 int64_t
-keeper_decode_lease(const void *bytes, size_t length)
+placer_decode_lease(const void *bytes, size_t length)
 {
 	json_auto_t *root = json_loadb(bytes, length, 0, NULL);
 	json_int_t term;
--- a/src/keeper-stage.c
+++ b/src/placer-stage.c
@@ -1,7 +1,7 @@
 /* Copies of models that are being made, and loads that may begin. */
 #include <string.h>
 
-#include "keeper.h"
+#include "placer.h"
 
 /* Loads are counted over this span; the platform's bound is over as much. */
 #define LOADS_WINDOW_MS 5000
@@ -16,13 +16,13 @@
 #define STAGE_AGAIN_MS 300
 
 /**
- * keeper_stage_free() - free a copy that is being made.
- * @data: the struct keeper_stage
+ * placer_copy_free() - free a copy that is being made.
+ * @data: the struct placer_copy
  */
 void
-keeper_stage_free(void *data)
+placer_copy_free(void *data)
 {
-	struct keeper_stage *stage = data;
+	struct placer_copy *stage = data;
 
 	g_free(stage->model);
 	g_free(stage);
@@ -41,41 +41,41 @@
 
 /* Whether a copy is still being made, as far as is known of its host. */
 static bool
-stage_goes_on(const struct keeper_stage *stage, const struct endpoint *ep,
+stage_goes_on(const struct placer_copy *stage, const struct endpoint *ep,
     uint64_t now_ms)
 {
 	if (ep == NULL || ep->gone || ep->draining || ep->lapsed_ms != 0 ||
 	    ep->report.started_ms != stage->started_ms)
 		return (false);
-	return (now_ms < stage->until_ms &&
+	return (now_ms < stage->deadline_ms &&
 	    !report_staged(&ep->report, stage->model));
 }
 
 /* Gives an order again whose answer was lost. */
 static void
-stage_again(struct keeper *k, const char *host, struct keeper_stage *stage,
+stage_again(struct placer *k, const char *host, struct placer_copy *stage,
     uint64_t now_ms)
 {
-	if (stage->known || stage->asking ||
-	    now_ms - stage->asked_ms < STAGE_AGAIN_MS)
+	if (stage->acknowledged || stage->order_pending ||
+	    now_ms - stage->ordered_ms < STAGE_AGAIN_MS)
 		return;
-	stage->asked_ms = now_ms;
-	stage->asking = keeper_order_stage(k, host, stage->model);
+	stage->ordered_ms = now_ms;
+	stage->order_pending = placer_order_stage(k, host, stage->model);
 }
 
 /**
- * keeper_stage_look() - drop copies that were made or lost, ask again for
+ * placer_copies_update() - drop copies that were made or lost, ask again for
  * those whose order may not have arrived.
- * @k: the keeper; its lease was checked just before
+ * @k: the placer; its lease was checked just before
  * @now_ms: loop time
  */
 void
-keeper_stage_look(struct keeper *k, uint64_t now_ms)
+placer_copies_update(struct placer *k, uint64_t now_ms)
 {
 	GHashTableIter iter;
 	gpointer host, value;
 
-	g_hash_table_iter_init(&iter, k->staging);
+	g_hash_table_iter_init(&iter, k->copies);
 	while (g_hash_table_iter_next(&iter, &host, &value)) {
 		struct endpoint *ep = fleet_find(&k->registry->fleet, host);
 
@@ -87,83 +87,83 @@
 }
 
 /**
- * keeper_stage_begin() - have a host copy a model beside its work.
- * @k: the keeper
+ * placer_copy_start() - have a host copy a model beside its work.
+ * @k: the placer
  * @host: the host
  * @m: the model
  * @now_ms: loop time
  */
 void
-keeper_stage_begin(struct keeper *k, const char *host,
+placer_copy_start(struct placer *k, const char *host,
     const struct model_profile *m, uint64_t now_ms)
 {
 	const struct endpoint *ep = fleet_find(&k->registry->fleet, host);
-	struct keeper_stage *stage = g_new0(struct keeper_stage, 1);
+	struct placer_copy *stage = g_new0(struct placer_copy, 1);
 
 	stage->started_ms = ep != NULL ? ep->report.started_ms : 0;
 	stage->model = g_strdup(m->name);
-	stage->until_ms = now_ms + (uint64_t)(STAGE_FACTOR * m->load_ms);
-	stage->asked_ms = now_ms;
-	g_hash_table_replace(k->staging, g_strdup(host), stage);
-	g_array_append_val(k->loads, now_ms);
-	stage->asking = keeper_order_stage(k, host, m->name);
+	stage->deadline_ms = now_ms + (uint64_t)(STAGE_FACTOR * m->load_ms);
+	stage->ordered_ms = now_ms;
+	g_hash_table_replace(k->copies, g_strdup(host), stage);
+	g_array_append_val(k->load_starts, now_ms);
+	stage->order_pending = placer_order_stage(k, host, m->name);
 }
 
 /**
- * keeper_stage_answered() - a host answered the order to copy, or did not.
- * @k: the keeper
+ * placer_copy_answered() - a host answered the order to copy, or did not.
+ * @k: the placer
  * @host: the host
  * @result: what it said
  *
  * An order that does not fit meets a copy that is being made already.
  */
 void
-keeper_stage_answered(struct keeper *k, const char *host,
+placer_copy_answered(struct placer *k, const char *host,
     enum order_result result)
 {
-	struct keeper_stage *stage = g_hash_table_lookup(k->staging, host);
+	struct placer_copy *stage = g_hash_table_lookup(k->copies, host);
 
 	if (stage == NULL)
 		return;
-	stage->asking = false;
+	stage->order_pending = false;
 	if (result == ORDER_TAKEN || result == ORDER_UNFIT)
-		stage->known = true;
+		stage->acknowledged = true;
 	else if (result != ORDER_UNKNOWN)
-		g_hash_table_remove(k->staging, host);
+		g_hash_table_remove(k->copies, host);
 }
 
 /**
- * keeper_staging() - the model that is being copied to a host.
- * @k: the keeper
+ * placer_copying() - the model that is being copied to a host.
+ * @k: the placer
  * @host: the host
  *
  * Return: its name, or NULL.
  */
 const char *
-keeper_staging(const struct keeper *k, const char *host)
+placer_copying(const struct placer *k, const char *host)
 {
-	const struct keeper_stage *stage =
-	    g_hash_table_lookup(k->staging, host);
+	const struct placer_copy *stage = g_hash_table_lookup(k->copies, host);
 
 	return (stage != NULL ? stage->model : NULL);
 }
 
 /**
- * keeper_loads_free() - loads that may begin now.
- * @k: the keeper
+ * placer_loads_available() - loads that may begin now.
+ * @k: the placer
  * @e: the engine's profile
  * @now_ms: loop time
  */
 unsigned
-keeper_loads_free(struct keeper *k, const struct engine_profile *e,
+placer_loads_available(struct placer *k, const struct engine_profile *e,
     uint64_t now_ms)
 {
 	double most = e->loads_per_s * LOADS_WINDOW_MS / 1000 * LOADS_SHARE;
-	unsigned staging = g_hash_table_size(k->staging);
+	unsigned staging = g_hash_table_size(k->copies);
 
-	while (k->loads->len > 0 &&
-	    now_ms - g_array_index(k->loads, uint64_t, 0) >= LOADS_WINDOW_MS)
-		g_array_remove_index(k->loads, 0);
+	while (k->load_starts->len > 0 &&
+	    now_ms - g_array_index(k->load_starts, uint64_t, 0) >=
+		LOADS_WINDOW_MS)
+		g_array_remove_index(k->load_starts, 0);
 	if (e->loads_per_s <= 0)
 		return (LOADS_ANY);
 	/* Before the first request loads are quick, don't slow each other down
@@ -171,8 +171,8 @@
 	if (!k->served)
 		return (LOADS_ANY);
 	/* More at once only slow each other down. */
-	if (staging >= e->loads_at_once || k->loads->len >= most)
+	if (staging >= e->loads_at_once || k->load_starts->len >= most)
 		return (0);
-	return (
-	    MIN(e->loads_at_once - staging, (unsigned)(most - k->loads->len)));
+	return (MIN(e->loads_at_once - staging,
+	    (unsigned)(most - k->load_starts->len)));
 }
--- a/src/keeper-usage.c
+++ b/src/placer-usage.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 #include "event-log.h"
-#include "keeper-usage.h"
+#include "placer-usage.h"
 
 /* Between two lines of the log for each model. */
 #define SAY_MS 2000
@@ -15,7 +15,7 @@
 {
 	struct service_usage *u = g_new0(struct service_usage, 1);
 
-	idle_watch_init(&u->idle);
+	idle_log_init(&u->idle);
 	return (u);
 }
 
@@ -30,17 +30,17 @@
 
 	for (unsigned i = 0; i < u->n_models; i++)
 		g_free(u->names[i]);
-	idle_watch_clear(&u->idle);
+	idle_log_clear(&u->idle);
 	g_free(u);
 }
 
 /* Counts begin anew where the models are others than before. */
 static void
-usage_take_models(struct service_usage *u, const struct form_view *view)
+usage_take_models(struct service_usage *u, const struct planner_view *view)
 {
 	const GPtrArray *models = view->engine->models;
 
-	for (unsigned i = 0; i < models->len && i < FORM_MODELS_MAX; i++) {
+	for (unsigned i = 0; i < models->len && i < PLANNER_MODELS_MAX; i++) {
 		const struct model_profile *m = models->pdata[i];
 
 		if (g_strcmp0(u->names[i], m->name) != 0) {
@@ -53,7 +53,7 @@
 		u->models[i].forming = 0;
 		u->models[i].dissolving = 0;
 	}
-	u->n_models = MIN(models->len, FORM_MODELS_MAX);
+	u->n_models = MIN(models->len, PLANNER_MODELS_MAX);
 }
 
 /* Adds a replica; returns whether it serves. */
@@ -65,22 +65,22 @@
 
 		if (strcmp(u->names[i], r->model) != 0)
 			continue;
-		if (!replica_wanted(r))
+		if (!replica_active(r))
 			m->dissolving++;
 		else if (r->opened)
 			m->open++;
 		else
 			m->forming++;
 	}
-	return (replica_wanted(r) && r->opened);
+	return (replica_active(r) && r->opened);
 }
 
 static void
 usage_say(struct service_usage *u, const char *service, uint64_t now_ms)
 {
-	if (now_ms - u->said_ms < SAY_MS)
+	if (now_ms - u->logged_ms < SAY_MS)
 		return;
-	u->said_ms = now_ms;
+	u->logged_ms = now_ms;
 	for (unsigned i = 0; i < u->n_models; i++) {
 		const struct model_usage *m = &u->models[i];
 
@@ -104,7 +104,7 @@
  */
 void
 service_usage_count(struct service_usage *u, const char *service,
-    const struct form_view *view, const struct replica_list *replicas,
+    const struct planner_view *view, const struct replica_list *replicas,
     uint64_t now_ms)
 {
 	double elapsed =
@@ -117,7 +117,7 @@
 	u->hosts = view->hosts->len;
 	u->free = 0;
 	for (guint i = 0; i < view->hosts->len; i++)
-		u->free += form_host_at(view, i)->group == NULL;
+		u->free += planner_host_at(view, i)->group == NULL;
 	TAILQ_FOREACH(r, replicas, entry) {
 		if (strcmp(r->service, service) == 0 && usage_add_replica(u, r))
 			serving += r->n;
@@ -129,7 +129,7 @@
 		m->down_ms += elapsed * MAX(m->wanted - m->open, 0);
 	}
 	usage_say(u, service, now_ms);
-	idle_watch_look(&u->idle, view);
+	idle_log_update(&u->idle, view);
 }
 
 /**
--- a/src/keeper-usage.h
+++ b/src/placer-usage.h
@@ -1,9 +1,9 @@
 /* Group downtime and stranded hosts, as the placer sees them. */
-#ifndef BL_KEEPER_USAGE_H
-#define BL_KEEPER_USAGE_H
+#ifndef BL_PLACER_USAGE_H
+#define BL_PLACER_USAGE_H
 
-#include "keeper-idle.h"
-#include "replica-demand.h"
+#include "placer-idle.h"
+#include "planner-demand.h"
 
 /**
  * struct model_usage - one model of one service.
@@ -24,7 +24,7 @@
 /**
  * struct service_usage - one service, since this daemon took the lease.
  * @counted_ms: loop time of the last count; 0 before the first
- * @said_ms: loop time of the last lines of the log
+ * @logged_ms: loop time of the last lines of the log
  * @hosts: that live
  * @free: of these, those in no replica
  * @stranded_ms: milliseconds x hosts in no replica that serves
@@ -36,21 +36,21 @@
  */
 struct service_usage {
 	uint64_t counted_ms;
-	uint64_t said_ms;
+	uint64_t logged_ms;
 	unsigned hosts;
 	unsigned free;
 	double stranded_ms;
-	char *names[FORM_MODELS_MAX];
-	struct model_usage models[FORM_MODELS_MAX];
+	char *names[PLANNER_MODELS_MAX];
+	struct model_usage models[PLANNER_MODELS_MAX];
 	unsigned n_models;
-	struct idle_watch idle;
-	struct form_demand demand;
+	struct idle_log idle;
+	struct planner_demand demand;
 };
 
 struct service_usage *service_usage_create(void);
 void service_usage_free(void *);
 void service_usage_count(struct service_usage *, const char *,
-    const struct form_view *, const struct replica_list *, uint64_t);
+    const struct planner_view *, const struct replica_list *, uint64_t);
 void service_usage_print(const struct service_usage *, const char *, GString *);
 
 #endif
--- a/src/keeper.c
+++ b/src/placer.c
@@ -3,7 +3,7 @@
 
 #include "clock.h"
 #include "event-log.h"
-#include "keeper.h"
+#include "placer.h"
 
 /* How often the placer looks while groups change, and otherwise. */
 #define LOOK_BUSY_MS 150
@@ -33,18 +33,18 @@
  * or left an order unanswered.
  */
 static void
-replica_ask(struct keeper *k, struct replica *r, uint64_t now_ms)
+replica_ask(struct placer *k, struct replica *r, uint64_t now_ms)
 {
 	bool suspect = suspect_at(r->suspect_ms, now_ms);
 
 	for (unsigned i = 0; i < r->n; i++) {
 		const struct replica_member *m = &r->members[i];
-		bool unlisted =
-		    m->life == MEMBER_LAPSED || m->life == MEMBER_SILENT;
+		bool unlisted = m->liveness == MEMBER_LAPSED ||
+		    m->liveness == MEMBER_SILENT;
 
-		if (m->life != MEMBER_DEAD &&
+		if (m->liveness != MEMBER_DEAD &&
 		    (suspect || unlisted || suspect_at(m->suspect_ms, now_ms)))
-			keeper_ask(k, r, i);
+			placer_ask_member(k, r, i);
 	}
 }
 
@@ -58,129 +58,132 @@
 	event_log(LOG_NOTICE, "group_dissolved",
 	    "group=%s epoch=%lld model=%s reason=%s ms=%llu proof=%s head=%s "
 	    "head_state=%s told_ms_ago=%llu",
-	    r->name, (long long)r->epoch, r->model, r->doomed,
-	    (unsigned long long)(now_ms - r->doomed_ms),
+	    r->name, (long long)r->epoch, r->model, r->dissolve_reason,
+	    (unsigned long long)(now_ms - r->dissolving_ms),
 	    replica_proof_name(proof), head->id, group_state_name(head->state),
-	    (unsigned long long)(now_ms - MIN(head->told_ms, now_ms)));
+	    (unsigned long long)(now_ms - MIN(head->last_report_ms, now_ms)));
 	for (unsigned i = 0; i < r->n; i++) {
 		const struct replica_member *m = &r->members[i];
 
-		if (m->doubt_ms != 0)
+		if (m->unanswered_ms != 0)
 			event_log(LOG_NOTICE, "order_in_doubt",
 			    "group=%s member=%s rank=%u order=%s ms_ago=%llu",
-			    r->name, m->id, i, order_kind_name(m->doubt),
-			    (unsigned long long)(now_ms - m->doubt_ms));
+			    r->name, m->id, i,
+			    order_kind_name(m->unanswered_order),
+			    (unsigned long long)(now_ms - m->unanswered_ms));
 	}
 }
 
 /* The head of a group that ends is out of it, unless it can't be reached. */
 static void
-replica_note_out(struct keeper *k, const struct replica *r,
+replica_note_out(struct placer *k, const struct replica *r,
     enum replica_proof proof)
 {
 	struct endpoint *head =
 	    fleet_find(&k->registry->fleet, r->members[0].id);
 
-	if (head != NULL && proof != PROOF_MEMBERS && proof != PROOF_STALLED)
+	if (head != NULL && proof != PROOF_MEMBERS_LEFT &&
+	    proof != PROOF_STALLED)
 		head->excluded_epoch = MAX(head->excluded_epoch, r->epoch);
 }
 
 /* Ends a replica: its hosts are free from now on. */
 static void
-replica_end(struct keeper *k, struct replica *r, uint64_t now_ms)
+replica_end(struct placer *k, struct replica *r, uint64_t now_ms)
 {
 	for (unsigned i = 0; i < r->n; i++) {
 		struct endpoint *ep =
 		    fleet_find(&k->registry->fleet, r->members[i].id);
 
 		/* A dead host is no spare until its entry says otherwise. */
-		if (ep != NULL && r->members[i].life >= MEMBER_SILENT)
+		if (ep != NULL && r->members[i].liveness >= MEMBER_SILENT)
 			ep->unfit_until_ms = now_ms + SUSPECT_MS;
 	}
-	g_hash_table_replace(k->ended, g_strdup(r->name),
+	g_hash_table_replace(k->dissolved, g_strdup(r->name),
 	    g_memdup2(&now_ms, sizeof now_ms));
-	keeper_record_replica(k, r, true);
+	placer_record_replica(k, r, true);
 	TAILQ_REMOVE(&k->replicas, r, entry);
 	replica_free(r);
 }
 
 /**
- * keeper_doomed() - a replica is about to be dissolved.
- * @k: the keeper
+ * placer_announce_dissolve() - a replica is about to be dissolved.
+ * @k: the placer
  * @r: the replica
  * @now_ms: loop time
  *
  * Has all daemons avoid its head.
  */
 void
-keeper_doomed(struct keeper *k, struct replica *r, uint64_t now_ms)
+placer_announce_dissolve(struct placer *k, struct replica *r, uint64_t now_ms)
 {
 	struct endpoint *head =
 	    fleet_find(&k->registry->fleet, r->members[0].id);
 
 	event_log(LOG_NOTICE, "group_doomed",
 	    "group=%s epoch=%lld model=%s reason=%s", r->name,
-	    (long long)r->epoch, r->model, r->doomed);
+	    (long long)r->epoch, r->model, r->dissolve_reason);
 	if (head == NULL)
 		return;
 	head->warned_ms = now_ms;
 	head->cooldown_until_ms =
 	    MAX(head->cooldown_until_ms, now_ms + AVOID_DOOMED_MS);
-	mesh_tell_now(k->mesh);
+	mesh_send_now(k->mesh);
 }
 
 /* Looks at one replica and takes its next steps. */
 static void
-replica_look(struct keeper *k, struct replica *r, uint64_t now_ms)
+replica_look(struct placer *k, struct replica *r, uint64_t now_ms)
 {
-	bool was_open = r->opened, was_doomed = r->doomed != NULL;
+	bool was_open = r->opened, was_doomed = r->dissolve_reason != NULL;
 	struct replica_step step;
 
 	for (unsigned i = 0; i < r->n; i++)
-		replica_member_look(r, &r->members[i],
+		replica_member_refresh(r, &r->members[i],
 		    fleet_find(&k->registry->fleet, r->members[i].id), now_ms);
 	replica_ask(k, r, now_ms);
 	for (unsigned turn = 0; turn < r->n; turn++) {
-		replica_next(r, now_ms, k->stall_ms, &step);
-		if (step.act == REPLICA_GONE) {
+		replica_next_step(r, now_ms, k->stall_ms, &step);
+		if (step.action == REPLICA_DISSOLVED) {
 			replica_log_end(r, step.proof, now_ms);
 			replica_note_out(k, r, step.proof);
 			replica_end(k, r, now_ms);
 			return;
 		}
-		if (step.act != REPLICA_ORDER || !keeper_calls_free(k))
+		if (step.action != REPLICA_ORDER || !placer_call_allowed(k))
 			break;
-		keeper_order(k, r, step.member, step.order);
+		placer_order_member(k, r, step.member, step.order);
 	}
 	if (!was_open && r->opened)
 		event_log(LOG_NOTICE, "group_serves",
 		    "group=%s epoch=%lld model=%s ms=%llu", r->name,
 		    (long long)r->epoch, r->model,
-		    (unsigned long long)(now_ms - r->made_ms));
-	if (!was_doomed && r->doomed != NULL)
-		keeper_doomed(k, r, now_ms);
-	if (replica_settles(r, now_ms)) {
+		    (unsigned long long)(now_ms - r->known_ms));
+	if (!was_doomed && r->dissolve_reason != NULL)
+		placer_announce_dissolve(k, r, now_ms);
+	if (replica_can_settle(r, now_ms)) {
 		r->settled = true;
-		keeper_record_replica(k, r, false);
+		placer_record_replica(k, r, false);
 	}
 }
 
 /* Whether any replica is changing, or should be. */
 static bool
-keeper_busy(const struct keeper *k)
+placer_changing(const struct placer *k)
 {
 	const struct replica *r;
 
 	TAILQ_FOREACH(r, &k->replicas, entry) {
-		if (!r->opened || r->doomed != NULL || r->suspect_ms != 0)
+		if (!r->opened || r->dissolve_reason != NULL ||
+		    r->suspect_ms != 0)
 			return (true);
 	}
-	return (k->records->len > 0 || k->more);
+	return (k->pending->len > 0 || k->unfinished);
 }
 
 /* Looks at all replicas and at what could be formed. */
 static void
-keeper_look_holding(struct keeper *k, uint64_t now_ms)
+placer_holder_pass(struct placer *k, uint64_t now_ms)
 {
 	uint64_t began = clock_now_us();
 	struct replica *r, *next;
@@ -189,47 +192,47 @@
 		next = TAILQ_NEXT(r, entry);
 		replica_look(k, r, now_ms);
 	}
-	keeper_adopt(k, now_ms);
-	keeper_place(k, now_ms);
-	keeper_write(k);
-	k->look_us = clock_now_us() - began;
-	if (k->look_us >= LOOK_SLOW_US)
+	placer_adopt_groups(k, now_ms);
+	placer_form_replicas(k, now_ms);
+	placer_flush_records(k);
+	k->pass_us = clock_now_us() - began;
+	if (k->pass_us >= LOOK_SLOW_US)
 		event_log(LOG_NOTICE, "look_slow", "us=%llu calls=%u hosts=%u",
-		    (unsigned long long)k->look_us, k->calls, k->hosts);
+		    (unsigned long long)k->pass_us, k->n_calls, k->n_hosts);
 }
 
 /**
- * keeper_look() - look at everything once.
- * @k: the keeper
+ * placer_run_pass() - look at everything once.
+ * @k: the placer
  */
 void
-keeper_look(struct keeper *k)
+placer_run_pass(struct placer *k)
 {
 	uint64_t now = clock_loop_ms(k->loop);
 
-	if (k->state == KEEPER_HOLDING && now - k->last_ms > PAUSE_MS)
+	if (k->state == PLACER_HOLDING && now - k->last_pass_ms > PAUSE_MS)
 		k->verified_ms = 0;
-	k->last_ms = now;
+	k->last_pass_ms = now;
 	k->mesh->self.store_ok = k->registry->endpoints.synced &&
 	    k->registry->endpoints.failures == 0;
-	if (mesh_lease_outdone(k->mesh))
-		keeper_lose(k, "taken_over");
-	keeper_lease_look(k, now);
-	if (k->state != KEEPER_HOLDING || k->registry->catalog == NULL)
+	if (mesh_lease_superseded(k->mesh))
+		placer_step_down(k, "taken_over");
+	placer_lease_poll(k, now);
+	if (k->state != PLACER_HOLDING || k->registry->catalog == NULL)
 		return;
-	if (keeper_busy(k) && !keeper_verified(k, now))
+	if (placer_changing(k) && !placer_lease_verified(k, now))
 		return;
-	keeper_look_holding(k, now);
+	placer_holder_pass(k, now);
 }
 
 static void
 on_timer(uv_timer_t *timer)
 {
-	struct keeper *k = timer->data;
+	struct placer *k = timer->data;
 	bool busy;
 
-	keeper_look(k);
-	busy = k->state == KEEPER_HOLDING && keeper_busy(k);
+	placer_run_pass(k);
+	busy = k->state == PLACER_HOLDING && placer_changing(k);
 	if (busy)
 		topic_follower_poll(&k->registry->endpoints);
 	uv_timer_start(timer, on_timer, busy ? LOOK_BUSY_MS : LOOK_CALM_MS, 0);
@@ -238,30 +241,30 @@
 static void
 on_soon(uv_timer_t *timer)
 {
-	keeper_look(timer->data);
+	placer_run_pass(timer->data);
 }
 
 /**
- * keeper_look_soon() - look before the time, something changed.
- * @k: the keeper
+ * placer_schedule_pass() - look before the time, something changed.
+ * @k: the placer
  */
 void
-keeper_look_soon(struct keeper *k)
+placer_schedule_pass(struct placer *k)
 {
-	if (k->state != KEEPER_HOLDING || !keeper_busy(k) ||
-	    uv_is_active((uv_handle_t *)&k->soon))
+	if (k->state != PLACER_HOLDING || !placer_changing(k) ||
+	    uv_is_active((uv_handle_t *)&k->wakeup))
 		return;
-	uv_timer_start(&k->soon, on_soon,
-	    MAX(LOOK_SOON_MS, k->look_us * LOOK_SOON_TIMES / 1000), 0);
+	uv_timer_start(&k->wakeup, on_soon,
+	    MAX(LOOK_SOON_MS, k->pass_us * LOOK_SOON_TIMES / 1000), 0);
 }
 
 /**
- * keeper_suspect() - an endpoint's streams fell silent.
- * @k: the keeper
+ * placer_suspect() - an endpoint's streams fell silent.
+ * @k: the placer
  * @ep: the endpoint
  */
 void
-keeper_suspect(struct keeper *k, const struct endpoint *ep)
+placer_suspect(struct placer *k, const struct endpoint *ep)
 {
 	struct replica *r;
 
@@ -272,45 +275,45 @@
 }
 
 /**
- * keeper_open() - begin to look.
- * @k: the keeper; store, dir, mesh, orders and name are filled in
+ * placer_start() - begin to look.
+ * @k: the placer; store, dir, mesh, orders and name are filled in
  * @loop: the event loop
  */
 void
-keeper_open(struct keeper *k, uv_loop_t *loop)
+placer_start(struct placer *k, uv_loop_t *loop)
 {
 	k->loop = loop;
-	k->records = g_array_new(FALSE, TRUE, sizeof(struct store_record));
-	g_array_set_clear_func(k->records, store_record_clear);
-	k->loads = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	k->staging = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-	    keeper_stage_free);
+	k->pending = g_array_new(FALSE, TRUE, sizeof(struct store_record));
+	g_array_set_clear_func(k->pending, store_record_clear);
+	k->load_starts = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	k->copies = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+	    placer_copy_free);
 	k->warming =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	k->usage = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 	    service_usage_free);
-	k->ended =
+	k->dissolved =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	k->pools =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 	TAILQ_INIT(&k->replicas);
 	uv_timer_init(loop, &k->timer);
 	k->timer.data = k;
-	uv_timer_init(loop, &k->soon);
-	k->soon.data = k;
+	uv_timer_init(loop, &k->wakeup);
+	k->wakeup.data = k;
 	uv_timer_start(&k->timer, on_timer, LOOK_BUSY_MS, 0);
 }
 
 /**
- * keeper_stop() - stop placing, for another daemon to take over.
- * @k: the keeper
+ * placer_stop() - stop placing, for another daemon to take over.
+ * @k: the placer
  */
 void
-keeper_stop(struct keeper *k)
+placer_stop(struct placer *k)
 {
-	if (k->state == KEEPER_HOLDING)
-		keeper_lose(k, "leaving");
-	k->state = KEEPER_IDLE;
+	if (k->state == PLACER_HOLDING)
+		placer_step_down(k, "leaving");
+	k->state = PLACER_IDLE;
 	uv_timer_stop(&k->timer);
-	uv_timer_stop(&k->soon);
+	uv_timer_stop(&k->wakeup);
 }
--- a/src/plan.c
+++ b/src/plan.c
@@ -89,7 +89,7 @@
 	place_live_make(&live, state, plan->in->inv, deployment,
 	    plan->in->domain, &plan->in->times);
 	policy = place_policy_find(
-	    resource_string(placement, "policy", PLACE_DEFAULT));
+	    resource_string(placement, "policy", PLACE_POLICY_DEFAULT));
 	actions = place_plan(policy, &live.view);
 	for (guint i = 0; i < actions->len; i++) {
 		struct place_action *a =
--- a/src/replica-form.c
+++ b/src/planner-replicas.c
@@ -2,7 +2,7 @@
 #include <math.h>
 #include <string.h>
 
-#include "replica-form.h"
+#include "planner.h"
 
 /* Ways for a host to get a model, cheapest first. */
 enum load_rank {
@@ -24,11 +24,11 @@
 };
 
 static enum load_rank
-host_rank(const struct form_host *h, const struct model_profile *m)
+host_rank(const struct planner_host *h, const struct model_profile *m)
 {
-	if (g_strcmp0(h->last, m->name) == 0)
+	if (g_strcmp0(h->loaded_model, m->name) == 0)
 		return (LOAD_LAST);
-	return (form_host_has(h, m) ? LOAD_STAGED : LOAD_STORE);
+	return (planner_host_has_model(h, m) ? LOAD_STAGED : LOAD_STORE);
 }
 
 /*
@@ -36,10 +36,10 @@
  * in the fabric domain and can be formed from what is there.
  */
 static bool
-fabric_keeps(const struct form_view *view, const struct form_fabric *f)
+fabric_keeps(const struct planner_view *view, const struct planner_fabric *f)
 {
-	return (f->held < f->cap &&
-	    f->ready >= form_model(view, view->largest)->size);
+	return (f->replicas < f->max_replicas &&
+	    f->ready >= planner_model(view, view->largest)->size);
 }
 
 /*
@@ -48,17 +48,20 @@
  * there are other spares for it, or for a model that is served worse.
  */
 static bool
-host_gives_up(const struct form_view *view, const struct form_host *h,
+host_gives_up(const struct planner_view *view, const struct planner_host *h,
     const struct form_try *try)
 {
-	const struct form_fabric *f = form_fabric_at(view, h->at);
+	const struct planner_fabric *f =
+	    planner_fabric_at(view, h->fabric_index);
 
 	if (fabric_keeps(view, f) &&
-	    form_served(view, view->largest) <= form_served(view, try->index))
+	    planner_supply_ratio(view, view->largest) <=
+		planner_supply_ratio(view, try->index))
 		return (false);
-	return (g_strcmp0(h->last, try->model->name) == 0 || !view->serving ||
-	    form_fabric_spares(f) ||
-	    form_served(view, try->index) < form_served(view, view->largest));
+	return (g_strcmp0(h->loaded_model, try->model->name) == 0 ||
+	    !view->serving || planner_fabric_has_spares(f) ||
+	    planner_supply_ratio(view, try->index) <
+		planner_supply_ratio(view, view->largest));
 }
 
 /*
@@ -66,37 +69,38 @@
  * get their models by copies made before they join.
  */
 static bool
-host_offered(const struct form_view *view, const struct form_host *h,
+host_offered(const struct planner_view *view, const struct planner_host *h,
     const struct form_try *try)
 {
-	const struct model_profile *big = form_model(view, view->largest);
+	const struct model_profile *big = planner_model(view, view->largest);
 
-	if (!h->free || h->at != try->at)
+	if (!h->free || h->fabric_index != try->at)
 		return (false);
-	if (try->model != big && form_host_has(h, big) &&
+	if (try->model != big && planner_host_has_model(h, big) &&
 	    !host_gives_up(view, h, try))
 		return (false);
-	if (form_host_has(h, try->model) || view->engine->models->len == 1)
+	if (planner_host_has_model(h, try->model) ||
+	    view->engine->models->len == 1)
 		return (true);
-	return (!view->serving && h->staging == NULL &&
-	    (try->model == big || !form_host_has(h, big)));
+	return (!view->serving && h->copying == NULL &&
+	    (try->model == big || !planner_host_has_model(h, big)));
 }
 
 /* Free hosts of a fabric domain, and how many need no load. */
 static void
-fabric_count(const struct form_view *view, const struct form_try *try,
+fabric_count(const struct planner_view *view, const struct form_try *try,
     unsigned *free, unsigned *local)
 {
 	*free = 0;
 	*local = 0;
-	for (guint n = 0; n < form_fabric_at(view, try->at)->hosts; n++) {
-		const struct form_host *h =
-		    form_host_at(view, form_fabric_host(view, try->at, n));
+	for (guint n = 0; n < planner_fabric_at(view, try->at)->hosts; n++) {
+		const struct planner_host *h = planner_host_at(view,
+		    planner_fabric_host(view, try->at, n));
 
 		if (!host_offered(view, h, try))
 			continue;
 		(*free)++;
-		*local += form_host_has(h, try->model);
+		*local += planner_host_has_model(h, try->model);
 	}
 }
 
@@ -105,40 +109,40 @@
  * in the failure domain that has fewest of it; loads cost time and money.
  */
 static double
-try_score(const struct form_view *view, const struct form_try *try)
+try_score(const struct planner_view *view, const struct form_try *try)
 {
 	double wanted = MAX(view->wanted[try->index], 0.5);
-	double here = form_domain_held(view, try->model,
-			  form_fabric_at(view, try->at)->domain) /
+	double here = planner_domain_replicas(view, try->model,
+			  planner_fabric_at(view, try->at)->domain) /
 	    wanted;
 
-	return (form_short(view, try->index) / wanted - here -
+	return (planner_shortage(view, try->index) / wanted - here -
 	    LOAD_WEIGHT * try->loads / try->model->size);
 }
 
 /* Whether hosts of this fabric domain may be taken for the model at all. */
 static bool
-try_allowed(const struct form_view *view, const struct form_try *try)
+try_allowed(const struct planner_view *view, const struct form_try *try)
 {
-	const struct form_fabric *f = form_fabric_at(view, try->at);
+	const struct planner_fabric *f = planner_fabric_at(view, try->at);
 	bool largest = try->index == view->largest;
 
 	/* Small replicas take what large ones leave, once all hosts are there.
 	 */
-	if (!view->serving && !view->settled && !largest)
+	if (!view->serving && !view->hosts_stable && !largest)
 		return (false);
-	if (largest && f->held >= f->cap)
+	if (largest && f->replicas >= f->max_replicas)
 		return (false);
 	/* Hosts that hold the model already may as well serve it. */
 	if (try->loads == 0)
 		return (true);
-	return (try->loads <= view->loads &&
-	    form_short(view, try->index) > FORM_SHORT_LEAST);
+	return (try->loads <= view->loads_free &&
+	    planner_shortage(view, try->index) > PLANNER_SHORTAGE_MIN);
 }
 
 /* Weighs one fabric domain for one model. */
 static bool
-try_weigh(const struct form_view *view, struct form_try *try)
+try_weigh(const struct planner_view *view, struct form_try *try)
 {
 	unsigned free, local, size = try->model->size;
 
@@ -154,17 +158,17 @@
 
 /* Takes the members, those that need least first. */
 static void
-plan_take(const struct form_view *view, const struct form_try *try,
-    struct form_plan *plan)
+plan_take(const struct planner_view *view, const struct form_try *try,
+    struct replica_plan *plan)
 {
 	plan->model = try->model;
 	plan->loads = try->loads;
 	plan->members = g_array_new(FALSE, FALSE, sizeof(guint));
 	for (int rank = LOAD_LAST; rank <= LOAD_STORE; rank++) {
-		for (guint n = 0; n < form_fabric_at(view, try->at)->hosts;
+		for (guint n = 0; n < planner_fabric_at(view, try->at)->hosts;
 		     n++) {
-			guint i = form_fabric_host(view, try->at, n);
-			const struct form_host *h = form_host_at(view, i);
+			guint i = planner_fabric_host(view, try->at, n);
+			const struct planner_host *h = planner_host_at(view, i);
 
 			if (plan->members->len == try->model->size)
 				return;
@@ -176,19 +180,19 @@
 }
 
 /**
- * form_next() - the next replica to form.
+ * planner_plan_replica() - the next replica to form.
  * @view: what is there
  * @plan: filled in; the caller frees its members
  *
  * Return: false where none should be formed now.
  */
 bool
-form_next(const struct form_view *view, struct form_plan *plan)
+planner_plan_replica(const struct planner_view *view, struct replica_plan *plan)
 {
 	struct form_try best = { .score = -INFINITY };
 	const GPtrArray *models = view->engine->models;
 
-	for (guint k = 0; k < models->len && k < FORM_MODELS_MAX; k++) {
+	for (guint k = 0; k < models->len && k < PLANNER_MODELS_MAX; k++) {
 		for (guint at = 0; at < view->fabrics->len; at++) {
 			struct form_try try = { .model = models->pdata[k],
 				.index = k,
@@ -209,25 +213,27 @@
  * served as well afterwards, by the models' shares of the work.
  */
 static bool
-donor_spared(const struct form_view *view, const struct replica *donor)
+donor_spared(const struct planner_view *view, const struct replica *donor)
 {
-	unsigned k = form_model_index(view, donor->model);
-	double after = (view->held[k] - 1.0) / MAX(view->shares[k], 0.5);
+	unsigned k = planner_model_index(view, donor->model);
+	double after =
+	    (view->replicas[k] - 1.0) / MAX(view->share_replicas[k], 0.5);
 
-	return (after >= form_served(view, view->largest));
+	return (after >= planner_supply_ratio(view, view->largest));
 }
 
 /* The replica in a fabric domain whose hosts are wanted most; or NULL. */
 static struct replica *
-fabric_donor(const struct form_view *view, unsigned at)
+fabric_donor(const struct planner_view *view, unsigned at)
 {
-	const struct model_profile *big = form_model(view, view->largest);
+	const struct model_profile *big = planner_model(view, view->largest);
 
-	for (guint n = 0; n < form_fabric_at(view, at)->hosts; n++) {
-		const struct form_host *h =
-		    form_host_at(view, form_fabric_host(view, at, n));
+	for (guint n = 0; n < planner_fabric_at(view, at)->hosts; n++) {
+		const struct planner_host *h =
+		    planner_host_at(view, planner_fabric_host(view, at, n));
 
-		if (form_host_has(h, big) && form_host_donates(h, big) &&
+		if (planner_host_has_model(h, big) &&
+		    planner_host_can_donate(h, big) &&
 		    donor_spared(view, h->group))
 			return (h->group);
 	}
@@ -235,23 +241,24 @@
 }
 
 /**
- * form_donor() - a replica to dissolve so that the largest model can form.
+ * planner_find_donor() - a replica to dissolve so that the largest model can
+ * form.
  * @view: what is there
  *
  * Return: NULL where none need or could be.
  */
 struct replica *
-form_donor(const struct form_view *view)
+planner_find_donor(const struct planner_view *view)
 {
-	unsigned size = form_model(view, view->largest)->size;
+	unsigned size = planner_model(view, view->largest)->size;
 
-	if (form_short(view, view->largest) < 0.5)
+	if (planner_shortage(view, view->largest) < 0.5)
 		return (NULL);
 	for (guint at = 0; at < view->fabrics->len; at++) {
-		const struct form_fabric *f = form_fabric_at(view, at);
+		const struct planner_fabric *f = planner_fabric_at(view, at);
 		struct replica *donor = NULL;
 
-		if (f->held < f->cap && f->ready < size &&
+		if (f->replicas < f->max_replicas && f->ready < size &&
 		    f->ready + f->donors >= size)
 			donor = fabric_donor(view, at);
 		if (donor != NULL)
@@ -261,29 +268,30 @@
 }
 
 /**
- * form_surplus() - a replica of the largest model to dissolve, since its hosts
- * serve more requests as replicas of others.
+ * planner_find_surplus() - a replica of the largest model to dissolve, since
+ * its hosts serve more requests as replicas of others.
  * @view: what is there
  *
  * Return: NULL where none should be.
  */
 struct replica *
-form_surplus(const struct form_view *view)
+planner_find_surplus(const struct planner_view *view)
 {
-	const struct model_profile *big = form_model(view, view->largest);
+	const struct model_profile *big = planner_model(view, view->largest);
 
-	if (view->most == 0 || view->held[view->largest] <= view->most)
+	if (view->largest_max == 0 ||
+	    view->replicas[view->largest] <= view->largest_max)
 		return (NULL);
 	for (guint at = 0; at < view->fabrics->len; at++) {
-		const struct form_fabric *f = form_fabric_at(view, at);
+		const struct planner_fabric *f = planner_fabric_at(view, at);
 
-		if (f->held <= f->cap)
+		if (f->replicas <= f->max_replicas)
 			continue;
 		for (guint n = 0; n < f->hosts; n++) {
-			const struct form_host *h =
-			    form_host_at(view, form_fabric_host(view, at, n));
+			const struct planner_host *h = planner_host_at(view,
+			    planner_fabric_host(view, at, n));
 
-			if (h->group != NULL && replica_wanted(h->group) &&
+			if (h->group != NULL && replica_active(h->group) &&
 			    h->group->opened &&
 			    strcmp(h->group->model, big->name) == 0)
 				return (h->group);
--- a/src/poison-model.c
+++ b/src/poison-model.c
@@ -25,21 +25,21 @@
  * @works: how many works
  */
 struct poison_model *
-poison_model_new(struct fleet_model *fleet, const struct poison_way *way,
+poison_model_new(struct fleet_model *fleet, const struct poison_scheme *way,
     double per_s, unsigned works)
 {
 	struct poison_model *m = g_new0(struct poison_model, 1);
 
 	m->fleet = fleet;
-	m->way = way;
+	m->scheme = way;
 	m->per_s = per_s;
-	m->works = works;
-	m->runs = g_array_new(FALSE, FALSE, sizeof(struct poison_run));
+	m->n_requests = works;
+	m->attempts = g_array_new(FALSE, FALSE, sizeof(struct poison_attempt));
 	m->bystanders = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	m->third_ms = g_new0(uint64_t, works);
-	m->by_work = g_new0(unsigned, works);
-	m->over = g_new0(unsigned, works);
-	m->fingerprint = BYSTANDERS;
+	m->third_crash_ms = g_new0(uint64_t, works);
+	m->crashes = g_new0(unsigned, works);
+	m->n_late = g_new0(unsigned, works);
+	m->next_fingerprint = BYSTANDERS;
 	return (m);
 }
 
@@ -50,11 +50,11 @@
 void
 poison_model_free(struct poison_model *m)
 {
-	g_array_free(m->runs, TRUE);
+	g_array_free(m->attempts, TRUE);
 	g_array_free(m->bystanders, TRUE);
-	g_free(m->third_ms);
-	g_free(m->by_work);
-	g_free(m->over);
+	g_free(m->third_crash_ms);
+	g_free(m->crashes);
+	g_free(m->n_late);
 	g_free(m);
 }
 
@@ -69,7 +69,7 @@
 model_lose(struct poison_model *m, unsigned at, uint64_t work)
 {
 	const struct poison_crash end = {
-		.id_hash = m->ends,
+		.id_hash = m->n_crashes,
 		.at_ms = m->fleet->now_ms,
 	};
 
@@ -86,14 +86,14 @@
 
 	m->bystanders = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	for (unsigned i = 0; i < OTHERS; i++) {
-		unsigned at = fleet_model_draw(m->fleet, m->fleet->n);
-		uint64_t work = m->fingerprint;
+		unsigned at = fleet_model_random(m->fleet, m->fleet->n);
+		uint64_t work = m->next_fingerprint;
 
 		if (i < met->len &&
-		    fleet_model_draw(m->fleet, MS_PER_S) < MEET_THOUSANDTHS)
+		    fleet_model_random(m->fleet, MS_PER_S) < MEET_THOUSANDTHS)
 			work = g_array_index(met, uint64_t, i);
 		else
-			m->fingerprint++;
+			m->next_fingerprint++;
 		g_array_append_val(m->bystanders, work);
 		model_lose(m, at, work);
 	}
@@ -106,49 +106,49 @@
 {
 	uint64_t now = m->fleet->now_ms;
 	unsigned of = (unsigned)work - 1;
-	const struct poison_run run = {
-		.work = work,
+	const struct poison_attempt run = {
+		.fingerprint = work,
 		.daemon = at,
 		.sends = sends + 1,
-		.ends_ms = now + RUN_MS,
+		.crash_ms = now + RUN_MS,
 	};
 
-	if (!m->fleet->daemons[at].up || m->way->refuses(m, at, work))
+	if (!m->fleet->daemons[at].up || m->scheme->refuses(m, at, work))
 		return;
-	m->over[of] +=
-	    m->third_ms[of] != 0 && now - m->third_ms[of] >= STABLE_MS;
-	g_array_append_val(m->runs, run);
+	m->n_late[of] += m->third_crash_ms[of] != 0 &&
+	    now - m->third_crash_ms[of] >= STABLE_MS;
+	g_array_append_val(m->attempts, run);
 }
 
 /* An endpoint ends under the work that it runs. */
 static void
-model_end(struct poison_model *m, const struct poison_run *run)
+model_end(struct poison_model *m, const struct poison_attempt *run)
 {
-	unsigned of = (unsigned)run->work - 1;
+	unsigned of = (unsigned)run->fingerprint - 1;
 
-	m->ends++;
-	m->last_ms = m->fleet->now_ms;
-	if (++m->by_work[of] == TOLD_ENDS)
-		m->third_ms[of] = m->fleet->now_ms;
-	model_lose(m, run->daemon, run->work);
+	m->n_crashes++;
+	m->last_crash_ms = m->fleet->now_ms;
+	if (++m->crashes[of] == TOLD_ENDS)
+		m->third_crash_ms[of] = m->fleet->now_ms;
+	model_lose(m, run->daemon, run->fingerprint);
 	model_lose_others(m);
 	if (run->sends < SENDS_MOST &&
-	    m->way->repeats(m, run->daemon, run->work))
-		model_send(m, run->daemon, run->work, run->sends);
+	    m->scheme->resends(m, run->daemon, run->fingerprint))
+		model_send(m, run->daemon, run->fingerprint, run->sends);
 }
 
 static void
 model_end_due(struct poison_model *m)
 {
-	for (guint i = 0; i < m->runs->len;) {
-		struct poison_run run =
-		    g_array_index(m->runs, struct poison_run, i);
+	for (guint i = 0; i < m->attempts->len;) {
+		struct poison_attempt run =
+		    g_array_index(m->attempts, struct poison_attempt, i);
 
-		if (run.ends_ms > m->fleet->now_ms) {
+		if (run.crash_ms > m->fleet->now_ms) {
 			i++;
 			continue;
 		}
-		g_array_remove_index(m->runs, i);
+		g_array_remove_index(m->attempts, i);
 		model_end(m, &run);
 	}
 }
@@ -166,7 +166,7 @@
 			w->changed_ms = 0;
 		m->fleet->daemons[i].mesh.newcomer_ms = 0;
 		for (unsigned k = 0; k < MESH_KINDS; k++)
-			m->fleet->daemons[i].mesh.poison_told_ms[k] =
+			m->fleet->daemons[i].mesh.poison_sent_ms[k] =
 			    m->fleet->now_ms;
 	}
 }
@@ -180,14 +180,14 @@
 poison_model_run(struct poison_model *m, uint64_t ms)
 {
 	while (ms-- > 0) {
-		if (!m->way->told)
+		if (!m->scheme->shares)
 			model_hush(m);
 		fleet_model_run(m->fleet, 1);
 		model_end_due(m);
-		for (unsigned i = 0; i < m->works; i++) {
-			if (fleet_model_draw(m->fleet, MS_PER_S) < m->per_s)
+		for (unsigned i = 0; i < m->n_requests; i++) {
+			if (fleet_model_random(m->fleet, MS_PER_S) < m->per_s)
 				model_send(m,
-				    fleet_model_draw(m->fleet, m->fleet->n),
+				    fleet_model_random(m->fleet, m->fleet->n),
 				    i + 1, 0);
 		}
 	}
@@ -204,23 +204,23 @@
 }
 
 /**
- * poison_model_most() - the most endpoints that one work ended.
+ * poison_model_ends_max() - the most endpoints that one work ended.
  * @m: the model
  */
 unsigned
-poison_model_most(const struct poison_model *m)
+poison_model_ends_max(const struct poison_model *m)
 {
-	return (most_of(m->by_work, m->works));
+	return (most_of(m->crashes, m->n_requests));
 }
 
 /**
- * poison_model_over() - the most late sends of one work.
+ * poison_model_late_max() - the most late sends of one work.
  * @m: the model
  */
 unsigned
-poison_model_over(const struct poison_model *m)
+poison_model_late_max(const struct poison_model *m)
 {
-	return (most_of(m->over, m->works));
+	return (most_of(m->n_late, m->n_requests));
 }
 
 /**
@@ -232,10 +232,10 @@
 {
 	unsigned n = 0;
 
-	for (uint64_t work = BYSTANDERS; work < m->fingerprint; work++) {
+	for (uint64_t work = BYSTANDERS; work < m->next_fingerprint; work++) {
 		for (unsigned i = 0; i < m->fleet->n; i++) {
 			if (!m->fleet->daemons[i].up ||
-			    !m->way->refuses(m, i, work))
+			    !m->scheme->refuses(m, i, work))
 				continue;
 			n++;
 			break;
@@ -284,26 +284,26 @@
 	return (w != NULL && w->n_crashes >= 2);
 }
 
-const struct poison_way poison_way_alone = {
+const struct poison_scheme poison_scheme_alone = {
 	.name = "alone",
 	.refuses = told_refuses,
-	.repeats = always_repeats,
+	.resends = always_repeats,
 };
-const struct poison_way poison_way_two = {
+const struct poison_scheme poison_scheme_two = {
 	.name = "two",
 	.refuses = two_refuses,
-	.repeats = always_repeats,
-	.told = true,
+	.resends = always_repeats,
+	.shares = true,
 };
-const struct poison_way poison_way_once = {
+const struct poison_scheme poison_scheme_once = {
 	.name = "once",
 	.refuses = told_refuses,
-	.repeats = once_repeats,
-	.told = true,
+	.resends = once_repeats,
+	.shares = true,
 };
-const struct poison_way poison_way_told = {
+const struct poison_scheme poison_scheme_told = {
 	.name = "told",
 	.refuses = told_refuses,
-	.repeats = always_repeats,
-	.told = true,
+	.resends = always_repeats,
+	.shares = true,
 };
--- a/src/replica.c
+++ b/src/replica.c
@@ -65,23 +65,23 @@
 void
 replica_donate(struct replica *r, uint64_t now_ms)
 {
-	r->doomed = "donates";
-	r->doomed_ms = now_ms;
-	r->finish_ms = REPLICA_DONATE_MS;
-	r->donates = true;
+	r->dissolve_reason = "donates";
+	r->dissolving_ms = now_ms;
+	r->drain_ms = REPLICA_DONOR_DRAIN_MS;
+	r->donor = true;
 }
 
 /**
- * replica_give_up() - dissolve a replica that others serve more with.
+ * replica_retire() - dissolve a replica that others serve more with.
  * @r: the replica
  * @now_ms: loop time
  */
 void
-replica_give_up(struct replica *r, uint64_t now_ms)
+replica_retire(struct replica *r, uint64_t now_ms)
 {
 	replica_donate(r, now_ms);
-	r->doomed = "surplus";
-	r->finish_ms = REPLICA_SURPLUS_MS;
+	r->dissolve_reason = "surplus";
+	r->drain_ms = REPLICA_SURPLUS_DRAIN_MS;
 }
 
 /**
@@ -94,40 +94,40 @@
 void
 replica_inherit(struct replica *r, uint64_t now_ms)
 {
-	r->made_ms = now_ms;
+	r->known_ms = now_ms;
 	r->recorded = true;
 	/* The placer before may have told it to. */
-	r->open_asked = true;
+	r->open_ordered = true;
 	for (unsigned i = 0; i < r->n && !r->settled; i++)
-		r->members[i].late_until_ms =
-		    now_ms + REPLICA_OUTDONE_MS + REPLICA_LATE_MS;
+		r->members[i].late_join_until_ms =
+		    now_ms + REPLICA_LEASE_FRESH_MS + REPLICA_LATE_ORDER_MS;
 }
 
 /**
- * replica_settles() - whether a replica has settled just now.
+ * replica_can_settle() - whether a replica has settled just now.
  * @r: the replica
  * @now_ms: loop time
  */
 bool
-replica_settles(const struct replica *r, uint64_t now_ms)
+replica_can_settle(const struct replica *r, uint64_t now_ms)
 {
-	if (r->settled || !r->opened || r->doomed != NULL)
+	if (r->settled || !r->opened || r->dissolve_reason != NULL)
 		return (false);
 	for (unsigned i = 0; i < r->n; i++) {
-		if (r->members[i].late_until_ms > now_ms)
+		if (r->members[i].late_join_until_ms > now_ms)
 			return (false);
 	}
 	return (true);
 }
 
 /**
- * replica_wanted() - whether a replica serves or is to serve.
+ * replica_active() - whether a replica serves or is to serve.
  * @r: the replica
  */
 bool
-replica_wanted(const struct replica *r)
+replica_active(const struct replica *r)
 {
-	return (r->doomed == NULL);
+	return (r->dissolve_reason == NULL);
 }
 
 /**
@@ -140,11 +140,12 @@
 bool
 replica_ends_soon(const struct replica *r, uint64_t now_ms)
 {
-	if (r->doomed == NULL)
+	if (r->dissolve_reason == NULL)
 		return (false);
-	if (r->members[0].life == MEMBER_SILENT)
+	if (r->members[0].liveness == MEMBER_SILENT)
 		return (true);
-	return (now_ms - r->doomed_ms + REPLICA_SOON_MS >= r->finish_ms);
+	return (
+	    now_ms - r->dissolving_ms + REPLICA_ENDS_SOON_MS >= r->drain_ms);
 }
 
 /*
@@ -156,44 +157,44 @@
     uint64_t now_ms)
 {
 	return (r->opened ||
-	    (r->settled && m->told_ms != 0 &&
-		now_ms - r->made_ms >= REPLICA_BACK_MS));
+	    (r->settled && m->last_report_ms != 0 &&
+		now_ms - r->known_ms >= REPLICA_REPORT_LAG_MS));
 }
 
 /**
- * replica_judge() - whether a replica must be dissolved.
+ * replica_check() - whether a replica must be dissolved.
  * @r: the replica
  * @now_ms: loop time
  *
  * Return: why, or NULL.
  */
 const char *
-replica_judge(const struct replica *r, uint64_t now_ms)
+replica_check(const struct replica *r, uint64_t now_ms)
 {
 	for (unsigned i = 0; i < r->n; i++) {
 		const struct replica_member *m = &r->members[i];
 
-		if (m->life == MEMBER_DEAD)
+		if (m->liveness == MEMBER_DEAD)
 			return ("member_dead");
-		if (m->life == MEMBER_SILENT)
+		if (m->liveness == MEMBER_SILENT)
 			return ("member_silent");
 		/* Requests reach the head only, so any other member may be cut
 		 * from the store as long as it answers. */
-		if (m->life == MEMBER_LAPSED && i == 0)
+		if (m->liveness == MEMBER_LAPSED && i == 0)
 			return ("head_lapsed");
-		if (m->life == MEMBER_DRAINING)
+		if (m->liveness == MEMBER_DRAINING)
 			return ("member_drains");
-		if (m->elsewhere)
+		if (m->in_newer_group)
 			return ("member_elsewhere");
-		if (m->refused && !m->here)
+		if (m->join_fenced && !m->in_group)
 			return ("join_fenced");
 		/* A whole group loses a member only by a stray order. */
-		if (!m->here && member_known(r, m, now_ms))
+		if (!m->in_group && member_known(r, m, now_ms))
 			return ("member_left");
 	}
-	if (r->members[0].here && r->members[0].state == GROUP_BROKEN)
+	if (r->members[0].in_group && r->members[0].state == GROUP_BROKEN)
 		return ("head_broken");
-	if (!r->opened && now_ms - r->made_ms > REPLICA_FORM_MOST_MS)
+	if (!r->opened && now_ms - r->known_ms > REPLICA_FORM_TIMEOUT_MS)
 		return ("not_formed");
 	return (NULL);
 }
@@ -214,14 +215,14 @@
 static void
 step_gone(struct replica_step *step, enum replica_proof proof)
 {
-	step->act = REPLICA_GONE;
+	step->action = REPLICA_DISSOLVED;
 	step->proof = proof;
 }
 
 static void
 step_order(struct replica_step *step, unsigned member, enum order_kind order)
 {
-	step->act = REPLICA_ORDER;
+	step->action = REPLICA_ORDER;
 	step->member = member;
 	step->order = order;
 }
@@ -231,9 +232,9 @@
 member_due(const struct replica_member *m, enum order_kind order,
     uint64_t now_ms, uint64_t again_ms)
 {
-	if (m->busy)
+	if (m->order_pending)
 		return (false);
-	return (m->ordered_ms == 0 || m->order != order ||
+	return (m->ordered_ms == 0 || m->last_order != order ||
 	    now_ms - m->ordered_ms >= again_ms);
 }
 
@@ -241,7 +242,7 @@
 static bool
 member_ready(const struct replica *r, const struct replica_member *m)
 {
-	return (m->here && (!m->unproven || r->settled) &&
+	return (m->in_group && (!m->unverified || r->settled) &&
 	    (m->state == GROUP_READY || m->state == GROUP_OPEN));
 }
 
@@ -253,11 +254,11 @@
 {
 	if (r->settled)
 		return (false);
-	if (!m->here)
+	if (!m->in_group)
 		return (
-		    member_due(m, ORDER_JOIN, now_ms, REPLICA_JOIN_SHOWS_MS));
-	return (m->unproven &&
-	    member_due(m, ORDER_JOIN, now_ms, REPLICA_ORDER_AGAIN_MS));
+		    member_due(m, ORDER_JOIN, now_ms, REPLICA_JOIN_RETRY_MS));
+	return (m->unverified &&
+	    member_due(m, ORDER_JOIN, now_ms, REPLICA_ORDER_RETRY_MS));
 }
 
 /* Joins, then, once every member itself says that it is ready, opens. */
@@ -281,8 +282,8 @@
 	if (r->members[0].state == GROUP_OPEN)
 		r->opened = true;
 	else if (member_due(&r->members[0], ORDER_OPEN, now_ms,
-		     REPLICA_ORDER_AGAIN_MS)) {
-		r->open_asked = true;
+		     REPLICA_ORDER_RETRY_MS)) {
+		r->open_ordered = true;
 		step_order(step, 0, ORDER_OPEN);
 	}
 }
@@ -294,8 +295,9 @@
 static bool
 member_leaves_again(const struct replica_member *m, uint64_t now_ms)
 {
-	return ((m->here && m->told_ms >= m->left_ms + REPLICA_BACK_MS) ||
-	    now_ms >= m->late_until_ms);
+	return ((m->in_group &&
+		    m->last_report_ms >= m->left_ms + REPLICA_REPORT_LAG_MS) ||
+	    now_ms >= m->late_join_until_ms);
 }
 
 /*
@@ -312,7 +314,7 @@
 	if (m->left && member_leaves_again(m, now_ms))
 		m->left = false;
 	if (m->left ||
-	    !member_due(m, ORDER_LEAVE, now_ms, REPLICA_ORDER_AGAIN_MS))
+	    !member_due(m, ORDER_LEAVE, now_ms, REPLICA_ORDER_RETRY_MS))
 		return (false);
 	step_order(step, i, ORDER_LEAVE);
 	return (true);
@@ -333,20 +335,20 @@
 
 	for (unsigned i = 1; i < r->n; i++) {
 		struct replica_member *m = &r->members[i];
-		bool out = replica_member_out(m);
+		bool out = replica_member_released(m);
 
-		if (r->split_ms == 0 && (out || m->left))
-			r->split_ms = now_ms;
+		if (r->member_left_ms == 0 && (out || m->left))
+			r->member_left_ms = now_ms;
 		all = all && out;
-		if (!out && m->life != MEMBER_SILENT &&
+		if (!out && m->liveness != MEMBER_SILENT &&
 		    member_out_step(r, i, now_ms, step))
 			return;
 	}
-	if (r->split_ms == 0)
+	if (r->member_left_ms == 0)
 		return;
 	if (all)
-		step_gone(step, PROOF_MEMBERS);
-	else if (now_ms - r->split_ms >= stall_ms + REPLICA_LATE_MS)
+		step_gone(step, PROOF_MEMBERS_LEFT);
+	else if (now_ms - r->member_left_ms >= stall_ms + REPLICA_LATE_ORDER_MS)
 		step_gone(step, PROOF_STALLED);
 }
 
@@ -360,45 +362,45 @@
     struct replica_step *step)
 {
 	struct replica_member *head = &r->members[0];
-	bool gentle = now_ms - r->doomed_ms < r->finish_ms;
+	bool gentle = now_ms - r->dissolving_ms < r->drain_ms;
 	enum order_kind close = gentle ? ORDER_CLOSE : ORDER_CANCEL;
 
 	/* One that nobody told to open can't serve: its hosts are free, and the
 	 * epochs of newer groups keep late joins of it out. */
-	if (!r->open_asked) {
-		step_gone(step, PROOF_UNASKED);
+	if (!r->open_ordered) {
+		step_gone(step, PROOF_NEVER_OPENED);
 		return;
 	}
-	if (head->elsewhere) {
-		step_gone(step, PROOF_ELSEWHERE);
+	if (head->in_newer_group) {
+		step_gone(step, PROOF_HEAD_IN_NEWER_GROUP);
 		return;
 	}
-	if (head->life == MEMBER_DEAD) {
-		step_gone(step, PROOF_DEAD);
+	if (head->liveness == MEMBER_DEAD) {
+		step_gone(step, PROOF_HEAD_DEAD);
 		return;
 	}
-	if (replica_member_out(head)) {
-		step_gone(step, PROOF_LEFT);
+	if (replica_member_released(head)) {
+		step_gone(step, PROOF_HEAD_LEFT);
 		return;
 	}
-	if (head->life == MEMBER_SILENT) {
+	if (head->liveness == MEMBER_SILENT) {
 		next_split(r, now_ms, stall_ms, step);
 		return;
 	}
-	r->split_ms = 0;
+	r->member_left_ms = 0;
 	if (head->left) {
 		member_out_step(r, 0, now_ms, step);
 		return;
 	}
-	if (gentle && now_ms - r->doomed_ms < REPLICA_WARN_MS)
+	if (gentle && now_ms - r->dissolving_ms < REPLICA_CLOSE_NOTICE_MS)
 		return;
 	if (!r->head_closed) {
-		if (member_due(head, close, now_ms, REPLICA_ORDER_AGAIN_MS))
+		if (member_due(head, close, now_ms, REPLICA_ORDER_RETRY_MS))
 			step_order(step, 0, close);
 		return;
 	}
 	/* A gentle close runs on until the head says that it is done. */
-	if (gentle && head->here &&
+	if (gentle && head->in_group &&
 	    (head->state == GROUP_OPEN || head->state == GROUP_CLOSING))
 		return;
 	member_out_step(r, 0, now_ms, step);
@@ -412,36 +414,36 @@
 replica_undone(const struct replica *r)
 {
 	for (unsigned i = 0; i < r->n; i++) {
-		if (r->members[i].left || r->members[i].elsewhere)
+		if (r->members[i].left || r->members[i].in_newer_group)
 			return (false);
 	}
-	return (
-	    !r->head_closed && r->split_ms == 0 && !r->adopted && !r->donates);
+	return (!r->head_closed && r->member_left_ms == 0 && !r->adopted &&
+	    !r->donor);
 }
 
 /**
- * replica_next() - the next step for a replica.
+ * replica_next_step() - the next step for a replica.
  * @r: the replica; notes that it has opened or is doomed
  * @now_ms: loop time
  * @stall_ms: after which the platform breaks a group that stands still
  * @step: filled in
  */
 void
-replica_next(struct replica *r, uint64_t now_ms, uint64_t stall_ms,
+replica_next_step(struct replica *r, uint64_t now_ms, uint64_t stall_ms,
     struct replica_step *step)
 {
 	memset(step, 0, sizeof *step);
-	const char *judged = replica_judge(r, now_ms);
+	const char *judged = replica_check(r, now_ms);
 
-	if (r->doomed == NULL && judged != NULL) {
-		r->doomed_ms = now_ms;
-		r->finish_ms = strcmp(judged, "member_drains") == 0 ?
-		    REPLICA_FINISH_MS :
+	if (r->dissolve_reason == NULL && judged != NULL) {
+		r->dissolving_ms = now_ms;
+		r->drain_ms = strcmp(judged, "member_drains") == 0 ?
+		    REPLICA_LEAVE_DRAIN_MS :
 		    0;
 	}
-	if (r->doomed == NULL || replica_undone(r))
-		r->doomed = judged;
-	if (r->doomed != NULL)
+	if (r->dissolve_reason == NULL || replica_undone(r))
+		r->dissolve_reason = judged;
+	if (r->dissolve_reason != NULL)
 		next_doomed(r, now_ms, stall_ms, step);
 	else if (r->recorded)
 		next_forming(r, now_ms, step);
--- a/src/usage.c
+++ b/src/usage.c
@@ -36,7 +36,7 @@
 	struct resource *placement =
 	    state_resource(in->state, "placement", name);
 	const char *policy =
-	    resource_string(placement, "policy", PLACE_DEFAULT);
+	    resource_string(placement, "policy", PLACE_POLICY_DEFAULT);
 	char *key = g_strconcat(deployment->name, "/", policy, NULL);
 	struct usage *u = g_hash_table_lookup(table, key);
 
--- a/tests/fake-crash.c
+++ b/tests/fake-crash.c
@@ -20,7 +20,7 @@
 #define ENDS_TOLD 3
 #define STABLE_MS 3000
 #define MORE_MOST 3
-#define WORK_SHORT 8
+#define FINGERPRINT_SHORT 8
 
 /* What one work did. */
 struct crash_work {
@@ -55,7 +55,7 @@
 	if (tenant != NULL)
 		g_checksum_update(sum, (const guchar *)tenant, -1);
 	g_checksum_update(sum, c->body->data, (gssize)c->body->len);
-	return (g_strndup(g_checksum_get_string(sum), WORK_SHORT));
+	return (g_strndup(g_checksum_get_string(sum), FINGERPRINT_SHORT));
 }
 
 static struct crash_work *
--- a/tests/test-adapter.c
+++ b/tests/test-adapter.c
@@ -3,7 +3,7 @@
 #include <math.h>
 #include <string.h>
 
-#include "mesh-news.h"
+#include "mesh-message.h"
 #include "platform.h"
 #include "script.h"
 
@@ -142,13 +142,13 @@
 	    "id=%s key=%s model=%s deadline=%lld tokens=%.0f,%.0f last=%lld\n",
 	    req.id != NULL ? req.id : "-", req.key != NULL ? req.key : "-",
 	    req.model != NULL ? req.model : "-", (long long)req.deadline_ms,
-	    req.prompt_tokens, req.answer_tokens, (long long)req.last_event);
+	    req.prompt_tokens, req.response_tokens, (long long)req.last_event);
 	g_string_append(out, "passes:");
 	for (unsigned i = 0; i < head.n_fields; i++) {
 		const char *name = net_head_name(&head, i);
 
 		if (!net_head_hop_by_hop(&head, i) &&
-		    platform_wire.passes(name))
+		    platform_wire.passes_header(name))
 			g_string_append_printf(out, " %s", name);
 	}
 	g_string_append_c(out, '\n');
@@ -157,7 +157,7 @@
 
 /* Prints a word of an endpoint, if it was said. */
 static void
-said_print(const struct said *said, const char *name, const char *unit,
+said_print(const struct feedback *said, const char *name, const char *unit,
     GString *out)
 {
 	if (said->text == NULL)
@@ -175,20 +175,20 @@
 {
 	char *at;
 	unsigned status = (unsigned)strtoul(rest, &at, 10);
-	struct wire_answer answer;
+	struct wire_response answer;
 	struct net_head head;
 
 	head_fill(&head, at + 1);
-	platform_wire.read_answer(status, &head, &answer);
+	platform_wire.read_response(status, &head, &answer);
 	g_string_append_printf(out,
 	    "id=%s proof=%d not_run=%d wrong_endpoint=%d at_fault=%s",
-	    answer.id != NULL ? answer.id : "-", answer.proof, answer.not_run,
-	    answer.wrong_endpoint,
-	    answer.at_fault != NULL ? answer.at_fault : "-");
-	if (answer.said[SAID_LEAVING].number == 1)
+	    answer.id != NULL ? answer.id : "-", answer.has_signature,
+	    answer.not_run, answer.wrong_endpoint,
+	    answer.lost_member != NULL ? answer.lost_member : "-");
+	if (answer.feedback[FEEDBACK_DRAINING].number == 1)
 		g_string_append(out, " leaving=1");
-	said_print(&answer.said[SAID_REST], "rest", " ms", out);
-	said_print(&answer.said[SAID_LIMIT], "limit", "/s", out);
+	said_print(&answer.feedback[FEEDBACK_BACKOFF], "rest", " ms", out);
+	said_print(&answer.feedback[FEEDBACK_LIMIT], "limit", "/s", out);
 	g_string_append_c(out, '\n');
 	net_head_clear(&head);
 }
@@ -211,13 +211,13 @@
 static void
 exec_news(const char *rest, GString *out)
 {
-	static struct mesh_news in, back;
-	static char bytes[MESH_BYTES];
-	const struct mesh_news said = { .kind = MESH_FLEET,
+	static struct mesh_message in, back;
+	static char bytes[MESH_DATAGRAM_MAX];
+	const struct mesh_message said = { .kind = MESH_FLEET_SUMMARY,
 		.name = "d1",
 		.domain = "a",
 		.capacity = 500,
-		.life = 5,
+		.incarnation = 5,
 		.sequence = 9,
 		.pong = 77,
 		.self = { .placer = true, .term = 3 },
@@ -225,7 +225,7 @@
 		.relay = { "d0", 1, 7340, 120 },
 		.config_version = 12,
 		.config_age_ms = 40,
-		.living = 295,
+		.n_alive = 295,
 		.n_loads = 2,
 		.n_avoid = 1,
 		.n_limits = 1,
@@ -233,38 +233,39 @@
 	size_t length;
 
 	in = said;
-	in.loads[1].key = 4;
+	in.loads[1].id_hash = 4;
 	in.loads[1].inflight = (uint32_t)script_number(rest, "inflight", 2);
-	in.loads[1].reading = (uint32_t)script_number(rest, "reading", 1000);
-	in.loads[1].heard_ms = (uint32_t)script_number(rest, "heard", 30);
+	in.loads[1].pending = (uint32_t)script_number(rest, "reading", 1000);
+	in.loads[1].idle_ms = (uint32_t)script_number(rest, "heard", 30);
 	in.avoid[0] = (struct mesh_avoid){ 99, 20 };
 	in.limits[0] = (struct mesh_limit){ 98, 1300, 250, 3, 433333 };
 	in.members[1] = (struct mesh_member){ 8, 65535, true };
-	length = mesh_news_encode(&in, bytes, sizeof bytes);
+	length = mesh_message_encode(&in, bytes, sizeof bytes);
 	length -= script_number(rest, "cut", 0);
 	length += script_number(rest, "more", 0);
-	if (!mesh_news_decode(&back, bytes, length)) {
+	if (!mesh_message_decode(&back, bytes, length)) {
 		g_string_append(out, "refused\n");
 		return;
 	}
 	g_string_append_printf(out,
 	    "%s %s life=%d placer=%d term=%d version=%d loads=%u key=%u "
 	    "reading=%u avoid=%u\n",
-	    back.name, back.domain, (int)back.life, back.self.placer,
+	    back.name, back.domain, (int)back.incarnation, back.self.placer,
 	    (int)back.self.term, (int)back.config_version, back.n_loads,
-	    back.loads[1].key, back.loads[1].reading, back.avoid[0].key);
+	    back.loads[1].id_hash, back.loads[1].pending,
+	    back.avoid[0].id_hash);
 	g_string_append_printf(out,
 	    "kind=%d capacity=%u living=%u inflight=%u heard=%u avoid_age=%u "
 	    "placer=%u/%d/%u/%d relay=%s:%u/%u members=%u last=%u/%u/%d "
 	    "limit=%u/%u/%u/%u/%u\n",
-	    (int)back.kind, back.capacity, back.living, back.loads[1].inflight,
-	    back.loads[1].heard_ms, back.avoid[0].age_ms, back.placer.key,
-	    (int)back.placer.term, back.placer.age_ms, back.placer.fit,
+	    (int)back.kind, back.capacity, back.n_alive, back.loads[1].inflight,
+	    back.loads[1].idle_ms, back.avoid[0].age_ms, back.placer.name_hash,
+	    (int)back.placer.term, back.placer.age_ms, back.placer.can_place,
 	    back.relay.name, back.relay.port, back.relay.capacity,
-	    back.n_members, back.members[1].key, back.members[1].sequence,
-	    back.members[1].newest, back.limits[0].key, back.limits[0].milli,
-	    back.limits[0].age_ms, back.limits[0].users,
-	    back.limits[0].each_micro);
+	    back.n_members, back.members[1].name_hash, back.members[1].sequence,
+	    back.members[1].config_current, back.limits[0].id_hash,
+	    back.limits[0].milli_per_s, back.limits[0].age_ms,
+	    back.limits[0].users, back.limits[0].each_micro_per_s);
 }
 
 static const struct script_command commands[] = {
--- a/tests/test-budget.c
+++ b/tests/test-budget.c
@@ -3,14 +3,14 @@
 #include "script.h"
 
 static struct fwd_budget budget;
-static struct fwd_sharers sharers;
+static struct fwd_daemon_peak sharers;
 static const struct fwd_budget_rule rule = { 0.2, 100, 10000 };
 
 static void
 reset(void)
 {
 	budget = (struct fwd_budget){ 0 };
-	sharers = (struct fwd_sharers){ 0 };
+	sharers = (struct fwd_daemon_peak){ 0 };
 }
 
 /* requests n=N at=MS */
@@ -43,8 +43,9 @@
 exec_living(const char *rest, GString *out)
 {
 	g_string_append_printf(out, "shared by %u\n",
-	    fwd_sharers_note(&sharers, (unsigned)script_number(rest, "n", 1),
-		rule.window_ms, script_number(rest, "at", 0)));
+	    fwd_daemon_peak_update(&sharers,
+		(unsigned)script_number(rest, "n", 1), rule.window_ms,
+		script_number(rest, "at", 0)));
 }
 
 static const struct script_command commands[] = {
--- a/tests/test-events.c
+++ b/tests/test-events.c
@@ -29,7 +29,7 @@
 
 	while (
 	    (verdict = fwd_events_next(&events, &length)) != FWD_EVENT_NONE) {
-		g_autofree char *text = g_strndup(events.held->str, length);
+		g_autofree char *text = g_strndup(events.buf->str, length);
 		g_autofree char *shown = g_strescape(text, NULL);
 
 		g_string_append_printf(out, "%s %s\n", names[verdict], shown);
@@ -37,7 +37,7 @@
 			return;
 		fwd_events_drop(&events, length);
 	}
-	g_string_append_printf(out, "held %zu\n", events.held->len);
+	g_string_append_printf(out, "held %zu\n", events.buf->len);
 }
 
 /* bytes TEXT: bytes of the stream, with C escapes */
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -11,7 +11,7 @@
 static struct catalog *catalog;
 static struct engine_profile *engine;
 static struct model_profile *model;
-static struct fwd_learned learned;
+static struct fwd_estimate learned;
 static uint64_t offset;
 
 static void
@@ -299,13 +299,13 @@
 }
 
 /* The cost of a prompt for the engine. */
-static struct fwd_work
+static struct fwd_workload
 work_of(const char *rest)
 {
-	struct fwd_work work = { .engine = engine, .model = model };
+	struct fwd_workload work = { .engine = engine, .model = model };
 
 	work.prompt = (double)script_number(rest, "prompt", 1000);
-	work.extra_ms = learned.extra_ms;
+	work.overhead_ms = learned.overhead_ms;
 	work.now_ms = script_number(rest, "at", 0);
 	return (work);
 }
@@ -340,7 +340,7 @@
 {
 	g_autofree char *id = g_strndup(rest, strcspn(rest, " "));
 	struct endpoint *ep = fleet_find(&fleet, id);
-	struct fwd_work work = work_of(rest);
+	struct fwd_workload work = work_of(rest);
 	double mark = fwd_backlog_add(&ep->backlog, work.prompt,
 	    fwd_expect_rate(ep, &work), work.now_ms);
 
@@ -355,7 +355,8 @@
 	g_autofree char *id = g_strndup(rest, strcspn(rest, " "));
 	struct endpoint *ep = fleet_find(&fleet, id);
 
-	fwd_backlog_read(&ep->backlog, (double)script_number(rest, "mark", 0),
+	fwd_backlog_confirm(&ep->backlog,
+	    (double)script_number(rest, "mark", 0),
 	    script_number(rest, "at", 0));
 	ep->pending -= (double)script_number(rest, "prompt", 0);
 }
@@ -367,8 +368,8 @@
 	g_auto(GStrv) words = g_strsplit(rest, " ", -1);
 
 	for (char **w = words; *w != NULL; w++)
-		fwd_learn_first(&learned, g_ascii_strtod(*w, NULL));
-	g_string_append_printf(out, "%.0f\n", learned.extra_ms);
+		fwd_estimate_add_first(&learned, g_ascii_strtod(*w, NULL));
+	g_string_append_printf(out, "%.0f\n", learned.overhead_ms);
 }
 
 /* expect ID prompt=N at=MS: tokens left to read, and time to its first event */
@@ -377,7 +378,7 @@
 {
 	g_autofree char *id = g_strndup(rest, strcspn(rest, " "));
 	const struct endpoint *ep = fleet_find(&fleet, id);
-	struct fwd_work work = work_of(rest);
+	struct fwd_workload work = work_of(rest);
 
 	g_string_append_printf(out, "left %.0f first %.0f\n",
 	    fwd_expect_backlog(ep, &work), fwd_expect_first(ep, &work));
@@ -396,11 +397,11 @@
 #define DRAWS 400
 
 /* What a request needs; the array of tried endpoints stays the caller's. */
-static struct fwd_want
+static struct fwd_criteria
 want_of(const char *rest, const struct fwd_tried *tried, unsigned n_tried,
     uint32_t i)
 {
-	struct fwd_want want = { .service = "s",
+	struct fwd_criteria want = { .service = "s",
 		.domain = "a",
 		.prompt = 1000,
 		.tried = tried,
@@ -434,7 +435,7 @@
 		tried[n_tried].failed_ms = script_number(rest, "failed", 0);
 	}
 	for (uint32_t i = 0; i < DRAWS; i++) {
-		struct fwd_want want = want_of(rest, tried, n_tried, i);
+		struct fwd_criteria want = want_of(rest, tried, n_tried, i);
 
 		fwd_choose(&fleet, &want, &choice);
 		if (choice.endpoint != NULL &&
@@ -459,7 +460,7 @@
 	unsigned n = 0;
 
 	for (uint32_t i = 0; i < DRAWS; i++) {
-		struct fwd_want want = want_of(rest, NULL, 0, i);
+		struct fwd_criteria want = want_of(rest, NULL, 0, i);
 
 		fwd_choose(&fleet, &want, &choice);
 		n += choice.endpoint == fleet_find(&fleet, id);
@@ -478,41 +479,43 @@
 exec_admit(const char *rest, GString *out)
 {
 	bool plain = script_number(rest, "plain", 0) != 0;
-	struct fwd_work work = work_of(rest);
-	struct fwd_want want = { .service = "s",
+	struct fwd_workload work = work_of(rest);
+	struct fwd_criteria want = { .service = "s",
 		.engine = plain ? NULL : engine,
 		.model = plain ? NULL : model,
 		.prompt = work.prompt,
 		.domain = "a",
 		.now_ms = work.now_ms };
-	struct admission a = { .want = &want };
+	struct fwd_admission a = { .criteria = &want };
 	const struct endpoint *at;
 	struct fwd_choice choice;
-	enum admission_verdict verdict;
+	enum fwd_admission_verdict verdict;
 
-	want.extra_ms = learned.extra_ms;
+	want.overhead_ms = learned.overhead_ms;
 	want.ahead = (unsigned)script_number(rest, "ahead", 0);
 	fwd_choose(&fleet, &want, &choice);
 	a.choice = &choice;
 	a.objective_ms = (double)script_number(rest, "objective", 300);
 	a.waited_ms = (double)script_number(rest, "waited", 0);
 	a.left_ms = (double)script_number(rest, "left", 6000);
-	a.returned = script_number(rest, "returned", 0) != 0;
+	a.resubmitted = script_number(rest, "returned", 0) != 0;
 	a.sends = (unsigned)script_number(rest, "sends", 0);
-	a.begun = script_number(rest, "begun", 0) != 0;
-	a.whole_ms = (double)script_number(rest, "whole", 800);
+	a.started = script_number(rest, "begun", 0) != 0;
+	a.duration_ms = (double)script_number(rest, "whole", 800);
 	a.ahead = (double)script_number(rest, "ahead", 0);
 	a.draw = UINT32_MAX / 2;
-	at = choice.endpoint != NULL ? choice.endpoint : choice.nearest;
+	at = choice.endpoint != NULL ? choice.endpoint : choice.any_usable;
 	if (at == NULL)
-		at = choice.turn != NULL ? choice.turn : choice.opens;
+		at = choice.next_permit != NULL ? choice.next_permit :
+						  choice.next_available;
 	if (at != NULL)
-		a.first_ms = plain ? a.whole_ms : fwd_expect_first(at, &work);
-	verdict = admission_decide(&a);
+		a.first_ms =
+		    plain ? a.duration_ms : fwd_expect_first(at, &work);
+	verdict = fwd_admission_decide(&a);
 	g_string_append(out, verdicts[verdict]);
 	if (verdict == ADMIT_REFUSE)
 		g_string_append_printf(out, " %lld",
-		    (long long)admission_retry_ms(&a));
+		    (long long)fwd_admission_retry_ms(&a));
 	g_string_append_c(out, '\n');
 }
 
--- a/tests/test-fuzz.c
+++ b/tests/test-fuzz.c
@@ -11,7 +11,7 @@
 #include "event-stream.h"
 #include "evidence.h"
 #include "host.h"
-#include "mesh-news.h"
+#include "mesh-message.h"
 #include "peer_rpc.h"
 #include "route.h"
 #include "setting.h"
@@ -209,10 +209,10 @@
 static size_t
 datagram(char *out, size_t size)
 {
-	static struct mesh_news news;
+	static struct mesh_message news;
 
-	mesh_news_clear(&news);
-	news.kind = MESH_FLEET;
+	mesh_message_clear(&news);
+	news.kind = MESH_FLEET_SUMMARY;
 	g_strlcpy(news.name, "d1", sizeof news.name);
 	g_strlcpy(news.domain, "z1", sizeof news.domain);
 	news.n_loads = 3;
@@ -222,14 +222,14 @@
 	news.n_members = 3;
 	for (unsigned i = 0; i < news.n_poison; i++) {
 		news.poison[i] = (struct mesh_poison){
-			.work = UINT64_C(0x1122334455667788) * (i + 1),
-			.key = i,
+			.fingerprint = UINT64_C(0x1122334455667788) * (i + 1),
+			.id_hash = i,
 			.started = i,
 			.age_ms = i * 1000,
-			.sign = MESH_BROKEN + i % MESH_CLEARED,
+			.kind = MESH_POISON_BROKEN + i % MESH_POISON_CLEARED,
 		};
 	}
-	return (mesh_news_encode(&news, out, size));
+	return (mesh_message_encode(&news, out, size));
 }
 
 /* Decodes damaged datagrams of other daemons: those that are taken are within
@@ -237,8 +237,8 @@
 static void
 test_datagrams(void)
 {
-	static struct mesh_news news;
-	char whole[MESH_BYTES], bytes[MESH_BYTES];
+	static struct mesh_message news;
+	char whole[MESH_DATAGRAM_MAX], bytes[MESH_DATAGRAM_MAX];
 	size_t length = datagram(whole, sizeof whole);
 	unsigned taken = 0;
 
@@ -250,7 +250,7 @@
 		memcpy(bytes, whole, length);
 		for (unsigned n = draw(4); n > 0; n--)
 			bytes[draw(length)] = (char)draw(256);
-		if (!mesh_news_decode(&news, bytes,
+		if (!mesh_message_decode(&news, bytes,
 			draw(8) == 0 ? draw(length) : length))
 			continue;
 		taken++;
@@ -259,8 +259,8 @@
 		    news.n_poison <= MESH_POISON_MAX &&
 		    news.n_members <= MESH_MEMBERS_MAX);
 		for (uint32_t k = 0; k < news.n_poison; k++)
-			CU_ASSERT(news.poison[k].sign >= MESH_BROKEN &&
-			    news.poison[k].sign <= MESH_CLEARED);
+			CU_ASSERT(news.poison[k].kind >= MESH_POISON_BROKEN &&
+			    news.poison[k].kind <= MESH_POISON_CLEARED);
 	}
 	CU_ASSERT(taken > 0);
 }
--- a/tests/test-lease.c
+++ b/tests/test-lease.c
@@ -1,18 +1,18 @@
 /* Scripts over the keeping of a lease, in virtual time. */
 #include <string.h>
 
-#include "lease-keeper.h"
+#include "lease-elector.h"
 #include "lease.h"
 #include "script.h"
 
-static struct lease_keeper keeper;
+static struct lease_elector keeper;
 static const struct lease_times times = { 2000, 6000, 10000 };
 static struct lease *lease;
 
 static void
 reset(void)
 {
-	lease_keeper_init(&keeper, 0);
+	lease_elector_init(&keeper, 0);
 	g_clear_pointer(&lease, lease_free);
 }
 
@@ -35,17 +35,17 @@
 	guint64 now = script_number(rest, "now", 0);
 	enum lease_step step;
 
-	step = lease_keeper_step(&keeper, &times, lease, "me",
+	step = lease_elector_step(&keeper, &times, lease, "me",
 	    script_number(rest, "delay", 0), now);
 	g_string_append_printf(out, "%s%s\n", names[step],
-	    lease_keeper_holds(&keeper, now) ? ", holds" : "");
+	    lease_elector_holds(&keeper, now) ? ", holds" : "");
 }
 
 /* sent at=MS offset=N: a record was appended; offset 0: the answer was lost */
 static void
 exec_sent(const char *rest, GString *out)
 {
-	lease_keeper_sent(&keeper, script_number(rest, "at", 0),
+	lease_elector_sent(&keeper, script_number(rest, "at", 0),
 	    script_number(rest, "offset", 0));
 }
 
--- a/tests/test-mesh.c
+++ b/tests/test-mesh.c
@@ -57,7 +57,7 @@
 exec_demand(const char *rest, GString *out)
 {
 	g_clear_pointer(&limit, limit_model_free);
-	limit = limit_model_new(model, &limit_way_users,
+	limit = limit_model_new(model, &limit_scheme_users,
 	    g_ascii_strtod(rest, NULL) / 1000,
 	    (unsigned)script_number(rest, "busy", 1));
 }
@@ -66,7 +66,7 @@
 static void
 exec_limit(const char *rest, GString *out)
 {
-	limit_model_name(limit,
+	limit_model_set_limit(limit,
 	    strcmp(rest, "none") == 0 ? -1 : g_ascii_strtod(rest, NULL) / 1000);
 }
 
@@ -79,10 +79,10 @@
 {
 	double used = limit_model_used(limit);
 
-	g_string_append_printf(out, "known to %u", limit_model_knowing(limit));
+	g_string_append_printf(out, "known to %u", limit_model_informed(limit));
 	if (limit->per_s >= 0)
 		g_string_append_printf(out, " share %.2f over %u used %.1f",
-		    limit_model_share(limit), limit->over,
+		    limit_model_share(limit), limit->n_over,
 		    MAX(floor(used * 10) / 10, 0));
 	g_string_append_c(out, '\n');
 }
@@ -95,7 +95,7 @@
 exec_poison(const char *rest, GString *out)
 {
 	g_clear_pointer(&poison, poison_model_free);
-	poison = poison_model_new(model, &poison_way_once,
+	poison = poison_model_new(model, &poison_scheme_once,
 	    g_ascii_strtod(rest, NULL),
 	    (unsigned)script_number(rest, "works", 1));
 }
@@ -108,9 +108,9 @@
 exec_poisoned(const char *rest, GString *out)
 {
 	g_string_append_printf(out, "%s late sends %u\n",
-	    poison_model_most(poison) <= ENDS_ALLOWED ? "within six" :
-							"beyond six",
-	    poison_model_over(poison));
+	    poison_model_ends_max(poison) <= ENDS_ALLOWED ? "within six" :
+							    "beyond six",
+	    poison_model_late_max(poison));
 }
 
 /* refusing WORK: daemons that refuse one of these works */
@@ -121,7 +121,7 @@
 
 	for (unsigned i = 0; i < model->n; i++)
 		n += model->daemons[i].up &&
-		    poison_way_once.refuses(poison, i,
+		    poison_scheme_once.refuses(poison, i,
 			g_ascii_strtoull(rest, NULL, 10));
 	g_string_append_printf(out, "%u\n", n);
 }
@@ -130,14 +130,14 @@
 static void
 exec_count(const char *rest, GString *out)
 {
-	fleet_model_count(model);
+	fleet_model_reset_counts(model);
 }
 
 /* work N: each daemon has N requests at endpoints drawn at random */
 static void
 exec_work(const char *rest, GString *out)
 {
-	fleet_model_work(model, (unsigned)g_ascii_strtoull(rest, NULL, 10));
+	fleet_model_set_load(model, (unsigned)g_ascii_strtoull(rest, NULL, 10));
 }
 
 /* loss N: lost datagrams from now on, in thousandths */
@@ -154,7 +154,7 @@
 	g_auto(GStrv) names = g_strsplit(rest, " ", -1);
 
 	for (char **name = names; *name != NULL; name++)
-		fleet_model_stop(model, fleet_model_find(model, *name)->at);
+		fleet_model_stop(model, fleet_model_find(model, *name)->index);
 }
 
 static void
@@ -163,7 +163,8 @@
 	g_auto(GStrv) names = g_strsplit(rest, " ", -1);
 
 	for (char **name = names; *name != NULL; name++)
-		fleet_model_start(model, fleet_model_find(model, *name)->at, 1);
+		fleet_model_start(model, fleet_model_find(model, *name)->index,
+		    1);
 }
 
 /* domain N up=0|1: all daemons of a failure domain end or begin again */
@@ -224,7 +225,7 @@
 	struct model_daemon *daemon = fleet_model_find(model, name);
 
 	fleet_find(&daemon->registry.fleet, id)->warned_ms = model->now_ms;
-	mesh_tell(&daemon->mesh);
+	mesh_send(&daemon->mesh);
 }
 
 /* warned ID: daemons that were told to avoid an endpoint, and how lately */
@@ -265,28 +266,28 @@
 static void
 exec_see(const char *rest, GString *out)
 {
-	struct model_sight s;
+	struct model_stats s;
 
-	fleet_model_see(model, &s);
+	fleet_model_measure(model, &s);
 	g_string_append_printf(out,
 	    "up %u relays %u living %u to %u readers %u first %u placer known "
 	    "to %u\n",
-	    s.up, s.relays, s.living_least, s.living_most, s.readers, s.firsts,
-	    s.holder);
+	    s.up, s.relays, s.alive_least, s.alive_most, s.readers,
+	    s.first_ranked, s.placer_known);
 }
 
 /* counts: requests off the truth, moves, and what was told a second */
 static void
 exec_counts(const char *rest, GString *out)
 {
-	struct model_sight s;
+	struct model_stats s;
 
-	fleet_model_see(model, &s);
+	fleet_model_measure(model, &s);
 	g_string_append_printf(out,
 	    "off %.2f most %u moves %u reads %u heard %.0f a second %.1f KB sent %.0f "
 	    "most %.0f\n",
-	    s.off_mean, s.off_most, s.moves, s.reads, s.heard_s,
-	    s.heard_bytes_s / 1000, s.sent_s, s.sent_most_s);
+	    s.load_error_mean, s.load_error_max, s.relay_changes, s.entry_reads,
+	    s.received_s, s.received_bytes_s / 1000, s.sent_s, s.sent_max_s);
 }
 
 /*
@@ -296,23 +297,24 @@
 static void
 exec_proof(const char *rest, GString *out)
 {
-	struct model_sight s;
+	struct model_stats s;
 
-	fleet_model_see(model, &s);
+	fleet_model_measure(model, &s);
 	g_string_append_printf(out,
 	    "below %" G_GUINT64_FORMAT " ms, fed below %" G_GUINT64_FORMAT
 	    " ms\n",
-	    (s.age_most_ms / 500 + 1) * 500, (s.fed_most_ms / 500 + 1) * 500);
+	    (s.config_age_max_ms / 500 + 1) * 500,
+	    (s.feed_age_max_ms / 500 + 1) * 500);
 }
 
 /* alone: questions to the store that daemons asked for want of others' news */
 static void
 exec_alone(const char *rest, GString *out)
 {
-	struct model_sight s;
+	struct model_stats s;
 
-	fleet_model_see(model, &s);
-	g_string_append_printf(out, "%u\n", s.alone);
+	fleet_model_measure(model, &s);
+	g_string_append_printf(out, "%u\n", s.store_queries);
 }
 
 /* A configuration is its version alone. */
@@ -338,7 +340,7 @@
 
 	/* The others' fetches of it stay on their way. */
 	for (unsigned i = 0; i < model->n; i++)
-		model->daemons[i].mesh.fetching = true;
+		model->daemons[i].mesh.fetching_config = true;
 	registry->decode = &fake_decode;
 	registry_apply_config(registry, version, strlen(version), 0);
 	g_clear_pointer(&registry->config_bytes, g_bytes_unref);
@@ -400,10 +402,10 @@
 static bool
 storm_agreed(void)
 {
-	struct model_sight s;
+	struct model_stats s;
 
-	fleet_model_see(model, &s);
-	return (s.living_least == model->n && s.living_most == model->n &&
+	fleet_model_measure(model, &s);
+	return (s.alive_least == model->n && s.alive_most == model->n &&
 	    s.readers == 1);
 }
 
--- a/tests/test-form.c
+++ b/tests/test-planner.c
@@ -1,19 +1,19 @@
 /* Scripts over which hosts form which replicas. */
 #include <string.h>
 
-#include "replica-demand.h"
+#include "planner-demand.h"
 #include "script.h"
 
 #define HOSTS_MAX 64
 
 static struct catalog *catalog;
 static struct engine_profile *engine;
-static struct form_host hosts[HOSTS_MAX];
+static struct planner_host hosts[HOSTS_MAX];
 static unsigned n_hosts;
 static struct replica *replicas[HOSTS_MAX];
 static unsigned n_replicas;
 static guint64 loads, serving, settled;
-static struct form_demand demand;
+static struct planner_demand demand;
 
 static void
 reset(void)
@@ -22,8 +22,8 @@
 		g_free((char *)hosts[i].id);
 		g_free((char *)hosts[i].domain);
 		g_free((char *)hosts[i].fabric);
-		g_free((char *)hosts[i].last);
-		g_free((char *)hosts[i].staging);
+		g_free((char *)hosts[i].loaded_model);
+		g_free((char *)hosts[i].copying);
 		g_ptr_array_free((GPtrArray *)hosts[i].staged, TRUE);
 	}
 	for (unsigned i = 0; i < n_replicas; i++)
@@ -65,7 +65,7 @@
 	guint64 n = g_ascii_strtoull(rest, NULL, 10);
 
 	while (n-- > 0) {
-		struct form_host *h = &hosts[n_hosts];
+		struct planner_host *h = &hosts[n_hosts];
 		g_autofree char *staged = script_word(rest, "staged");
 		GPtrArray *copies = g_ptr_array_new_with_free_func(g_free);
 
@@ -73,7 +73,7 @@
 		h->id = g_strdup_printf("h%u", n_hosts++);
 		h->domain = script_word(rest, "domain");
 		h->fabric = script_word(rest, "fabric");
-		h->last = script_word(rest, "last");
+		h->loaded_model = script_word(rest, "last");
 		h->free = true;
 		if (staged != NULL)
 			g_ptr_array_add(copies, g_strdup(staged));
@@ -82,38 +82,38 @@
 }
 
 static void
-view_make(struct form_view *view)
+view_make(struct planner_view *view)
 {
-	form_view_init(view, engine);
+	planner_view_init(view, engine);
 	g_array_append_vals(view->hosts, hosts, n_hosts);
 	for (unsigned i = 0; i < n_hosts; i++) {
 		const struct replica *r = hosts[i].group;
 
-		if (r != NULL && replica_wanted(r) &&
+		if (r != NULL && replica_active(r) &&
 		    strcmp(r->members[0].id, hosts[i].id) == 0)
-			form_view_add_replica(view, r, hosts[i].domain,
+			planner_view_add_replica(view, r, hosts[i].domain,
 			    hosts[i].fabric);
 	}
-	form_view_count(view);
-	view->most = demand.most;
-	form_view_finish(view);
-	view->loads = (unsigned)loads;
+	planner_view_count_hosts(view);
+	view->largest_max = demand.largest_max;
+	planner_view_set_targets(view);
+	view->loads_free = (unsigned)loads;
 	view->serving = serving != 0;
-	view->settled = settled != 0;
+	view->hosts_stable = settled != 0;
 }
 
 static void
-view_free(struct form_view *view)
+view_free(struct planner_view *view)
 {
-	form_view_clear(view);
+	planner_view_clear(view);
 }
 
 /* A host has a model in memory, from its last group. */
 static void
-host_set_last(struct form_host *h, const char *model)
+host_set_last(struct planner_host *h, const char *model)
 {
-	g_free((char *)h->last);
-	h->last = g_strdup(model);
+	g_free((char *)h->loaded_model);
+	h->loaded_model = g_strdup(model);
 }
 
 /* memory hN MODEL: it took the model into its memory */
@@ -129,11 +129,11 @@
 static void
 exec_warm(const char *rest, GString *out)
 {
-	const struct form_host *h;
-	struct form_view view;
+	const struct planner_host *h;
+	struct planner_view view;
 
 	view_make(&view);
-	h = form_warm(&view);
+	h = planner_plan_warming(&view);
 	g_string_append_printf(out, "%s\n", h != NULL ? h->id : "none");
 	view_free(&view);
 }
@@ -193,13 +193,13 @@
 	guint64 times = script_number(rest, "times", 1);
 
 	while (times-- > 0) {
-		struct form_plan plan = { 0 };
-		struct form_view view;
+		struct replica_plan plan = { 0 };
+		struct planner_view view;
 		struct replica *r;
 		struct sockaddr_in any = { 0 };
 
 		view_make(&view);
-		if (!form_next(&view, &plan)) {
+		if (!planner_plan_replica(&view, &plan)) {
 			g_string_append(out, "none\n");
 			view_free(&view);
 			return;
@@ -209,7 +209,7 @@
 		g_string_append_printf(out, "%s loads=%u", plan.model->name,
 		    plan.loads);
 		for (guint i = 0; i < plan.members->len; i++) {
-			struct form_host *h =
+			struct planner_host *h =
 			    &hosts[g_array_index(plan.members, guint, i)];
 
 			g_string_append_printf(out, " %s", h->id);
@@ -230,11 +230,11 @@
 static void
 exec_donor(const char *rest, GString *out)
 {
-	struct form_view view;
+	struct planner_view view;
 	const struct replica *r;
 
 	view_make(&view);
-	r = form_donor(&view);
+	r = planner_find_donor(&view);
 	g_string_append_printf(out, "%s\n",
 	    r != NULL ? r->members[0].id : "none");
 	view_free(&view);
@@ -244,11 +244,11 @@
 static void
 exec_surplus(const char *rest, GString *out)
 {
-	struct form_view view;
+	struct planner_view view;
 	const struct replica *r;
 
 	view_make(&view);
-	r = form_surplus(&view);
+	r = planner_find_surplus(&view);
 	g_string_append_printf(out, "%s\n",
 	    r != NULL ? r->members[0].id : "none");
 	view_free(&view);
@@ -260,7 +260,7 @@
 {
 	struct replica *r = hosts[g_ascii_strtoull(rest + 1, NULL, 10)].group;
 
-	r->doomed = "end";
+	r->dissolve_reason = "end";
 	for (unsigned i = 0; i < n_hosts; i++) {
 		if (hosts[i].group != r)
 			continue;
@@ -279,7 +279,7 @@
 static void
 exec_seen(const char *rest, GString *out)
 {
-	struct form_seen seen[FORM_MODELS_MAX] = { 0 };
+	struct demand_sample seen[PLANNER_MODELS_MAX] = { 0 };
 
 	engine->slots = 48;
 	seen[0].running = (double)script_number(rest, "big", 0);
@@ -288,16 +288,16 @@
 	seen[1].running = (double)script_number(rest, "small", 0);
 	for (guint64 at = script_number(rest, "from", 0);
 	     at <= script_number(rest, "to", 0); at += 250) {
-		unsigned most = demand.most;
-		struct form_view view;
+		unsigned most = demand.largest_max;
+		struct planner_view view;
 
 		view_make(&view);
-		form_demand_note(&demand, &view, seen, at);
-		form_demand_apply(&demand, &view, at);
+		planner_demand_update(&demand, &view, seen, at);
+		planner_demand_apply(&demand, &view, at);
 		view_free(&view);
-		if (demand.most != most)
+		if (demand.largest_max != most)
 			g_string_append_printf(out, "at %u most %u\n",
-			    (unsigned)at, demand.most);
+			    (unsigned)at, demand.largest_max);
 	}
 }
 
@@ -306,11 +306,11 @@
 exec_stage(const char *rest, GString *out)
 {
 	const struct model_profile *model;
-	const struct form_host *h;
-	struct form_view view;
+	const struct planner_host *h;
+	struct planner_view view;
 
 	view_make(&view);
-	h = form_stage(&view, &model);
+	h = planner_plan_copy(&view, &model);
 	if (h != NULL)
 		g_string_append_printf(out, "%s %s\n", h->id, model->name);
 	else
--- a/tests/test-poison.c
+++ b/tests/test-poison.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 #include "registry-poison.h"
-#include "fwd-work.h"
+#include "fwd-fingerprint.h"
 #include "script.h"
 
 static uv_loop_t loop;
@@ -189,7 +189,7 @@
 
 	for (int i = 0; i < 2; i++) {
 		char **at = words + (ptrdiff_t)5 * i;
-		const struct fwd_work_key key = {
+		const struct fwd_fingerprint_input key = {
 			.method = at[0],
 			.host = at[1],
 			.target = at[2],
@@ -198,7 +198,7 @@
 			.length = strcmp(at[4], "-") == 0 ? 0 : strlen(at[4]),
 		};
 
-		fingerprint[i] = fwd_work_fingerprint(&key);
+		fingerprint[i] = fwd_fingerprint_compute(&key);
 	}
 	g_string_append(out,
 	    fingerprint[0] == fingerprint[1] ? "yes\n" : "no\n");
--- a/tests/test-replica.c
+++ b/tests/test-replica.c
@@ -29,7 +29,7 @@
 		replica_add_member(r, id, &any);
 	}
 	r->recorded = script_number(rest, "recorded", 1) != 0;
-	r->open_asked = script_number(rest, "asked", 1) != 0;
+	r->open_ordered = script_number(rest, "asked", 1) != 0;
 	r->settled = script_number(rest, "settled", 0) != 0;
 }
 
@@ -52,7 +52,7 @@
 		if (strcmp(names[i], state) == 0)
 			m->state = (enum group_state)i;
 	}
-	m->here = m->state != GROUP_NONE;
+	m->in_group = m->state != GROUP_NONE;
 }
 
 /* What a script says of a host's group; none without a word. */
@@ -75,7 +75,7 @@
 	bool none = script_number(rest, "none", 0) != 0;
 
 	host_report(rest, &ep.report);
-	replica_member_look(r, member(rest), none ? NULL : &ep, at);
+	replica_member_refresh(r, member(rest), none ? NULL : &ep, at);
 	g_free(ep.report.group);
 }
 
@@ -86,7 +86,7 @@
 	struct endpoint_report report = { 0 };
 
 	host_report(rest, &report);
-	replica_member_told(r, member(rest), &report,
+	replica_member_set_answer(r, member(rest), &report,
 	    script_number(rest, "at", 0));
 	g_free(report.group);
 }
@@ -101,7 +101,7 @@
 
 	for (int i = 0; i < (int)G_N_ELEMENTS(names); i++) {
 		if (strcmp(names[i], is) == 0)
-			member(rest)->life = (enum member_life)i;
+			member(rest)->liveness = (enum member_liveness)i;
 	}
 }
 
@@ -109,8 +109,8 @@
 static void
 exec_elsewhere(const char *rest, GString *out)
 {
-	member(rest)->here = false;
-	member(rest)->elsewhere = true;
+	member(rest)->in_group = false;
+	member(rest)->in_newer_group = true;
 }
 
 /* left h=N [at=MS]: it said that it is in no group; closed: the head said so */
@@ -125,7 +125,7 @@
 static void
 exec_late(const char *rest, GString *out)
 {
-	member(rest)->late_until_ms = script_number(rest, "until", 0);
+	member(rest)->late_join_until_ms = script_number(rest, "until", 0);
 }
 
 /* inherit now=MS: another placer made the replica */
@@ -140,13 +140,13 @@
 exec_joined(const char *rest, GString *out)
 {
 	member(rest)->joined = true;
-	member(rest)->unproven = false;
+	member(rest)->unverified = false;
 }
 
 static void
 exec_refused(const char *rest, GString *out)
 {
-	member(rest)->refused = true;
+	member(rest)->join_fenced = true;
 }
 
 static void
@@ -170,20 +170,20 @@
 	struct replica_step step;
 
 	for (unsigned turn = 0; turn <= r->n; turn++) {
-		replica_next(r, now, STALL_MS, &step);
-		if (step.act != REPLICA_ORDER)
+		replica_next_step(r, now, STALL_MS, &step);
+		if (step.action != REPLICA_ORDER)
 			break;
 		g_string_append_printf(out, "%s h%u\n",
 		    order_kind_name(step.order), step.member);
-		r->members[step.member].order = step.order;
+		r->members[step.member].last_order = step.order;
 		r->members[step.member].ordered_ms = now;
 	}
-	if (step.act == REPLICA_GONE)
+	if (step.action == REPLICA_DISSOLVED)
 		g_string_append(out, "gone\n");
 	g_string_append_printf(out, "%s\n",
-	    r->doomed != NULL ? r->doomed :
-		r->opened     ? "serves" :
-				"forms");
+	    r->dissolve_reason != NULL ? r->dissolve_reason :
+		r->opened	       ? "serves" :
+					 "forms");
 }
 
 static const struct script_command commands[] = {
--- a/tests/test-schedules.c
+++ b/tests/test-schedules.c
@@ -16,7 +16,7 @@
 #include "claim-index.h"
 #include "group.h"
 #include "http-batch.h"
-#include "lease-keeper.h"
+#include "lease-elector.h"
 #include "lease.h"
 #include "orders.h"
 #include "plan.h"
@@ -50,7 +50,7 @@
 	bool cut_log;
 	bool cut_host[HOSTS];
 	struct state *state;
-	struct lease_keeper keeper;
+	struct lease_elector keeper;
 	struct inventory inv;
 	struct view_tables tables;
 	struct view *view;
@@ -138,7 +138,7 @@
 		memset(d, 0, sizeof *d);
 		snprintf(d->name, sizeof d->name, "d%d#1", i);
 		d->state = state_create();
-		lease_keeper_init(&d->keeper, now);
+		lease_elector_init(&d->keeper, now);
 		inventory_init(&d->inv);
 		inventory_update(&d->inv, list, now);
 		view_tables_init(&d->tables);
@@ -303,15 +303,15 @@
 	enum lease_step step;
 	uint64_t offset, term = lease != NULL ? lease->term : 0;
 
-	step = lease_keeper_step(&d->keeper, &times, lease, d->name, draw(1000),
-	    now);
+	step = lease_elector_step(&d->keeper, &times, lease, d->name,
+	    draw(1000), now);
 	if (step == LEASE_WAIT)
 		return;
 	record = json_pack("{s:s, s:s, s:s, s:I, s:I}", "kind",
 	    step == LEASE_TAKE ? "lease" : "renew", "domain", "a", "holder",
 	    d->name, "base", (json_int_t)term, "term", (json_int_t)term);
 	offset = sim_append(d, config_log, record);
-	lease_keeper_sent(&d->keeper, now, offset);
+	lease_elector_sent(&d->keeper, now, offset);
 }
 
 /* Gives the orders that are due; some arrive late, some are lost. */
@@ -353,7 +353,7 @@
 	g_autoptr(GPtrArray) records = NULL;
 
 	daemon_lease(d);
-	if (!lease_keeper_holds(&d->keeper, now))
+	if (!lease_elector_holds(&d->keeper, now))
 		return;
 	records = plan_changes(&in);
 	for (guint i = 0; i < records->len; i++)
--- a/tests/test-stage.c
+++ b/tests/test-stage.c
@@ -1,12 +1,12 @@
 /* Scripts over copies that are being made: orders, answers, loads. */
 #include <string.h>
 
-#include "keeper.h"
+#include "placer.h"
 #include "script.h"
 
 static uv_loop_t loop;
 static struct registry registry;
-static struct keeper keeper;
+static struct placer placer;
 static struct catalog *catalog;
 static struct engine_profile *engine;
 static uint64_t offset;
@@ -71,17 +71,17 @@
 	if (sent == NULL)
 		sent = g_string_new(NULL);
 	g_string_truncate(sent, 0);
-	if (keeper.staging != NULL) {
-		g_hash_table_destroy(keeper.staging);
-		g_array_free(keeper.loads, TRUE);
+	if (placer.copies != NULL) {
+		g_hash_table_destroy(placer.copies);
+		g_array_free(placer.load_starts, TRUE);
 	}
-	keeper.loop = &loop;
-	keeper.registry = &registry;
-	keeper.orders = &fake_orders;
-	keeper.served = true;
-	keeper.staging = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-	    keeper_stage_free);
-	keeper.loads = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	placer.loop = &loop;
+	placer.registry = &registry;
+	placer.orders = &fake_orders;
+	placer.served = true;
+	placer.copies = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+	    placer_copy_free);
+	placer.load_starts = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	offset = 0;
 }
 
@@ -125,7 +125,7 @@
 	g_autofree char *id = g_strndup(rest, strcspn(rest, " "));
 	struct model_profile m = { .name = "m", .load_ms = 1000 };
 
-	keeper_stage_begin(&keeper, id, &m, script_number(rest, "at", 0));
+	placer_copy_start(&placer, id, &m, script_number(rest, "at", 0));
 	show_sent(out);
 }
 
@@ -149,10 +149,10 @@
 {
 	uint64_t now = script_number(rest, "at", 0);
 
-	keeper_stage_look(&keeper, now);
+	placer_copies_update(&placer, now);
 	show_sent(out);
 	g_string_append_printf(out, "loads %u\n",
-	    keeper_loads_free(&keeper, engine, now));
+	    placer_loads_available(&placer, engine, now));
 }
 
 /* gone ID: whether the host counts as gone */
@@ -184,8 +184,8 @@
 	g_hash_table_destroy(pending);
 	fleet_clear(&registry.fleet);
 	catalog_unref(catalog);
-	g_hash_table_destroy(keeper.staging);
-	g_array_free(keeper.loads, TRUE);
+	g_hash_table_destroy(placer.copies);
+	g_array_free(placer.load_starts, TRUE);
 	g_string_free(sent, TRUE);
 	uv_loop_close(&loop);
 	return (rc);
