--- a/src/registry-catalog.h
+++ b/src/registry-catalog.h
@@ -140,13 +140,13 @@
 };
 
 /**
- * struct caller_limits - limits on what callers send, and on how slowly.
+ * struct client_limits - limits on what callers send, and on how slowly.
  * @max_header_bytes: largest request head
  * @max_body_bytes: largest request body
  * @header_timeout_ms: longest time to receive a head
  * @idle_timeout_ms: longest time between two requests of a connection
  */
-struct caller_limits {
+struct client_limits {
 	int64_t max_header_bytes;
 	int64_t max_body_bytes;
 	int64_t header_timeout_ms;
@@ -174,7 +174,7 @@
 	GHashTable *keys;
 	GPtrArray *customers;
 	bool requires_key;
-	struct caller_limits limits;
+	struct client_limits limits;
 };
 
 struct catalog *catalog_create(void);
