--- a/src/registry-backoff.c
+++ b/src/registry-backoff.c
@@ -1,7 +1,7 @@
 /*
- * Back-off that an endpoint asks this daemon for. Does no I/O.
+ * Backoff that an endpoint asks this daemon for. Does no I/O.
  *
- * The endpoint itself asks for it, unlike for a cool-down, which is a guess: so
+ * The endpoint itself asks for it, unlike for a cooldown, which is a guess: so
  * nothing is sent to it before the end, even when no other endpoint is left.
  */
 #include <glib.h>
@@ -9,29 +9,29 @@
 
 #include "registry-backoff.h"
 
-/* Used if an endpoint asks for back-off and the duration can't be read: a third
+/* Used if an endpoint asks for backoff and the duration can't be read: a third
  * of what endpoints were seen to ask for, so that such an endpoint is not lost
  * for long. */
 #define BACKOFF_UNREADABLE_MS 1000
 
-/* Requests sent to an endpoint after its back-off before one was answered. All
+/* Requests sent to an endpoint after its backoff before one was answered. All
  * daemons that it asked return, each with this many. */
 #define PROBES_MIN 1
 /* With more unanswered requests than this the endpoint counts as recovered: one
  * daemon's share of its slots is smaller. */
 #define PROBES_MAX 4
 
-/* Cool-down after an endpoint refuses a request and asks for no back-off: a
+/* Cooldown after an endpoint refuses a request and asks for no backoff: a
  * full endpoint gets a free slot in that time. Doubled with each consecutive
  * refusal, up to about what endpoints ask for. */
 #define REFUSED_MIN_MS 100
 #define REFUSED_DOUBLINGS_MAX 5
 
 /**
- * endpoint_backoff_normalize() - bring a back-off that was asked for into
+ * endpoint_backoff_normalize() - bring a backoff that was asked for into
  * range.
  * @asked_ms: the duration as read, in ms; NAN if it was none
- * @max_ms: longest back-off
+ * @max_ms: longest backoff
  *
  * Return: duration in ms.
  */
@@ -44,8 +44,8 @@
 }
 
 /**
- * endpoint_backoff_extend() - apply a back-off that an endpoint asks for.
- * @backoff: the endpoint's back-off
+ * endpoint_backoff_extend() - apply a backoff that an endpoint asks for.
+ * @backoff: the endpoint's backoff
  * @ms: duration, from now on
  * @now_ms: loop time
  *
@@ -63,8 +63,8 @@
 }
 
 /**
- * endpoint_backoff_active() - whether an endpoint is in back-off.
- * @backoff: the endpoint's back-off
+ * endpoint_backoff_active() - whether an endpoint is in backoff.
+ * @backoff: the endpoint's backoff
  * @now_ms: loop time
  */
 bool
@@ -74,8 +74,8 @@
 }
 
 /**
- * endpoint_backoff_ended() - whether a back-off has ended since the last call.
- * @backoff: the endpoint's back-off
+ * endpoint_backoff_ended() - whether a backoff has ended since the last call.
+ * @backoff: the endpoint's backoff
  * @now_ms: loop time
  */
 bool
@@ -91,8 +91,8 @@
 
 /**
  * endpoint_backoff_admits() - whether the bound on unanswered requests after a
- * back-off admits one more.
- * @backoff: the endpoint's back-off
+ * backoff admits one more.
+ * @backoff: the endpoint's backoff
  */
 bool
 endpoint_backoff_admits(const struct endpoint_backoff *backoff)
@@ -104,7 +104,7 @@
 /**
  * endpoint_backoff_begin_probe() - count a request that is sent to the
  * endpoint.
- * @backoff: the endpoint's back-off
+ * @backoff: the endpoint's backoff
  *
  * Return: whether it counts towards the bound, so that
  * endpoint_backoff_end_probe() is to be called at its end.
@@ -120,7 +120,7 @@
 
 /**
  * endpoint_backoff_end_probe() - end a request that counts towards the bound.
- * @backoff: the endpoint's back-off
+ * @backoff: the endpoint's backoff
  * @accepted: the endpoint answered and did not refuse it
  */
 void
@@ -135,9 +135,9 @@
 }
 
 /**
- * endpoint_backoff_probing() - whether it is yet to be shown, after a back-off
+ * endpoint_backoff_probing() - whether it is yet to be shown, after a backoff
  * or a refusal, that the endpoint accepts requests again.
- * @backoff: the endpoint's back-off
+ * @backoff: the endpoint's backoff
  */
 bool
 endpoint_backoff_probing(const struct endpoint_backoff *backoff)
@@ -147,10 +147,10 @@
 
 /**
  * endpoint_backoff_refused() - note that the endpoint refused a request and
- * asked for no back-off.
- * @backoff: the endpoint's back-off
+ * asked for no backoff.
+ * @backoff: the endpoint's backoff
  *
- * Return: duration of the cool-down that is due, in ms.
+ * Return: duration of the cooldown that is due, in ms.
  */
 uint64_t
 endpoint_backoff_refused(struct endpoint_backoff *backoff)
@@ -165,7 +165,7 @@
 
 /**
  * endpoint_backoff_accepted() - note that the endpoint accepted a request.
- * @backoff: the endpoint's back-off
+ * @backoff: the endpoint's backoff
  */
 void
 endpoint_backoff_accepted(struct endpoint_backoff *backoff)
--- a/src/registry-backoff.h
+++ b/src/registry-backoff.h
@@ -1,4 +1,4 @@
-/* Back-off that an endpoint asks this daemon for. Does no I/O. */
+/* Backoff that an endpoint asks this daemon for. Does no I/O. */
 #ifndef BL_REGISTRY_BACKOFF_H
 #define BL_REGISTRY_BACKOFF_H
 
@@ -6,12 +6,12 @@
 #include <stdint.h>
 
 /**
- * struct endpoint_backoff - back-off from one incarnation of an endpoint.
- * @until_ms: loop time at which the back-off ends; 0 if none was asked for
- * @end_unlogged: the end of this back-off is yet to be logged
- * @max_probes: most unanswered requests after the back-off; 0 for no bound
- * @probes: unanswered requests that count towards @max_probes
- * @refusals: consecutive requests that it refused without asking for back-off
+ * struct endpoint_backoff - backoff from one incarnation of an endpoint.
+ * @until_ms: loop time at which the backoff ends; 0 if none was asked for
+ * @end_unlogged: the end of this backoff is yet to be logged
+ * @max_probes: most unanswered requests after the backoff; 0 for no bound
+ * @probes: outstanding requests that count towards @max_probes
+ * @refusals: consecutive requests that it refused without asking for backoff
  */
 struct endpoint_backoff {
 	uint64_t until_ms;
--- a/src/registry-catalog.h
+++ b/src/registry-catalog.h
@@ -10,8 +10,8 @@
  * enum retry_mode - whether a route's requests may be sent more than once.
  * @RETRY_NEVER: a request may run once at most
  * @RETRY_IDEMPOTENT: requests are idempotent and may be sent again
- * @RETRY_STREAM: the answer is a stream of events, which may be resumed if the
- *	route is resumable
+ * @RETRY_STREAM: the response is a stream of events, which may be resumed if
+ *	the route is resumable
  */
 enum retry_mode {
 	RETRY_NEVER,
@@ -51,7 +51,7 @@
  * @loads_per_s: most model loads that may start in a second
  * @loads_at_once: concurrent loads beyond which each slows down
  * @usual_prompt: mean length of a prompt, in tokens
- * @usual_answer: mean length of an answer, in tokens
+ * @usual_answer: mean length of a response, in tokens
  * @staged_limit: number of models that a host keeps local copies of
  * @form_ms: time from the order to open until a group serves
  * @models: models that the engines can serve, of struct model_profile
@@ -79,7 +79,7 @@
  * struct catalog_service - a service, which endpoints of one kind provide.
  * @name: the service's name
  * @health_path: path of the health check
- * @max_connections: most connections that an endpoint takes from all callers
+ * @max_connections: most connections that an endpoint takes from all clients
  * @engine: profile of the engines; NULL if the service runs no models
  */
 struct catalog_service {
@@ -140,7 +140,7 @@
 };
 
 /**
- * struct client_limits - limits on what callers send, and on how slowly.
+ * struct client_limits - limits on what clients send, and on how slowly.
  * @max_header_bytes: largest request head
  * @max_body_bytes: largest request body
  * @header_timeout_ms: longest time to receive a head
@@ -163,7 +163,7 @@
  * @keys: API key to struct catalog_customer
  * @customers: struct catalog_customer
  * @requires_key: requests need an API key, except on public routes
- * @limits: limits on callers
+ * @limits: limits on clients
  */
 struct catalog {
 	int refs;
--- a/src/registry-fleet.c
+++ b/src/registry-fleet.c
@@ -302,7 +302,7 @@
  * @grouped: the service's endpoints form groups
  *
  * Most changes in a large fleet are of hosts that form groups or copy models.
- * Only the daemon that does the placement needs these.
+ * Only the placer needs these.
  */
 bool
 fleet_serving_differs(const struct fleet *fleet,
@@ -421,7 +421,7 @@
 
 /*
  * Whether an endpoint must be kept after its entry lapsed. The incarnation may
- * live on and its entry be written again; its back-off, its draining and its
+ * live on and its entry be written again; its backoff, its draining and its
  * rate limit then still apply.
  */
 static bool
@@ -474,7 +474,7 @@
  * @ep: the endpoint
  * @now_ms: loop time
  *
- * If it has, by draining, back-off or its end, nothing is sent to it, not even
+ * If it has, by draining, backoff or its end, nothing is sent to it, not even
  * as a last resort.
  */
 bool
@@ -486,7 +486,7 @@
 
 /**
  * endpoint_usable() - whether an endpoint accepts new requests and is in no
- * cool-down.
+ * cooldown.
  * @ep: the endpoint
  * @now_ms: loop time
  */
--- a/src/registry-fleet.h
+++ b/src/registry-fleet.h
@@ -87,13 +87,13 @@
  * @may_return: its entry lapsed during a store outage and may be written again
  * @gone: no more requests are sent to it
  * @draining: it once reported that it leaves, in its entry, to a query or in
- *	an answer
+ *	a response
  * @unreadable_ms: since when its entry can't be read; 0 while it can
  * @refs: exchanges that reference it
  * @pool: connections to it
  * @inflight: this daemon's requests at it
  * @pending: prompt tokens of this daemon's requests without a first event
- * @backlog: prompt tokens that this daemon sent and that are not read yet
+ * @backlog: prefill backlog of the prompts that this daemon sent
  * @peer_inflight: other daemons' requests at it
  * @peer_pending: prompt tokens of other daemons' requests without a first event
  * @cell_inflight: the part of @peer_inflight from daemons that report to this
@@ -103,7 +103,7 @@
  *	another group of that model in a fraction of a second, also after it
  *	has left the last one
  * @failures: consecutive failures
- * @backoff: the back-off that it asked this daemon for
+ * @backoff: the backoff that it asked this daemon for
  * @limit: rate limit that it names for all daemons together
  * @cooldown_until_ms: not to be chosen before then, as this daemon or another
  *	suspects that it does not serve
@@ -115,7 +115,8 @@
  * @heard_ms: loop time of the last byte from it in any exchange
  * @peer_heard_ms: the same of other daemons' exchanges
  * @slowness: moving average of the ratio of observed to expected event gaps
- * @error_rate: moving average of the share of answers that are server failures
+ * @error_rate: moving average of the share of responses that are server
+ *	failures
  * @entry_bytes: its entry as encoded in the store, while it may be sent
  *	requests; passed to daemons that start
  * @entry: link in the fleet's list
--- a/src/registry-follower.h
+++ b/src/registry-follower.h
@@ -38,7 +38,7 @@
  *	is the reader, or has had no update from peers in time
  * @partial: updates from peers leave out records that only a reader needs
  * @snapshot_due: the local copy lacks records that peers left out, so a
- *snapshot is to be read
+ *	snapshot is to be read
  * @asked_ms: loop time of the newest call to the store
  * @asked_from: offset at which the newest read began; for a snapshot, the
  *	offset up to which the topic was known before
--- a/src/registry-limit.c
+++ b/src/registry-limit.c
@@ -15,7 +15,7 @@
 /* More than any endpoint serves; keeps computations with it finite. */
 #define LIMIT_MAX_PER_S 1e6
 /* An endpoint that takes fewer requests, or none, still gets one in five
- * seconds: only its answers can show that the limit has ended. */
+ * seconds: only its responses can show that the limit has ended. */
 #define LIMIT_MIN_PER_S 0.2
 /* A peer's limit may look newer than it is by the transmission delay. */
 #define LIMIT_ECHO_MS 500
@@ -48,10 +48,10 @@
  * endpoint_limit_set() - set the limit that an endpoint named.
  * @limit: the limit that is known
  * @per_s: requests a second, from all daemons together
- * @at_ms: loop time of the answer that named it
+ * @at_ms: loop time of the response that named it
  *
- * Return: whether the limit changed. An answer older than the newest one has no
- * effect.
+ * Return: whether the limit changed. A response older than the newest one has
+ * no effect.
  */
 bool
 endpoint_limit_set(struct endpoint_limit *limit, double per_s, uint64_t at_ms)
@@ -73,7 +73,7 @@
 /**
  * endpoint_limit_clear() - note that an endpoint names no limit any more.
  * @limit: the limit that is known
- * @at_ms: loop time of the answer without a limit
+ * @at_ms: loop time of the response without a limit
  *
  * Return: whether there was a limit that this ends.
  */
@@ -88,12 +88,12 @@
 }
 
 /**
- * endpoint_limit_superseded() - whether an answer without a limit ends the one
+ * endpoint_limit_superseded() - whether a response without a limit ends the one
  * that is known.
  * @limit: the limit that is known
  * @sent_ms: loop time at which the request was sent
  *
- * An answer to a request sent before the limit was named does not, as it may
+ * A response to a request sent before the limit was named does not, as it may
  * have been under way at that time.
  */
 bool
--- a/src/registry-limit.h
+++ b/src/registry-limit.h
@@ -11,7 +11,7 @@
 /**
  * struct endpoint_limit - rate limit of one incarnation of an endpoint.
  * @active: the endpoint names a limit
- * @unreadable: its newest answer names a limit that can't be read
+ * @unreadable: its newest response names a limit that can't be read
  * @per_s: requests a second, from all daemons together
  * @since_ms: loop time as of which it names a limit
  * @as_of_ms: loop time as of which the limit, or that there is none, is known;
--- a/src/registry-poison.c
+++ b/src/registry-poison.c
@@ -2,10 +2,10 @@
  * Requests that may crash the endpoints that run them: suspicion, clearing and
  * quarantine. Does no I/O.
  *
- * A request that crashes its endpoint is sent again by its caller, under
+ * A request that crashes its endpoint is sent again by its client, under
  * another id and to any daemon, so it is identified by a fingerprint of what it
  * asks for. All requests that ran on an endpoint that crashed are suspected.
- * One that is answered in full is cleared; one that crashes a third endpoint is
+ * One that completes is cleared; one that crashes a third endpoint is
  * quarantined.
  */
 #include <stdlib.h>
@@ -13,7 +13,7 @@
 
 #include "registry-poison.h"
 
-/* Crashes after which a daemon does not retry a request by itself: the caller
+/* Crashes after which a daemon does not retry a request by itself: the client
  * may send it again, and each crash costs all requests that run there. */
 #define POISON_RETRY_CRASHES 2
 /* Connections break for other reasons too, and several at once. A crash counts
@@ -31,7 +31,7 @@
 /* Length of the quarantine, doubled with each further crash despite it. */
 #define POISON_PERIOD_MS 600000
 #define POISON_DOUBLINGS_MAX 5
-/* A request that was answered this lately does not crash endpoints: it ran
+/* A request that was completed this lately does not crash endpoints: it ran
  * there when they ended for another reason. */
 #define POISON_SUCCESS_TTL_MS 10000
 /* A cleared request is remembered for this long. A daemon that missed the
@@ -215,8 +215,8 @@
 	return (crash);
 }
 
-/* A daemon still reports a crash that an answer has cleared, so the clearing is
- * sent to the peers once more. */
+/* A daemon still reports a crash that a response has cleared, so the clearing
+ * is sent to the peers once more. */
 static void
 request_resend_clearing(struct poison *poison, struct poison_request *request,
     uint64_t now_ms)
@@ -264,7 +264,7 @@
 
 /**
  * poison_observe_crash() - add a crash that this daemon observed, unless the
- * request was answered lately.
+ * request was completed lately.
  * @poison: the table
  * @fingerprint: the request's fingerprint
  * @crash: the crash
@@ -286,11 +286,11 @@
 }
 
 /**
- * poison_clear() - drop the crashes before a full answer to a request.
+ * poison_clear() - drop the crashes before a complete response to a request.
  * @poison: the table
  * @fingerprint: the request's fingerprint
- * @at_ms: loop time of the answer
- * @origin: how this daemon learned of the answer
+ * @at_ms: loop time of the response
+ * @origin: how this daemon learned of the response
  * @now_ms: loop time
  *
  * The clearing of a single crash is not sent to peers, as one crash means
@@ -320,10 +320,10 @@
 }
 
 /**
- * poison_note_success() - note that this daemon received a full answer.
+ * poison_note_success() - note that this daemon received a complete response.
  * @poison: the table
  * @fingerprint: the request's fingerprint
- * @now_ms: loop time of the answer
+ * @now_ms: loop time of the response
  *
  * Return: whether the request was suspected and any crash was dropped.
  */
--- a/src/registry-poison.h
+++ b/src/registry-poison.h
@@ -23,7 +23,7 @@
  * first. Twenty poison requests at once make 500 bystanders a second suspect,
  * and the next crash by each of the twenty is seconds away. */
 #define POISON_REQUESTS_MAX 2048
-/* Slots for requests that were answered lately. */
+/* Slots for requests that were completed lately. */
 #define POISON_SUCCESSES_MAX 1024
 
 /**
@@ -60,8 +60,8 @@
  * @fingerprint: hash of what the request asks for
  * @crashes: crashes of incarnations that ran it, one for each incarnation
  * @n_crashes: length of @crashes
- * @cleared_ms: when it was last answered in full; 0 for never
- * @cleared_origin: how this daemon learned of that answer
+ * @cleared_ms: when it was last completed; 0 for never
+ * @cleared_origin: how this daemon learned of that response
  * @changed_ms: when this record last changed
  * @quarantined: it was quarantined when last evaluated
  * @probing: one such request is being sent to see whether it still crashes
@@ -89,9 +89,9 @@
 TAILQ_HEAD(poison_list, poison_request);
 
 /**
- * struct poison_success - a request that was answered in full.
+ * struct poison_success - a request that was completed.
  * @fingerprint: the request's fingerprint
- * @at_ms: loop time of the answer
+ * @at_ms: loop time of the response
  */
 struct poison_success {
 	uint64_t fingerprint;
@@ -102,7 +102,7 @@
  * struct poison - table of suspected requests.
  * @by_fingerprint: fingerprint to struct poison_request
  * @requests: the same requests, last change first
- * @successes: requests that were answered lately, indexed by the fingerprint
+ * @successes: requests that were completed lately, indexed by the fingerprint
  *	modulo the size
  */
 struct poison {
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -157,7 +157,7 @@
 	ep->slowness = (double)script_number(rest, "slow", 100) / 100;
 }
 
-/* backoff ID asked=MS at=MS [most=MS]: an endpoint asks for back-off */
+/* backoff ID asked=MS at=MS [most=MS]: an endpoint asks for backoff */
 static void
 exec_backoff(const char *rest, GString *out)
 {
@@ -195,7 +195,7 @@
 	    changed ? "changed" : "unchanged", limit->per_s);
 }
 
-/* unlimited ID sent=MS at=MS: an answer to a request names no limit */
+/* unlimited ID sent=MS at=MS: a response to a request names no limit */
 static void
 exec_unlimited(const char *rest, GString *out)
 {
@@ -249,7 +249,7 @@
 	endpoint_limit_return_permit(&fleet_find(&fleet, rest)->limit);
 }
 
-/* refused ID at=MS: an endpoint refuses a request and asks for no back-off */
+/* refused ID at=MS: an endpoint refuses a request and asks for no backoff */
 static void
 exec_refused(const char *rest, GString *out)
 {
@@ -268,7 +268,7 @@
 	endpoint_backoff_accepted(&fleet_find(&fleet, rest)->backoff);
 }
 
-/* probe ID: a request is sent to an endpoint after a back-off */
+/* probe ID: a request is sent to an endpoint after a backoff */
 static void
 exec_probe(const char *rest, GString *out)
 {
@@ -289,7 +289,7 @@
 	    script_number(rest, "accepted", 0) != 0);
 }
 
-/* leave ID: an endpoint reports in an answer that it leaves */
+/* leave ID: an endpoint reports in a response that it leaves */
 static void
 exec_leave(const char *rest, GString *out)
 {
@@ -372,7 +372,7 @@
 	g_string_append_printf(out, "%.0f\n", learned.overhead_ms);
 }
 
-/* expect ID prompt=N at=MS: tokens left to read, and time to its first event */
+/* expect ID prompt=N at=MS: prefill backlog, and time to its first event */
 static void
 exec_expect(const char *rest, GString *out)
 {
--- a/tests/test-poison.c
+++ b/tests/test-poison.c
@@ -104,7 +104,7 @@
 	    request != NULL ? request->changed_ms : 0);
 }
 
-/* answered REQUEST at=MS: an endpoint answered it in full */
+/* answered REQUEST at=MS: an endpoint completed it */
 static void
 exec_answered(const char *rest, GString *out)
 {
@@ -115,7 +115,7 @@
 		"no change\n");
 }
 
-/* cleared REQUEST at=MS: another daemon reports a full answer at that time */
+/* cleared REQUEST at=MS: a peer reports that it completed at that time */
 static void
 exec_cleared(const char *rest, GString *out)
 {
