--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -11,7 +11,7 @@
 static struct catalog *catalog;
 static struct engine_profile *engine;
 static struct model_profile *model;
-static struct fwd_estimate learned;
+static struct fwd_estimate estimate;
 static uint64_t offset;
 
 static void
@@ -35,7 +35,7 @@
 	model->warm_ms = 1200;
 	engine->form_ms = 300;
 	g_ptr_array_add(engine->models, model);
-	memset(&learned, 0, sizeof learned);
+	memset(&estimate, 0, sizeof estimate);
 	offset = 0;
 }
 
@@ -300,14 +300,14 @@
 
 /* The cost of a prompt for the engine. */
 static struct fwd_workload
-work_of(const char *rest)
+workload_of(const char *rest)
 {
-	struct fwd_workload work = { .engine = engine, .model = model };
+	struct fwd_workload workload = { .engine = engine, .model = model };
 
-	work.prompt = (double)script_number(rest, "prompt", 1000);
-	work.overhead_ms = learned.overhead_ms;
-	work.now_ms = script_number(rest, "at", 0);
-	return (work);
+	workload.prompt = (double)script_number(rest, "prompt", 1000);
+	workload.overhead_ms = estimate.overhead_ms;
+	workload.now_ms = script_number(rest, "at", 0);
+	return (workload);
 }
 
 /*
@@ -340,11 +340,11 @@
 {
 	g_autofree char *id = g_strndup(rest, strcspn(rest, " "));
 	struct endpoint *ep = fleet_find(&fleet, id);
-	struct fwd_workload work = work_of(rest);
-	double mark = fwd_backlog_add(&ep->backlog, work.prompt,
-	    fwd_expect_rate(ep, &work), work.now_ms);
+	struct fwd_workload workload = workload_of(rest);
+	double mark = fwd_backlog_add(&ep->backlog, workload.prompt,
+	    fwd_expect_rate(ep, &workload), workload.now_ms);
 
-	ep->pending += work.prompt;
+	ep->pending += workload.prompt;
 	g_string_append_printf(out, "mark %.0f\n", mark);
 }
 
@@ -368,8 +368,8 @@
 	g_auto(GStrv) words = g_strsplit(rest, " ", -1);
 
 	for (char **w = words; *w != NULL; w++)
-		fwd_estimate_add_first(&learned, g_ascii_strtod(*w, NULL));
-	g_string_append_printf(out, "%.0f\n", learned.overhead_ms);
+		fwd_estimate_add_first(&estimate, g_ascii_strtod(*w, NULL));
+	g_string_append_printf(out, "%.0f\n", estimate.overhead_ms);
 }
 
 /* expect ID prompt=N at=MS: prefill backlog, and time to its first event */
@@ -378,10 +378,10 @@
 {
 	g_autofree char *id = g_strndup(rest, strcspn(rest, " "));
 	const struct endpoint *ep = fleet_find(&fleet, id);
-	struct fwd_workload work = work_of(rest);
+	struct fwd_workload workload = workload_of(rest);
 
 	g_string_append_printf(out, "left %.0f first %.0f\n",
-	    fwd_expect_backlog(ep, &work), fwd_expect_first(ep, &work));
+	    fwd_expect_backlog(ep, &workload), fwd_expect_first(ep, &workload));
 }
 
 static int
@@ -398,22 +398,22 @@
 
 /* What a request needs; the array of tried endpoints stays the caller's. */
 static struct fwd_criteria
-want_of(const char *rest, const struct fwd_tried *tried, unsigned n_tried,
+criteria_of(const char *rest, const struct fwd_tried *tried, unsigned n_tried,
     uint32_t i)
 {
-	struct fwd_criteria want = { .service = "s",
+	struct fwd_criteria criteria = { .service = "s",
 		.domain = "a",
 		.prompt = 1000,
 		.tried = tried,
 		.n_tried = n_tried,
 		.draw = i * 2654435761u };
 
-	want.now_ms = script_number(rest, "at", 0);
+	criteria.now_ms = script_number(rest, "at", 0);
 	if (script_number(rest, "model", 0) != 0) {
-		want.engine = engine;
-		want.model = model;
+		criteria.engine = engine;
+		criteria.model = model;
 	}
-	return (want);
+	return (criteria);
 }
 
 /*
@@ -435,9 +435,10 @@
 		tried[n_tried].failed_ms = script_number(rest, "failed", 0);
 	}
 	for (uint32_t i = 0; i < DRAWS; i++) {
-		struct fwd_criteria want = want_of(rest, tried, n_tried, i);
+		struct fwd_criteria criteria =
+		    criteria_of(rest, tried, n_tried, i);
 
-		fwd_choose(&fleet, &want, &choice);
+		fwd_choose(&fleet, &criteria, &choice);
 		if (choice.endpoint != NULL &&
 		    !g_ptr_array_find(seen, choice.endpoint, NULL))
 			g_ptr_array_add(seen, choice.endpoint);
@@ -460,9 +461,9 @@
 	unsigned n = 0;
 
 	for (uint32_t i = 0; i < DRAWS; i++) {
-		struct fwd_criteria want = want_of(rest, NULL, 0, i);
+		struct fwd_criteria criteria = criteria_of(rest, NULL, 0, i);
 
-		fwd_choose(&fleet, &want, &choice);
+		fwd_choose(&fleet, &criteria, &choice);
 		n += choice.endpoint == fleet_find(&fleet, id);
 	}
 	g_string_append_printf(out, "%u of %u\n", n, DRAWS);
@@ -479,21 +480,21 @@
 exec_admit(const char *rest, GString *out)
 {
 	bool plain = script_number(rest, "plain", 0) != 0;
-	struct fwd_workload work = work_of(rest);
-	struct fwd_criteria want = { .service = "s",
+	struct fwd_workload workload = workload_of(rest);
+	struct fwd_criteria criteria = { .service = "s",
 		.engine = plain ? NULL : engine,
 		.model = plain ? NULL : model,
-		.prompt = work.prompt,
+		.prompt = workload.prompt,
 		.domain = "a",
-		.now_ms = work.now_ms };
-	struct fwd_admission a = { .criteria = &want };
+		.now_ms = workload.now_ms };
+	struct fwd_admission a = { .criteria = &criteria };
 	const struct endpoint *at;
 	struct fwd_choice choice;
 	enum fwd_admission_verdict verdict;
 
-	want.overhead_ms = learned.overhead_ms;
-	want.ahead = (unsigned)script_number(rest, "ahead", 0);
-	fwd_choose(&fleet, &want, &choice);
+	criteria.overhead_ms = estimate.overhead_ms;
+	criteria.ahead = (unsigned)script_number(rest, "ahead", 0);
+	fwd_choose(&fleet, &criteria, &choice);
 	a.choice = &choice;
 	a.objective_ms = (double)script_number(rest, "objective", 300);
 	a.waited_ms = (double)script_number(rest, "waited", 0);
@@ -510,7 +511,7 @@
 						  choice.next_available;
 	if (at != NULL)
 		a.first_ms =
-		    plain ? a.duration_ms : fwd_expect_first(at, &work);
+		    plain ? a.duration_ms : fwd_expect_first(at, &workload);
 	verdict = fwd_admission_decide(&a);
 	g_string_append(out, verdicts[verdict]);
 	if (verdict == ADMIT_REFUSE)
