--- a/src/fwd-stats.c
+++ b/src/fwd-stats.c
@@ -89,7 +89,7 @@
 	if (label == NULL)
 		return;
 	histogram_add(&label->first_us, first_us);
-	histogram_add(&label->whole_us, whole_us);
+	histogram_add(&label->total_us, whole_us);
 }
 
 /**
@@ -137,7 +137,7 @@
 		print_histogram(out, "first_byte", kind, name,
 		    &label->first_us);
 		print_histogram(out, "whole_answer", kind, name,
-		    &label->whole_us);
+		    &label->total_us);
 	}
 }
 
--- a/src/fwd-stats.h
+++ b/src/fwd-stats.h
@@ -46,11 +46,11 @@
 /**
  * struct fwd_latency - the histograms of one route or customer.
  * @first_us: from the request's arrival to the first byte of its answer
- * @whole_us: to its end
+ * @total_us: to its end
  */
 struct fwd_latency {
 	struct histogram first_us;
-	struct histogram whole_us;
+	struct histogram total_us;
 };
 
 /**
