--- a/src/registry-fleet.c
+++ b/src/registry-fleet.c
@@ -461,7 +461,7 @@
 		if (!ep->gone && ep->lapsed_ms != 0 && (all || !ep->may_return))
 			endpoint_mark_gone(ep);
 		if (ep->gone && ep->lapsed_ms != 0 && ep->refs == 0 &&
-		    ep->pool.open == 0 &&
+		    ep->pool.n_open == 0 &&
 		    !fleet_keeps_lapsed(fleet, ep, now_ms))
 			endpoint_free(fleet, ep);
 		ep = next;
--- a/src/registry-fleet.h
+++ b/src/registry-fleet.h
@@ -6,7 +6,7 @@
 #include "registry-limit.h"
 #include "registry-backoff.h"
 #include "fwd-backlog.h"
-#include "net-client.h"
+#include "net-conn.h"
 
 /**
  * enum group_state - state of an endpoint in its group, as it reports it.
--- a/src/target-feedback.c
+++ b/src/target-feedback.c
@@ -22,7 +22,8 @@
 target_begin_backoff(struct target *target, const char *seconds, uint64_t now)
 {
 	uint64_t ms =
-	    endpoint_backoff_normalize(net_head_decimal(seconds) * MS_PER_S,
+	    endpoint_backoff_normalize(net_head_parse_decimal(seconds) *
+		    MS_PER_S,
 		BACKOFF_MAX_MS);
 	uint64_t until = atomic_load(&target->backoff_until_ms);
 
@@ -63,7 +64,8 @@
 	target_get_limit(target, &known);
 	if (per_s != NULL)
 		changed = endpoint_limit_set(&known,
-		    endpoint_limit_normalize(net_head_decimal(per_s), &known),
+		    endpoint_limit_normalize(net_head_parse_decimal(per_s),
+			&known),
 		    now);
 	else
 		changed = endpoint_limit_superseded(&known, sent_ms) &&
