--- a/src/http-batch.c
+++ b/src/http-batch.c
@@ -1,4 +1,4 @@
-/* Many short HTTP calls at once, from one thread. */
+/* Many short HTTP calls at the same time, from one thread. */
 #include <curl/curl.h>
 #include <glib.h>
 
@@ -6,31 +6,33 @@
 #include "control-cost.h"
 #include "http-batch.h"
 
-#define REPLY_MAX_BYTES 65536
-#define POLL_MS 20
+#define RESPONSE_MAX_BYTES 65536
+#define POLL_TIMEOUT_MS 20
 
-/* A call in progress. */
+/* A call in progress; @text is the encoded body of the request. */
 struct transfer {
-	struct http_call *task;
+	struct http_call *call;
 	CURL *easy;
 	GByteArray *body;
 	char *text;
 };
 
 /**
- * struct http_batch - the calls and the connections they use again.
- * @multi: libcurl's set of transfers
- * @headers: headers of calls with a body
- * @tasks: the calls
+ * struct http_batch - calls and the connections that they reuse.
+ * @multi: libcurl's transfers and connections
+ * @headers: request headers of calls with a body
+ * @calls: the calls
  */
 struct http_batch {
 	CURLM *multi;
 	struct curl_slist *headers;
-	struct http_call_list tasks;
+	struct http_call_list calls;
 };
 
 /**
- * http_batch_create() - make an empty batch; use it again for the next calls.
+ * http_batch_create() - create an empty batch.
+ *
+ * A batch that is used again after http_batch_reset() reuses its connections.
  */
 struct http_batch *
 http_batch_create(void)
@@ -42,25 +44,25 @@
 	batch->headers =
 	    curl_slist_append(NULL, "Content-Type: application/json");
 	batch->headers = curl_slist_append(batch->headers, "Expect:");
-	TAILQ_INIT(&batch->tasks);
+	TAILQ_INIT(&batch->calls);
 	return (batch);
 }
 
 /**
- * http_batch_reset() - forget the calls and their answers.
+ * http_batch_reset() - remove the calls and their responses.
  * @batch: the batch
  */
 void
 http_batch_reset(struct http_batch *batch)
 {
-	struct http_call *task;
-
-	while ((task = TAILQ_FIRST(&batch->tasks)) != NULL) {
-		TAILQ_REMOVE(&batch->tasks, task, entry);
-		json_decref(task->body);
-		json_decref(task->json);
-		g_free(task->url);
-		g_free(task);
+	struct http_call *call;
+
+	while ((call = TAILQ_FIRST(&batch->calls)) != NULL) {
+		TAILQ_REMOVE(&batch->calls, call, entry);
+		json_decref(call->body);
+		json_decref(call->json);
+		g_free(call->url);
+		g_free(call);
 	}
 }
 
@@ -78,64 +80,66 @@
 }
 
 /**
- * http_batch_add() - add one call.
+ * http_batch_add() - add a call.
  * @batch: the batch
- * @url: the URL
- * @body: JSON to POST, taken over; NULL for a GET
- * @arg: the caller's own
+ * @url: the URL; copied
+ * @body: JSON to POST, of which the batch takes ownership; NULL for a GET
+ * @arg: user data
  */
 void
 http_batch_add(struct http_batch *batch, const char *url, json_t *body,
     void *arg)
 {
-	struct http_call *task;
+	struct http_call *call;
 
-	task = g_new0(struct http_call, 1);
-	task->url = g_strdup(url);
-	task->body = body;
-	task->arg = arg;
-	TAILQ_INSERT_TAIL(&batch->tasks, task, entry);
+	call = g_new0(struct http_call, 1);
+	call->url = g_strdup(url);
+	call->body = body;
+	call->arg = arg;
+	TAILQ_INSERT_TAIL(&batch->calls, call, entry);
 }
 
+/* Collects a response; a larger one than RESPONSE_MAX_BYTES fails the call. */
 static size_t
 transfer_write(char *data, size_t size, size_t n, void *arg)
 {
 	struct transfer *t = arg;
 
-	if (t->body->len + size * n > REPLY_MAX_BYTES)
+	if (t->body->len + size * n > RESPONSE_MAX_BYTES)
 		return (0);
 	g_byte_array_append(t->body, (const guint8 *)data, (guint)(size * n));
 	return (size * n);
 }
 
 static void
-transfer_start(struct http_batch *batch, struct http_call *task,
+transfer_start(struct http_batch *batch, struct http_call *call,
     long timeout_ms)
 {
 	struct transfer *t;
 
 	t = g_new0(struct transfer, 1);
-	t->task = task;
+	t->call = call;
 	t->easy = curl_easy_init();
 	t->body = g_byte_array_new();
 	curl_easy_setopt(t->easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(t->easy, CURLOPT_PROXY, "");
-	curl_easy_setopt(t->easy, CURLOPT_URL, task->url);
+	curl_easy_setopt(t->easy, CURLOPT_URL, call->url);
 	curl_easy_setopt(t->easy, CURLOPT_TIMEOUT_MS, timeout_ms);
 	curl_easy_setopt(t->easy, CURLOPT_WRITEFUNCTION, transfer_write);
 	curl_easy_setopt(t->easy, CURLOPT_WRITEDATA, t);
 	curl_easy_setopt(t->easy, CURLOPT_PRIVATE, t);
-	if (task->body != NULL) {
-		t->text = json_dumps(task->body, JSON_COMPACT);
+	if (call->body != NULL) {
+		t->text = json_dumps(call->body, JSON_COMPACT);
 		curl_easy_setopt(t->easy, CURLOPT_POSTFIELDS, t->text);
 		curl_easy_setopt(t->easy, CURLOPT_HTTPHEADER, batch->headers);
 	}
-	task->sent_ms = clock_now_ms();
+	call->sent_ms = clock_now_ms();
 	curl_multi_add_handle(batch->multi, t->easy);
 }
 
+/* Counts the bytes of a call in the cost of probes. */
 static void
-count_bytes(CURL *easy, const struct transfer *t)
+transfer_count_bytes(CURL *easy, const struct transfer *t)
 {
 	long sent = 0, headers = 0;
 
@@ -153,11 +157,11 @@
 
 	curl_easy_getinfo(easy, CURLINFO_PRIVATE, &private);
 	t = private;
-	count_bytes(easy, t);
+	transfer_count_bytes(easy, t);
 	if (rc == CURLE_OK) {
 		curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE,
-		    &t->task->status);
-		t->task->json = json_loadb((const char *)t->body->data,
+		    &t->call->status);
+		t->call->json = json_loadb((const char *)t->body->data,
 		    t->body->len, 0, NULL);
 	}
 	curl_multi_remove_handle(batch->multi, easy);
@@ -168,31 +172,31 @@
 }
 
 /**
- * http_batch_calls() - the calls of a batch.
+ * http_batch_calls() - get the calls of a batch.
  * @batch: the batch
  */
 struct http_call_list *
 http_batch_calls(struct http_batch *batch)
 {
-	return (&batch->tasks);
+	return (&batch->calls);
 }
 
 /**
- * http_batch_run() - make all calls at once and wait for them.
+ * http_batch_run() - start all calls and wait until they have ended.
  * @batch: the batch
  * @timeout_ms: bound on each call, in milliseconds
  *
- * Return: the calls with their answers, valid until http_batch_reset().
+ * Return: the calls with their responses, valid until http_batch_reset().
  */
 struct http_call_list *
 http_batch_run(struct http_batch *batch, long timeout_ms)
 {
-	struct http_call *task;
+	struct http_call *call;
 	CURLMsg *msg;
 	int running, left;
 
-	TAILQ_FOREACH(task, &batch->tasks, entry)
-		transfer_start(batch, task, timeout_ms);
+	TAILQ_FOREACH(call, &batch->calls, entry)
+		transfer_start(batch, call, timeout_ms);
 	do {
 		curl_multi_perform(batch->multi, &running);
 		while (
@@ -202,7 +206,8 @@
 				    msg->data.result);
 		}
 		if (running > 0)
-			curl_multi_poll(batch->multi, NULL, 0, POLL_MS, NULL);
+			curl_multi_poll(batch->multi, NULL, 0, POLL_TIMEOUT_MS,
+			    NULL);
 	} while (running > 0);
-	return (&batch->tasks);
+	return (&batch->calls);
 }
--- a/src/http-batch.h
+++ b/src/http-batch.h
@@ -1,4 +1,4 @@
-/* Many short HTTP calls at once, from one thread. */
+/* Many short HTTP calls at the same time, from one thread. */
 #ifndef BL_HTTP_BATCH_H
 #define BL_HTTP_BATCH_H
 
@@ -11,10 +11,11 @@
  * struct http_call - one call of a batch.
  * @url: the URL
  * @body: JSON to POST, or NULL for a GET; owned
- * @arg: the caller's own
- * @sent_ms: monotonic time just before the batch began
- * @status: HTTP status, 0 when there was no answer
- * @json: the answer, or NULL
+ * @arg: user data
+ * @sent_ms: monotonic time just before the call was started
+ * @status: HTTP status, 0 without a response
+ * @json: the parsed response; NULL if there is none or it is not JSON
+ * @entry: in the batch
  */
 struct http_call {
 	char *url;
--- a/src/http-client.c
+++ b/src/http-client.c
@@ -1,4 +1,4 @@
-/* Short HTTP calls with JSON answers: log, host list, probes, orders. */
+/* Blocking HTTP calls with JSON responses. */
 #include <curl/curl.h>
 #include <string.h>
 
@@ -6,14 +6,15 @@
 #include "error.h"
 #include "http-client.h"
 
-/* A body larger than this is not one of ours. */
-#define REPLY_MAX_BYTES (64u * 1024 * 1024)
-#define ETAG "etag:"
+/* Largest body of a response; none that this project sends is larger. */
+#define RESPONSE_MAX_BYTES (64u * 1024 * 1024)
+#define ETAG_HEADER "etag:"
 
-/* One handle a thread, so that connections are used again. */
+/* One libcurl handle per thread, so that connections are reused. */
 static GPrivate thread_handle =
     G_PRIVATE_INIT((GDestroyNotify)curl_easy_cleanup);
 
+/* Returns the thread's handle with the options of all calls. */
 static CURL *
 handle_get(void)
 {
@@ -30,47 +31,49 @@
 	return (curl);
 }
 
+/* Collects the body; one larger than RESPONSE_MAX_BYTES fails the call. */
 static size_t
-reply_write(char *data, size_t size, size_t n, void *arg)
+body_write(char *data, size_t size, size_t n, void *arg)
 {
 	GByteArray *body = arg;
 
-	if (body->len + size * n > REPLY_MAX_BYTES)
+	if (body->len + size * n > RESPONSE_MAX_BYTES)
 		return (0);
 	g_byte_array_append(body, (const guint8 *)data, (guint)(size * n));
 	return (size * n);
 }
 
-/* Keeps the entity tag of the answer. */
+/* Stores the entity tag of the response. */
 static size_t
 header_write(char *data, size_t size, size_t n, void *arg)
 {
 	g_autofree char *line = g_strndup(data, size * n);
-	struct http_response *reply = arg;
+	struct http_response *response = arg;
 
-	if (g_ascii_strncasecmp(line, ETAG, strlen(ETAG)) == 0) {
-		g_free(reply->etag);
-		reply->etag = g_strdup(g_strstrip(line + strlen(ETAG)));
+	if (g_ascii_strncasecmp(line, ETAG_HEADER, strlen(ETAG_HEADER)) == 0) {
+		g_free(response->etag);
+		response->etag =
+		    g_strdup(g_strstrip(line + strlen(ETAG_HEADER)));
 	}
 	return (size * n);
 }
 
-/* Runs the prepared call and parses the answer. */
+/* Runs the prepared call and parses the response. */
 static bool
 call_perform(CURL *curl, const char *url, long timeout_ms,
-    struct http_response *reply, GError **error)
+    struct http_response *response, GError **error)
 {
 	g_autoptr(GByteArray) body = g_byte_array_new();
 	long sent = 0, headers = 0;
 	CURLcode rc;
 
-	memset(reply, 0, sizeof *reply);
+	memset(response, 0, sizeof *response);
 	curl_easy_setopt(curl, CURLOPT_URL, url);
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, timeout_ms);
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, reply_write);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, body_write);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, body);
 	curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, header_write);
-	curl_easy_setopt(curl, CURLOPT_HEADERDATA, reply);
+	curl_easy_setopt(curl, CURLOPT_HEADERDATA, response);
 	rc = curl_easy_perform(curl);
 	curl_easy_getinfo(curl, CURLINFO_REQUEST_SIZE, &sent);
 	curl_easy_getinfo(curl, CURLINFO_HEADER_SIZE, &headers);
@@ -81,49 +84,53 @@
 		    curl_easy_strerror(rc));
 		return (false);
 	}
-	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &reply->status);
-	reply->json = json_loadb((const char *)body->data, body->len,
+	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &response->status);
+	response->json = json_loadb((const char *)body->data, body->len,
 	    JSON_ALLOW_NUL, NULL);
 	return (true);
 }
 
 /**
- * http_response_clear() - clean-up attribute for an answer.
- * @reply: the answer
+ * http_response_clear() - free what a response holds; a cleanup function.
+ * @response: the response
  */
 void
-http_response_clear(struct http_response *reply)
+http_response_clear(struct http_response *response)
 {
-	json_decref(reply->json);
-	reply->json = NULL;
-	g_clear_pointer(&reply->etag, g_free);
+	json_decref(response->json);
+	response->json = NULL;
+	g_clear_pointer(&response->etag, g_free);
 }
 
 /**
  * http_client_get() - GET a URL.
  * @url: the URL
  * @timeout_ms: bound on the whole call, in milliseconds
- * @reply: the answer, with any status
- * @error: ERROR_ENDPOINT_FAILED when there was no answer
+ * @response: filled in, whatever the status
+ * @error: ERROR_ENDPOINT_FAILED if there was no response
+ *
+ * Return: whether there was a response.
  */
 bool
-http_client_get(const char *url, long timeout_ms, struct http_response *reply,
-    GError **error)
+http_client_get(const char *url, long timeout_ms,
+    struct http_response *response, GError **error)
 {
-	return (call_perform(handle_get(), url, timeout_ms, reply, error));
+	return (call_perform(handle_get(), url, timeout_ms, response, error));
 }
 
 /**
- * http_client_get_changed() - GET a URL if it changed.
+ * http_client_get_changed() - GET a URL if it has changed.
  * @url: the URL
- * @etag: entity tag of what is known, or NULL
+ * @etag: entity tag of the last response, or NULL
  * @timeout_ms: bound on the whole call, in milliseconds
- * @reply: the answer; status 304 when nothing changed
- * @error: ERROR_ENDPOINT_FAILED when there was no answer
+ * @response: filled in; status 304 if the resource has not changed
+ * @error: ERROR_ENDPOINT_FAILED if there was no response
+ *
+ * Return: whether there was a response.
  */
 bool
 http_client_get_changed(const char *url, const char *etag, long timeout_ms,
-    struct http_response *reply, GError **error)
+    struct http_response *response, GError **error)
 {
 	CURL *curl = handle_get();
 	struct curl_slist *headers = NULL;
@@ -135,7 +142,7 @@
 		headers = curl_slist_append(NULL, line);
 		curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
 	}
-	ok = call_perform(curl, url, timeout_ms, reply, error);
+	ok = call_perform(curl, url, timeout_ms, response, error);
 	curl_slist_free_all(headers);
 	return (ok);
 }
@@ -144,16 +151,18 @@
  * http_client_send() - send JSON to a URL.
  * @method: such as "POST"
  * @url: the URL
- * @body: the JSON, or NULL for none; not taken over
+ * @body: the JSON, or NULL for none; stays the caller's
  * @token: a bearer token, or NULL
  * @timeout_ms: bound on the whole call, in milliseconds
- * @reply: the answer, with any status
- * @error: ERROR_ENDPOINT_FAILED when there was no answer; the call may have
+ * @response: filled in, whatever the status
+ * @error: ERROR_ENDPOINT_FAILED if there was no response; the call may have
  *	taken effect
+ *
+ * Return: whether there was a response.
  */
 bool
 http_client_send(const char *method, const char *url, json_t *body,
-    const char *token, long timeout_ms, struct http_response *reply,
+    const char *token, long timeout_ms, struct http_response *response,
     GError **error)
 {
 	CURL *curl = handle_get();
@@ -171,7 +180,7 @@
 	curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, method);
 	curl_easy_setopt(curl, CURLOPT_POSTFIELDS, text);
 	curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
-	ok = call_perform(curl, url, timeout_ms, reply, error);
+	ok = call_perform(curl, url, timeout_ms, response, error);
 	curl_slist_free_all(headers);
 	return (ok);
 }
--- a/src/http-client.h
+++ b/src/http-client.h
@@ -1,4 +1,4 @@
-/* Short HTTP calls with JSON answers: log, host list, probes, orders. */
+/* Blocking HTTP calls with JSON responses. */
 #ifndef BL_HTTP_CLIENT_H
 #define BL_HTTP_CLIENT_H
 
@@ -7,9 +7,9 @@
 #include <stdbool.h>
 
 /**
- * struct http_response - the answer to a short call.
- * @status: HTTP status, 0 when there was no answer
- * @json: the parsed body, or NULL when it is not JSON
+ * struct http_response - the response to a call.
+ * @status: HTTP status, 0 without a response
+ * @json: the parsed body, or NULL if it is not JSON
  * @etag: the entity tag, or NULL
  */
 struct http_response {
--- a/src/http-listen.c
+++ b/src/http-listen.c
@@ -1,4 +1,4 @@
-/* The daemon's HTTP servers: one for callers, one for operators. */
+/* The HTTP servers of bankliftd: one for clients, one for operators. */
 #include <arpa/inet.h>
 #include <microhttpd.h>
 #include <string.h>
@@ -10,19 +10,21 @@
 #include "operator.h"
 
 #define THREAD_STACK_BYTES (512u * 1024)
-#define OPERATOR_CONNECTIONS 64
+#define OPERATOR_CONNECTIONS_MAX 64
 /* A connection that sends nothing for this long is closed. */
-#define IDLE_SECONDS 30
-/* How long a connection may stay open after the last answer was given. */
+#define IDLE_TIMEOUT_S 30
+/* Longest wait for clients to close their connections after the last response;
+ * see http_listen_linger(). */
 #define LINGER_MS 2000
-#define LINGER_STEP_MS 20
+#define LINGER_POLL_MS 20
 #define MHD_FLAGS                                                          \
 	(MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD | \
 	    MHD_USE_POLL | MHD_USE_ITC)
 
-/* The balancer's page: it stops sending callers here when this is not 200. */
+/* Answers the load balancer's health check; the balancer sends no more clients
+ * here once the status is not 200. */
 static int
-health(const struct _u_request *in, struct _u_response *res, void *arg)
+health_check(const struct _u_request *in, struct _u_response *res, void *arg)
 {
 	struct server *server = arg;
 	const char *state = "ready";
@@ -37,7 +39,7 @@
 }
 
 static void
-add(struct _u_instance *inst, const char *method, const char *prefix,
+add_handler(struct _u_instance *inst, const char *method, const char *prefix,
     const char *format,
     int (*handler)(const struct _u_request *, struct _u_response *, void *),
     struct server *server)
@@ -47,27 +49,32 @@
 }
 
 static void
-add_caller_handlers(struct _u_instance *inst, struct server *server)
+add_client_handlers(struct _u_instance *inst, struct server *server)
 {
-	add(inst, "POST", "/v1", "/completions", caller_completion, server);
-	add(inst, "POST", "/v1", "/chat/completions", caller_chat, server);
-	add(inst, "*", "/s", "/*", caller_service, server);
-	add(inst, "GET", "/health", NULL, health, server);
+	add_handler(inst, "POST", "/v1", "/completions", caller_completion,
+	    server);
+	add_handler(inst, "POST", "/v1", "/chat/completions", caller_chat,
+	    server);
+	add_handler(inst, "*", "/s", "/*", caller_service, server);
+	add_handler(inst, "GET", "/health", NULL, health_check, server);
 }
 
 static void
 add_operator_handlers(struct _u_instance *inst, struct server *server)
 {
-	add(inst, "GET", "/api/v1", "/watch", operator_watch, server);
-	add(inst, "GET", "/api/v1", "/:type", operator_list, server);
-	add(inst, "GET", "/api/v1", "/:type/:name", operator_get, server);
-	add(inst, "PUT", "/api/v1", "/:type/:name", operator_put, server);
-	add(inst, "DELETE", "/api/v1", "/:type/:name", operator_delete, server);
-	add(inst, "GET", "/status", NULL, operator_status, server);
-	add(inst, "GET", "/metrics", NULL, operator_metrics, server);
+	add_handler(inst, "GET", "/api/v1", "/watch", operator_watch, server);
+	add_handler(inst, "GET", "/api/v1", "/:type", operator_list, server);
+	add_handler(inst, "GET", "/api/v1", "/:type/:name", operator_get,
+	    server);
+	add_handler(inst, "PUT", "/api/v1", "/:type/:name", operator_put,
+	    server);
+	add_handler(inst, "DELETE", "/api/v1", "/:type/:name", operator_delete,
+	    server);
+	add_handler(inst, "GET", "/status", NULL, operator_status, server);
+	add_handler(inst, "GET", "/metrics", NULL, operator_metrics, server);
 }
 
-/* Binds one address; the instance is ready for its handlers. */
+/* Prepares a server for an address; handlers may be added after this. */
 static bool
 instance_init(struct _u_instance *inst, struct sockaddr_in *sin,
     const char *address, size_t body_bytes)
@@ -83,7 +90,8 @@
 	inet_pton(AF_INET, ip, &sin->sin_addr);
 	if (ulfius_init_instance(inst, port, sin, NULL) != U_OK)
 		return (false);
-	/* One byte more is let in, so that a longer body can be told apart. */
+	/* One byte more than the limit is read, so that a body that exceeds it
+	 * is recognized. */
 	inst->max_post_body_size = body_bytes + 1;
 	inst->max_post_param_size = body_bytes + 1;
 	return (true);
@@ -95,7 +103,7 @@
 	struct MHD_OptionItem options[] = {
 		{ MHD_OPTION_CONNECTION_LIMIT, (intptr_t)connections, NULL },
 		{ MHD_OPTION_THREAD_STACK_SIZE, THREAD_STACK_BYTES, NULL },
-		{ MHD_OPTION_CONNECTION_TIMEOUT, IDLE_SECONDS, NULL },
+		{ MHD_OPTION_CONNECTION_TIMEOUT, IDLE_TIMEOUT_S, NULL },
 		{ MHD_OPTION_LISTENING_ADDRESS_REUSE, 1, NULL },
 		{ MHD_OPTION_SOCK_ADDR, 0, inst->bind_address },
 		{ MHD_OPTION_URI_LOG_CALLBACK, (intptr_t)ulfius_uri_logger,
@@ -110,10 +118,12 @@
 }
 
 /**
- * http_listen_start() - bind both addresses and serve.
+ * http_listen_start() - start both servers.
  * @listen: filled in
  * @server: this daemon
- * @error: ERROR_BAD_SETTING when an address cannot be bound
+ * @error: ERROR_BAD_SETTING if an address cannot be bound
+ *
+ * Return: whether both servers were started.
  */
 bool
 http_listen_start(struct http_listen *listen, struct server *server,
@@ -125,10 +135,11 @@
 		set->caller_address, (size_t)set->body_bytes) ||
 	    !instance_init(&listen->operators, &listen->operator_sin,
 		set->operator_address, (size_t)set->body_bytes)) {
-		error_set(error, ERROR_BAD_SETTING, "HTTP cannot be set up");
+		error_set(error, ERROR_BAD_SETTING,
+		    "HTTP servers cannot be initialized");
 		return (false);
 	}
-	add_caller_handlers(&listen->clients, server);
+	add_client_handlers(&listen->clients, server);
 	add_operator_handlers(&listen->operators, server);
 	if (!instance_start(&listen->clients, (unsigned)set->connections)) {
 		error_set(error, ERROR_BAD_SETTING,
@@ -136,7 +147,7 @@
 		    set->caller_address);
 		return (false);
 	}
-	if (!instance_start(&listen->operators, OPERATOR_CONNECTIONS)) {
+	if (!instance_start(&listen->operators, OPERATOR_CONNECTIONS_MAX)) {
 		error_set(error, ERROR_BAD_SETTING,
 		    "--operator-address: %s cannot be bound",
 		    set->operator_address);
@@ -146,15 +157,16 @@
 }
 
 /**
- * http_listen_linger() - let answers that were given reach their callers.
- * @listen: the servers; all requests have their answers
+ * http_listen_linger() - wait until the last responses have been delivered.
+ * @listen: the servers; all requests have been answered
  *
- * Connections that stay open without a request are not waited for long.
+ * Waits until no client connection is open, at most LINGER_MS, since clients
+ * may keep connections open without a request.
  */
 void
 http_listen_linger(struct http_listen *listen)
 {
-	uint64_t until = clock_now_ms() + LINGER_MS;
+	uint64_t deadline = clock_now_ms() + LINGER_MS;
 	const union MHD_DaemonInfo *info;
 
 	do {
@@ -162,12 +174,12 @@
 		    MHD_DAEMON_INFO_CURRENT_CONNECTIONS);
 		if (info == NULL || info->num_connections == 0)
 			return;
-		g_usleep(LINGER_STEP_MS * 1000);
-	} while (clock_now_ms() < until);
+		g_usleep(LINGER_POLL_MS * 1000);
+	} while (clock_now_ms() < deadline);
 }
 
 /**
- * http_listen_stop() - end both servers.
+ * http_listen_stop() - stop both servers.
  * @listen: the servers
  */
 void
--- a/src/http-listen.h
+++ b/src/http-listen.h
@@ -1,4 +1,4 @@
-/* The daemon's HTTP servers: one for callers, one for operators. */
+/* The HTTP servers of bankliftd: one for clients, one for operators. */
 #ifndef BL_HTTP_LISTEN_H
 #define BL_HTTP_LISTEN_H
 
@@ -9,10 +9,10 @@
 
 /**
  * struct http_listen - the two servers.
- * @clients: serves callers and the balancer's health page
+ * @clients: serves clients and the load balancer's health check
  * @operators: serves operators
- * @client_sin: address of @clients, which ulfius only points to
- * @operator_sin: address of @operators
+ * @client_sin: address of @clients, to which ulfius keeps a pointer
+ * @operator_sin: address of @operators, likewise
  */
 struct http_listen {
 	struct _u_instance clients;
--- a/src/http-reply.c
+++ b/src/http-reply.c
@@ -1,13 +1,13 @@
-/* Answers of our own: JSON, and errors with type, outcome and retry time. */
+/* Responses of bankliftd itself: JSON, and errors with type and outcome. */
 #include <string.h>
 
 #include "http-reply.h"
 
 /**
- * http_reply_json() - answer with JSON.
- * @res: the answer
+ * http_reply_json() - respond with JSON.
+ * @res: the response
  * @status: HTTP status
- * @json: the body; taken over
+ * @json: the body, of which the function takes ownership
  */
 void
 http_reply_json(struct _u_response *res, int status, json_t *json)
@@ -21,9 +21,12 @@
 }
 
 /**
- * http_failure_json() - a failure as it is told to callers.
+ * http_failure_json() - encode a failure for a client.
  * @f: the failure
  * @request_id: the request's id, or NULL
+ *
+ * Return: a new JSON object with type, outcome and message, and with the retry
+ * time and the request's id if there is one.
  */
 json_t *
 http_failure_json(const struct failure *f, const char *request_id)
@@ -43,8 +46,8 @@
 }
 
 /**
- * http_reply_failure() - answer a caller with a failure.
- * @res: the answer
+ * http_reply_failure() - respond to a client with a failure.
+ * @res: the response
  * @f: the failure
  * @request_id: the request's id, or NULL
  */
@@ -66,8 +69,8 @@
 }
 
 /**
- * http_reply_error() - answer an operator with a typed error.
- * @res: the answer
+ * http_reply_error() - respond to an operator with a typed error.
+ * @res: the response
  * @error: the error
  */
 void
--- a/src/http-reply.h
+++ b/src/http-reply.h
@@ -1,4 +1,4 @@
-/* Answers of our own: JSON, and errors with type, outcome and retry time. */
+/* Responses of bankliftd itself: JSON, and errors with type and outcome. */
 #ifndef BL_HTTP_REPLY_H
 #define BL_HTTP_REPLY_H
 
