--- a/tests/test-adapter.c
+++ b/tests/test-adapter.c
@@ -1,4 +1,4 @@
-/* Contract tests of the adapter's formats: what the platform sends. */
+/* Tests of the formats of the platform's adapter and of mesh messages. */
 #include <jansson.h>
 #include <math.h>
 #include <string.h>
@@ -15,7 +15,7 @@
 	g_clear_pointer(&catalog, catalog_unref);
 }
 
-/* config JSON: decode a configuration; shows what was understood */
+/* config JSON: decode a configuration and print parts of it */
 static void
 exec_config(const char *rest, GString *out)
 {
@@ -35,7 +35,7 @@
 	    (long long)catalog->limits.max_body_bytes);
 }
 
-/* route HOST PATH: which route a request takes */
+/* route HOST PATH: print the route of a request */
 static void
 exec_route(const char *rest, GString *out)
 {
@@ -47,14 +47,14 @@
 		return;
 	}
 	g_string_append_printf(out,
-	    "%s repeat=%d resumable=%d open=%d timeout=%lld objective=%lld "
+	    "%s retry=%d resumable=%d public=%d timeout=%lld objective=%lld "
 	    "attempts=%u splits=%u\n",
 	    r->name, (int)r->retry, r->resumable, r->public,
 	    (long long)r->timeout_ms, (long long)r->objective_ms,
 	    r->max_attempts, r->splits->len);
 }
 
-/* split PATH: requests of 100 draws that go to each service */
+/* split PATH: print how many of 100 requests go to service a */
 static void
 exec_split(const char *rest, GString *out)
 {
@@ -66,7 +66,7 @@
 	g_string_append_printf(out, "a %u\n", n);
 }
 
-/* engine SERVICE */
+/* engine SERVICE: print the engine profile of a service and its models */
 static void
 exec_engine(const char *rest, GString *out)
 {
@@ -87,7 +87,7 @@
 	}
 }
 
-/* entry JSON: decode an endpoint's entry */
+/* entry JSON: decode an endpoint's entry and print it */
 static void
 exec_entry(const char *rest, GString *out)
 {
@@ -112,9 +112,9 @@
 	endpoint_report_clear(&r);
 }
 
-/* Puts "Name: value|Name: value" into a head. */
+/* Parses "Name: value|Name: value" into a head. */
 static void
-head_fill(struct net_head *head, const char *text)
+head_parse(struct net_head *head, const char *text)
 {
 	g_auto(GStrv) lines = g_strsplit(text, "|", 0);
 
@@ -129,21 +129,21 @@
 	net_head_close_value(head);
 }
 
-/* request HEADERS: what is read of a request, and which headers go on */
+/* request HEADERS: decode a request; print it and the forwarded headers */
 static void
 exec_request(const char *rest, GString *out)
 {
 	struct wire_request req;
 	struct net_head head;
 
-	head_fill(&head, rest);
+	head_parse(&head, rest);
 	platform_wire.read_request(&head, &req);
 	g_string_append_printf(out,
 	    "id=%s key=%s model=%s deadline=%lld tokens=%.0f,%.0f last=%lld\n",
 	    req.id != NULL ? req.id : "-", req.key != NULL ? req.key : "-",
 	    req.model != NULL ? req.model : "-", (long long)req.deadline_ms,
 	    req.prompt_tokens, req.response_tokens, (long long)req.last_event);
-	g_string_append(out, "passes:");
+	g_string_append(out, "forwards:");
 	for (unsigned i = 0; i < head.n_fields; i++) {
 		const char *name = net_head_name(&head, i);
 
@@ -155,45 +155,46 @@
 	net_head_clear(&head);
 }
 
-/* Prints a word of an endpoint, if it was said. */
+/* Prints one kind of feedback if its header is present. */
 static void
-said_print(const struct feedback *said, const char *name, const char *unit,
-    GString *out)
+print_feedback(const struct feedback *feedback, const char *name,
+    const char *unit, GString *out)
 {
-	if (said->text == NULL)
+	if (feedback->text == NULL)
 		return;
-	if (isnan(said->number))
-		g_string_append_printf(out, " %s=?(%s)", name, said->text);
+	if (isnan(feedback->number))
+		g_string_append_printf(out, " %s=?(%s)", name, feedback->text);
 	else
-		g_string_append_printf(out, " %s=%g%s", name, said->number,
+		g_string_append_printf(out, " %s=%g%s", name, feedback->number,
 		    unit);
 }
 
-/* answer STATUS HEADERS */
+/* response STATUS HEADERS: decode an endpoint's response and print it */
 static void
-exec_answer(const char *rest, GString *out)
+exec_response(const char *rest, GString *out)
 {
 	char *at;
 	unsigned status = (unsigned)strtoul(rest, &at, 10);
-	struct wire_response answer;
+	struct wire_response response;
 	struct net_head head;
 
-	head_fill(&head, at + 1);
-	platform_wire.read_response(status, &head, &answer);
+	head_parse(&head, at + 1);
+	platform_wire.read_response(status, &head, &response);
 	g_string_append_printf(out,
-	    "id=%s proof=%d not_run=%d wrong_endpoint=%d at_fault=%s",
-	    answer.id != NULL ? answer.id : "-", answer.has_signature,
-	    answer.not_run, answer.wrong_endpoint,
-	    answer.lost_member != NULL ? answer.lost_member : "-");
-	if (answer.feedback[FEEDBACK_DRAINING].number == 1)
-		g_string_append(out, " leaving=1");
-	said_print(&answer.feedback[FEEDBACK_BACKOFF], "rest", " ms", out);
-	said_print(&answer.feedback[FEEDBACK_LIMIT], "limit", "/s", out);
+	    "id=%s signature=%d not_run=%d wrong_endpoint=%d lost_member=%s",
+	    response.id != NULL ? response.id : "-", response.has_signature,
+	    response.not_run, response.wrong_endpoint,
+	    response.lost_member != NULL ? response.lost_member : "-");
+	if (response.feedback[FEEDBACK_DRAINING].number == 1)
+		g_string_append(out, " draining=1");
+	print_feedback(&response.feedback[FEEDBACK_BACKOFF], "backoff", " ms",
+	    out);
+	print_feedback(&response.feedback[FEEDBACK_LIMIT], "limit", "/s", out);
 	g_string_append_c(out, '\n');
 	net_head_clear(&head);
 }
 
-/* forward: the headers that are set for an endpoint */
+/* forward: print the headers that are set for an endpoint */
 static void
 exec_forward(const char *rest, GString *out)
 {
@@ -205,15 +206,15 @@
 }
 
 /*
- * news [cut=N] [more=N] [inflight=N] [reading=N] [heard=N]: daemons' news
- * survive coding; N bytes less or more are refused
+ * message [cut=N] [more=N] [inflight=N] [pending=N] [idle=N]: encode a mesh
+ * message, decode it and print it; N bytes less or more are refused
  */
 static void
-exec_news(const char *rest, GString *out)
+exec_message(const char *rest, GString *out)
 {
 	static struct mesh_message in, back;
 	static char bytes[MESH_DATAGRAM_MAX];
-	const struct mesh_message said = { .kind = MESH_FLEET_SUMMARY,
+	const struct mesh_message sample = { .kind = MESH_FLEET_SUMMARY,
 		.name = "d1",
 		.domain = "a",
 		.capacity = 500,
@@ -232,11 +233,11 @@
 		.n_members = 2 };
 	size_t length;
 
-	in = said;
+	in = sample;
 	in.loads[1].id_hash = 4;
 	in.loads[1].inflight = (uint32_t)script_number(rest, "inflight", 2);
-	in.loads[1].pending = (uint32_t)script_number(rest, "reading", 1000);
-	in.loads[1].idle_ms = (uint32_t)script_number(rest, "heard", 30);
+	in.loads[1].pending = (uint32_t)script_number(rest, "pending", 1000);
+	in.loads[1].idle_ms = (uint32_t)script_number(rest, "idle", 30);
 	in.avoid[0] = (struct mesh_avoid){ 99, 20 };
 	in.limits[0] = (struct mesh_limit){ 98, 1300, 250, 3, 433333 };
 	in.members[1] = (struct mesh_member){ 8, 65535, true };
@@ -248,14 +249,14 @@
 		return;
 	}
 	g_string_append_printf(out,
-	    "%s %s life=%d placer=%d term=%d version=%d loads=%u key=%u "
-	    "reading=%u avoid=%u\n",
+	    "%s %s incarnation=%d placer=%d term=%d version=%d loads=%u "
+	    "id_hash=%u pending=%u avoid=%u\n",
 	    back.name, back.domain, (int)back.incarnation, back.self.placer,
 	    (int)back.self.term, (int)back.config_version, back.n_loads,
 	    back.loads[1].id_hash, back.loads[1].pending,
 	    back.avoid[0].id_hash);
 	g_string_append_printf(out,
-	    "kind=%d capacity=%u living=%u inflight=%u heard=%u avoid_age=%u "
+	    "kind=%d capacity=%u alive=%u inflight=%u idle=%u avoid_age=%u "
 	    "placer=%u/%d/%u/%d relay=%s:%u/%u members=%u last=%u/%u/%d "
 	    "limit=%u/%u/%u/%u/%u\n",
 	    (int)back.kind, back.capacity, back.n_alive, back.loads[1].inflight,
@@ -275,9 +276,9 @@
 	{ "engine", exec_engine },
 	{ "entry", exec_entry },
 	{ "request", exec_request },
-	{ "answer", exec_answer },
+	{ "response", exec_response },
 	{ "forward", exec_forward },
-	{ "news", exec_news },
+	{ "message", exec_message },
 	{ NULL, NULL },
 };
 
