--- a/src/edge-announce.c
+++ b/src/edge-announce.c
@@ -1,15 +1,15 @@
-/* Daemons find each other by records in the store. */
+/* The daemons' addresses in the store, by which they find each other. */
 #include <jansson.h>
 #include <string.h>
 
 #include "edge.h"
 #include "event-log.h"
 
-/* Between two reads of the daemons' records. A newcomer tells of itself, so
- * this matters only where its datagrams are lost. */
-#define DAEMONS_PAUSE_MS 60000
-/* After a failed append. */
-#define ANNOUNCE_AGAIN_MS 500
+/* Interval between two reads of the daemons' records. A new daemon sends
+ * datagrams to the others, so this matters only if those are lost. */
+#define DAEMONS_INTERVAL_MS 60000
+/* Pause after a failed append. */
+#define ANNOUNCE_RETRY_MS 500
 
 static void
 daemons_record(void *owner, const struct store_record *record)
@@ -36,7 +36,7 @@
 }
 
 static void
-daemons_whole(void *owner, GHashTable *seen)
+daemons_snapshot_done(void *owner, GHashTable *seen)
 {
 	struct edge *e = owner;
 
@@ -45,11 +45,11 @@
 
 static const struct topic_follower_ops daemons_ops = {
 	.record = daemons_record,
-	.snapshot_done = daemons_whole,
+	.snapshot_done = daemons_snapshot_done,
 };
 
 static void
-on_again(uv_timer_t *timer)
+on_announce_retry(uv_timer_t *timer)
 {
 	edge_announce(timer->data);
 }
@@ -63,37 +63,42 @@
 	if (e->draining_since_ms != 0)
 		return;
 	if (answer->result != STORE_OK && answer->result != STORE_UNKNOWN) {
-		uv_timer_start(&e->drain_timer, on_again, ANNOUNCE_AGAIN_MS, 0);
+		uv_timer_start(&e->drain_timer, on_announce_retry,
+		    ANNOUNCE_RETRY_MS, 0);
 		return;
 	}
 	e->announced = true;
 	event_log(LOG_INFO, "announced", "result=%s end=%llu",
 	    store_result_name(answer->result), (unsigned long long)answer->end);
-	/* Of two that start together at least the later writer reads the
-	 * other's record. One that a relay told of the others need not. */
+	/* If two daemons start together, at least the one that writes later
+	 * reads the other's record. A daemon that a relay has told of the
+	 * others need not read again. */
 	if (!mesh_relay_alive(mesh))
 		topic_follower_resync(&e->daemons);
 }
 
 /**
- * edge_find_daemons() - read the other daemons' addresses.
+ * edge_find_daemons() - start to read the other daemons' addresses.
  * @e: the daemon
  *
- * At once, not after the own address was written: where hundreds of daemons
- * come back together, their writes take half a second one after the other.
+ * The reading does not wait until this daemon's address is written: when
+ * hundreds of daemons restart together, their writes, one after the other, take
+ * half a second.
  */
 void
 edge_find_daemons(struct edge *e)
 {
 	topic_follower_init(&e->daemons, e->store, e->loop, TOPIC_DAEMONS,
 	    &daemons_ops, e);
-	e->daemons.interval_ms = DAEMONS_PAUSE_MS;
+	e->daemons.interval_ms = DAEMONS_INTERVAL_MS;
 	topic_follower_start(&e->daemons);
 }
 
 /**
- * edge_announce() - write this daemon's address.
+ * edge_announce() - write this daemon's address to the store.
  * @e: the daemon
+ *
+ * It is tried again until it succeeds or its outcome is unknown.
  */
 void
 edge_announce(struct edge *e)
@@ -118,5 +123,6 @@
 	g_array_append_val(records, record);
 	if (!e->store->ops->append(e->store, TOPIC_DAEMONS, records, -1,
 		on_announced, e))
-		uv_timer_start(&e->drain_timer, on_again, ANNOUNCE_AGAIN_MS, 0);
+		uv_timer_start(&e->drain_timer, on_announce_retry,
+		    ANNOUNCE_RETRY_MS, 0);
 }
--- a/src/edge-quarantine.c
+++ b/src/edge-quarantine.c
@@ -1,6 +1,7 @@
 /*
- * Records of quarantined work in the store, for daemons that all start anew.
- * They stand among the daemons' records, which each daemon reads at its start.
+ * Records of quarantined requests in the store, so that a quarantine survives a
+ * restart of all daemons. They are kept in the daemons' topic, which each
+ * daemon reads at its start.
  */
 #include <jansson.h>
 #include <string.h>
@@ -12,39 +13,41 @@
 
 #define KEY_PREFIX "quarantine/"
 #define KEY_FORMAT KEY_PREFIX "%016llx"
-/* After a failed append. */
-#define AGAIN_MS 1000
+/* Pause before a request's record is written again. */
+#define RECORD_RETRY_MS 1000
 
-/* An append on its way. */
+/* An append in flight. */
 struct quarantine_append {
 	struct edge *edge;
-	uint64_t work;
-	unsigned n_ends;
+	uint64_t fingerprint;
+	unsigned n_crashes;
 };
 
-/* Time of day in ms, the only clock that daemons of different hosts share. */
+/* Time of day in ms, the only clock that daemons on different hosts share. */
 static int64_t
-day_ms(void)
+wall_clock_ms(void)
 {
 	return (g_get_real_time() / G_TIME_SPAN_MILLISECOND);
 }
 
+/* Encodes the crashes under a request. */
 static json_t *
-ends_pack(const struct poison_request *w, uint64_t now_ms)
+crashes_pack(const struct poison_request *req, uint64_t now_ms)
 {
-	json_t *ends = json_array();
+	json_t *crashes = json_array();
 
-	for (unsigned i = 0; i < w->n_crashes; i++) {
-		const struct poison_crash *end = &w->crashes[i];
-		int64_t age = (int64_t)(now_ms - MIN(end->at_ms, now_ms));
+	for (unsigned i = 0; i < req->n_crashes; i++) {
+		const struct poison_crash *crash = &req->crashes[i];
+		int64_t age = (int64_t)(now_ms - MIN(crash->at_ms, now_ms));
 
-		json_array_append_new(ends,
+		json_array_append_new(crashes,
 		    json_pack("{s:I,s:I,s:I,s:b}", "key",
-			(json_int_t)end->id_hash, "started",
-			(json_int_t)end->started, "at",
-			(json_int_t)(day_ms() - age), "silent", end->silent));
+			(json_int_t)crash->id_hash, "started",
+			(json_int_t)crash->started, "at",
+			(json_int_t)(wall_clock_ms() - age), "silent",
+			crash->silent));
 	}
-	return (json_pack("{s:o}", "ends", ends));
+	return (json_pack("{s:o}", "ends", crashes));
 }
 
 static void
@@ -52,33 +55,35 @@
 {
 	g_autofree struct quarantine_append *append = arg;
 	struct edge *e = append->edge;
-	struct poison_request *w =
-	    poison_find(&e->registry.poison, append->work);
+	struct poison_request *req =
+	    poison_find(&e->registry.poison, append->fingerprint);
 	bool ok = answer->result == STORE_OK;
 
 	event_log(ok ? LOG_NOTICE : LOG_WARNING,
 	    ok ? "quarantine_recorded" : "quarantine_not_recorded",
-	    "work=%08x ends=%u result=%s", FINGERPRINT_SHORT(append->work),
-	    append->n_ends, store_result_name(answer->result));
-	if (w == NULL)
+	    "work=%08x ends=%u result=%s",
+	    FINGERPRINT_SHORT(append->fingerprint), append->n_crashes,
+	    store_result_name(answer->result));
+	if (req == NULL)
 		return;
-	w->record_again_ms = clock_loop_ms(e->loop) + AGAIN_MS;
-	w->recording = false;
+	req->record_again_ms = clock_loop_ms(e->loop) + RECORD_RETRY_MS;
+	req->recording = false;
 	if (ok)
-		w->recorded_crashes = append->n_ends;
+		req->recorded_crashes = append->n_crashes;
 }
 
-/* Writes the record of some work, or removes it. */
+/* Writes the record of a fingerprint; a NULL value removes it. */
 static void
-quarantine_write(struct edge *e, uint64_t work, json_t *value, store_fn *done,
-    void *arg)
+quarantine_append_record(struct edge *e, uint64_t fingerprint, json_t *value,
+    store_fn *done, void *arg)
 {
 	g_autoptr(GArray) records =
 	    g_array_new(FALSE, TRUE, sizeof(struct store_record));
 	struct store_record record = { 0 };
 
 	g_array_set_clear_func(records, store_record_clear);
-	record.key = g_strdup_printf(KEY_FORMAT, (unsigned long long)work);
+	record.key =
+	    g_strdup_printf(KEY_FORMAT, (unsigned long long)fingerprint);
 	if (value != NULL) {
 		char *text = json_dumps(value, JSON_COMPACT);
 
@@ -95,20 +100,21 @@
 	}
 }
 
-/* The daemon that saw the newest end writes. */
+/* Returns whether this daemon has to write the request's record: the one that
+ * observed the newest crash does. */
 static bool
-quarantine_due(const struct poison_request *w, uint64_t now_ms)
+quarantine_due(const struct poison_request *req, uint64_t now_ms)
 {
 	const struct poison_crash *newest = NULL;
 
-	for (unsigned i = 0; i < w->n_crashes; i++) {
-		if (newest == NULL || w->crashes[i].at_ms > newest->at_ms)
-			newest = &w->crashes[i];
+	for (unsigned i = 0; i < req->n_crashes; i++) {
+		if (newest == NULL || req->crashes[i].at_ms > newest->at_ms)
+			newest = &req->crashes[i];
 	}
-	return (w->quarantined && newest != NULL &&
-	    newest->origin == POISON_LOCAL && !w->recording &&
-	    w->recorded_crashes != w->n_crashes &&
-	    now_ms >= w->record_again_ms);
+	return (req->quarantined && newest != NULL &&
+	    newest->origin == POISON_LOCAL && !req->recording &&
+	    req->recorded_crashes != req->n_crashes &&
+	    now_ms >= req->record_again_ms);
 }
 
 static void
@@ -118,91 +124,100 @@
 	    store_result_name(answer->result));
 }
 
+/* Starts to write the record of a quarantined request. */
 static void
-quarantine_record(struct edge *e, struct poison_request *w, uint64_t now_ms)
+quarantine_record(struct edge *e, struct poison_request *req, uint64_t now_ms)
 {
 	struct quarantine_append *append = g_new(struct quarantine_append, 1);
-	json_auto_t *value = ends_pack(w, now_ms);
+	json_auto_t *value = crashes_pack(req, now_ms);
 
 	append->edge = e;
-	append->work = w->fingerprint;
-	append->n_ends = w->n_crashes;
-	w->recording = true;
-	quarantine_write(e, w->fingerprint, value, on_recorded, append);
+	append->fingerprint = req->fingerprint;
+	append->n_crashes = req->n_crashes;
+	req->recording = true;
+	quarantine_append_record(e, req->fingerprint, value, on_recorded,
+	    append);
 }
 
 /**
- * edge_quarantine_update() - write the records that are due, remove those of
- * work that was cleared.
+ * edge_quarantine_update() - bring the records in the store up to date.
  * @e: the daemon
+ *
+ * Writes the records that are due and removes those of cleared requests.
  */
 void
 edge_quarantine_update(struct edge *e)
 {
 	uint64_t now = clock_loop_ms(e->loop);
-	struct poison_request *w;
+	struct poison_request *req;
 
-	TAILQ_FOREACH(w, &e->registry.poison.requests, entry) {
-		if (quarantine_due(w, now))
-			quarantine_record(e, w, now);
-		if (w->n_crashes > 0 || w->recorded_crashes == 0)
+	TAILQ_FOREACH(req, &e->registry.poison.requests, entry) {
+		if (quarantine_due(req, now))
+			quarantine_record(e, req, now);
+		if (req->n_crashes > 0 || req->recorded_crashes == 0)
 			continue;
-		w->recorded_crashes = 0;
-		quarantine_write(e, w->fingerprint, NULL, on_removed, NULL);
+		req->recorded_crashes = 0;
+		quarantine_append_record(e, req->fingerprint, NULL, on_removed,
+		    NULL);
 	}
 }
 
-/* Takes in one end; false where it is too old or unreadable. */
+/* Adds a recorded crash; returns false if it is too old or malformed. */
 static bool
-end_take(struct edge *e, uint64_t work, const json_t *value)
+crash_apply(struct edge *e, uint64_t fingerprint, const json_t *value)
 {
 	uint64_t now = clock_loop_ms(e->loop);
 	json_int_t key, started, at;
-	struct poison_crash end = { .origin = POISON_REMOTE };
+	struct poison_crash crash = { .origin = POISON_REMOTE };
 	int64_t age;
 	int silent;
 
 	if (json_unpack((json_t *)value, "{s:I,s:I,s:I,s:b}", "key", &key,
 		"started", &started, "at", &at, "silent", &silent) != 0)
 		return (false);
-	age = MAX(day_ms() - at, 0);
+	age = MAX(wall_clock_ms() - at, 0);
 	if (age >= POISON_CRASH_TTL_MS)
 		return (false);
-	end.id_hash = (uint32_t)key;
-	end.started = (uint32_t)started;
-	end.at_ms = now - MIN((uint64_t)age, now - 1);
-	end.silent = silent != 0;
-	poison_add_crash(&e->registry.poison, work, &end, now);
+	crash.id_hash = (uint32_t)key;
+	crash.started = (uint32_t)started;
+	crash.at_ms = now - MIN((uint64_t)age, now - 1);
+	crash.silent = silent != 0;
+	poison_add_crash(&e->registry.poison, fingerprint, &crash, now);
 	return (true);
 }
 
 /**
- * edge_quarantine_apply() - take in a record of quarantined work.
+ * edge_quarantine_apply() - apply the record of a quarantined request.
  * @e: the daemon
  * @record: a record of the daemons' topic
  *
- * Return: false where it is of something else.
+ * A record none of whose crashes can be used is removed from the store.
+ *
+ * Return: whether the record is one of a quarantined request.
  */
 bool
 edge_quarantine_apply(struct edge *e, const struct store_record *record)
 {
 	json_auto_t *root = NULL;
-	const json_t *ends;
-	uint64_t work;
-	unsigned taken = 0;
+	const json_t *crashes;
+	uint64_t fingerprint;
+	unsigned applied = 0;
 
 	if (!g_str_has_prefix(record->key, KEY_PREFIX))
 		return (false);
 	if (record->value == NULL)
 		return (true);
-	work = g_ascii_strtoull(record->key + strlen(KEY_PREFIX), NULL, 16);
+	fingerprint =
+	    g_ascii_strtoull(record->key + strlen(KEY_PREFIX), NULL, 16);
 	root = json_loadb((const char *)record->value, record->length, 0, NULL);
-	ends = json_object_get(root, "ends");
-	for (size_t i = 0; i < json_array_size(ends); i++)
-		taken += end_take(e, work, json_array_get(ends, i));
+	crashes = json_object_get(root, "ends");
+	for (size_t i = 0; i < json_array_size(crashes); i++)
+		applied +=
+		    crash_apply(e, fingerprint, json_array_get(crashes, i));
 	event_log(LOG_INFO, "quarantine_read", "work=%08x ends=%u",
-	    FINGERPRINT_SHORT(work), taken);
-	if (taken == 0)
-		quarantine_write(e, work, NULL, on_removed, NULL);
+	    FINGERPRINT_SHORT(fingerprint), applied);
+	if (applied == 0)
+		quarantine_append_record(e, fingerprint, NULL, on_removed,
+		    NULL);
 	return (true);
 }
--- a/src/edge-setting.c
+++ b/src/edge-setting.c
@@ -15,60 +15,66 @@
 	{ "domain", SETTING_NAME, AT(domain), NULL, 0, 0, "name",
 	    "failure domain of this host" },
 	{ "caller-address", SETTING_ADDRESS, AT(caller_address),
-	    "127.0.0.1:8080", 0, 0, "ip:port", "where callers connect" },
+	    "127.0.0.1:8080", 0, 0, "ip:port", "where clients connect" },
 	{ "ready-address", SETTING_ADDRESS, AT(ready_address), "127.0.0.1:8083",
-	    0, 0, "ip:port", "where readiness is asked" },
+	    0, 0, "ip:port", "where readiness checks are served" },
 	{ "metrics-address", SETTING_ADDRESS, AT(metrics_address),
 	    "127.0.0.1:9464", 0, 0, "ip:port", "where metrics are served" },
 	{ "peer-address", SETTING_ADDRESS, AT(peer_address), "127.0.0.1:8084",
-	    0, 0, "ip:port", "where other daemons send their news, UDP" },
+	    0, 0, "ip:port", "where other daemons connect, UDP and TCP" },
 	{ "store-address", SETTING_ADDRESS, AT(store_address), "127.0.0.1:8090",
 	    0, 0, "ip:port", "the platform's store" },
 	{ "source-ip", SETTING_IP, AT(source_ip), "0.0.0.0", 0, 0, "ip",
-	    "own address of connections to endpoints, which may tell daemons "
-	    "apart by it; 0.0.0.0: the system's choice" },
+	    "source address of connections to endpoints, which may tell "
+	    "daemons apart by it; 0.0.0.0: chosen by the system" },
 	{ "log-level", SETTING_LEVEL, AT(log_level), "info", 0, 0, "level",
 	    "emerg, alert, crit, err, warning, notice, info or debug" },
 	{ "key-proof-ms", SETTING_MILLIS, AT(key_proof_ms), "5000", 500, 600000,
-	    "ms", "a key that was taken away opens nothing after this" },
+	    "ms", "a revoked key is refused after this" },
 	{ "keys-fail-closed", SETTING_BOOL, AT(keys_fail_closed), "true", 0, 0,
 	    "true or false",
 	    "refuse known keys while the configuration can't be proved to be "
 	    "the newest within key-proof-ms" },
 	{ "apply-ms", SETTING_MILLIS, AT(apply_ms), "2000", 100, 600000, "ms",
-	    "a configuration is in force within this" },
+	    "a new configuration is in force within this" },
 	{ "drain-ms", SETTING_MILLIS, AT(drain_ms), "2000", 100, 600000, "ms",
-	    "a leaving endpoint gets nothing new after this" },
+	    "a draining endpoint gets no new requests after this" },
 	{ "grace-s", SETTING_REAL, AT(grace_s), "8", 1, 3600, "s",
 	    "time from SIGTERM to SIGKILL" },
 	{ "rest-most-ms", SETTING_MILLIS, AT(rest_most_ms), "300000", 1000,
 	    3600000, "ms",
-	    "an endpoint that asks for rest is left alone for no longer" },
+	    "a backoff that an endpoint asks for lasts no longer" },
 	{ "stall-ms", SETTING_MILLIS, AT(stall_ms), "5000", 100, 600000, "ms",
-	    "a replica that stands still is broken after this" },
+	    "the platform breaks a stalled replica after this" },
 	{ "retry-ratio", SETTING_REAL, AT(retry_ratio), "0.2", 0, 100, "number",
-	    "repeats for each request, over all daemons" },
+	    "retries per request, over all daemons" },
 	{ "retry-window-s", SETTING_REAL, AT(retry_window_s), "10", 1, 3600,
-	    "s", "span in which repeats are counted" },
+	    "s", "window in which retries are counted" },
 	{ "retry-slack", SETTING_REAL, AT(retry_slack), "100", 0, 1000000,
-	    "count", "repeats beyond the ratio, over all daemons" },
+	    "count", "retries beyond the ratio, over all daemons" },
 	{ "released-works", SETTING_STRING, AT(released_works), "", 0, 0,
-	    "list", "work, as log lines name it, that is never quarantined" },
+	    "list",
+	    "requests, as log field work names them, that are never "
+	    "quarantined" },
 	{ "refused-works", SETTING_STRING, AT(refused_works), "", 0, 0, "list",
-	    "work, as log lines name it, that is refused" },
+	    "requests, as log field work names them, that are refused" },
 	{ "cpu-share", SETTING_REAL, AT(cpu_share), "1", 0, 1000, "share",
-	    "part of a core that this daemon has" },
+	    "share of a core that this daemon has" },
 	{ "cores", SETTING_REAL, AT(cores), "1", 0, 1000, "number",
-	    "speed of that core, in usual ones" },
+	    "speed of that core, relative to a usual one" },
 	{ NULL, 0, 0, NULL, 0, 0, NULL, NULL },
 };
 
 /**
- * edge_setting_parse() - read flags, environment, the file, then defaults.
+ * edge_setting_parse() - read settings from flags, environment, file, defaults.
  * @set: filled in; free with edge_setting_free()
- * @argc: count of arguments
+ * @argc: number of arguments
  * @argv: the arguments
  * @error: ERROR_BAD_SETTING with the setting and its allowed range
+ *
+ * A flag takes precedence over the environment, that over the settings file.
+ *
+ * Return: whether the settings are valid.
  */
 bool
 edge_setting_parse(struct edge_settings *set, int argc, const char **argv,
@@ -82,7 +88,7 @@
 }
 
 /**
- * edge_setting_free() - free what edge_setting_parse() made.
+ * edge_setting_free() - free the strings of settings.
  * @set: the settings
  */
 void
--- a/src/edge-setting.h
+++ b/src/edge-setting.h
@@ -5,8 +5,10 @@
 #include "setting-table.h"
 
 /**
- * struct edge_settings - the checked settings; see the table in
- * edge-setting.c for units, ranges and defaults.
+ * struct edge_settings - the checked settings.
+ *
+ * Each field is a setting of the same name; see the table in edge-setting.c for
+ * meanings, units, ranges and defaults.
  */
 struct edge_settings {
 	char *config;
--- a/src/edge-status.c
+++ b/src/edge-status.c
@@ -5,11 +5,12 @@
 #include "edge.h"
 
 /**
- * edge_is_ready() - whether callers should be sent here.
+ * edge_is_ready() - whether clients should be sent here.
  * @e: the daemon
  *
- * It needs a configuration, the endpoints, and, where callers have keys that
- * fail closed, a proof that lets them be served.
+ * A daemon is ready if it is not draining and has a configuration and the
+ * endpoints. If clients need keys that fail closed, the configuration must also
+ * be known to have been the newest within key_proof_ms.
  */
 bool
 edge_is_ready(struct edge *e)
@@ -25,10 +26,12 @@
 }
 
 /**
- * edge_serve_ready() - answer the balancer.
+ * edge_serve_ready() - answer the load balancer's readiness check.
  * @arg: the struct edge
- * @path: asked for
+ * @path: the path, which does not matter
  * @body: filled in
+ *
+ * Return: the HTTP status, 200 or 503.
  */
 unsigned
 edge_serve_ready(void *arg, const char *path, GString *body)
@@ -46,27 +49,29 @@
 	g_string_append_printf(out, "banklift_%s %.10g\n", name, value);
 }
 
-/* Replicas that serve and that change, as this daemon sees them. */
+/* Prints the numbers of endpoints and of their states, as far as this daemon
+ * knows them. */
 static void
 print_fleet(struct edge *e, GString *out)
 {
-	unsigned endpoints = 0, open = 0, resting = 0;
+	unsigned endpoints = 0, open = 0, cooling_down = 0;
 	uint64_t now = clock_loop_ms(e->loop), opened = 0;
 	const struct endpoint *ep;
 
 	TAILQ_FOREACH(ep, &e->registry.fleet.endpoints, entry) {
 		endpoints += !ep->gone;
 		open += !ep->gone && ep->report.state == GROUP_OPEN;
-		resting += !ep->gone && now < ep->cooldown_until_ms;
+		cooling_down += !ep->gone && now < ep->cooldown_until_ms;
 		opened += ep->pool.n_opened;
 	}
 	print_value(out, "endpoints", endpoints);
 	print_value(out, "groups_open", open);
-	print_value(out, "endpoints_resting", resting);
+	print_value(out, "endpoints_resting", cooling_down);
 	print_value(out, "endpoint_connections_opened", (double)opened);
 }
 
-/* Downtime and stranded hosts, at the daemon that places. */
+/* Prints downtime and stranded hosts of services, if this daemon is the
+ * placer. */
 static void
 print_placement(struct edge *e, GString *out)
 {
@@ -81,10 +86,12 @@
 }
 
 /**
- * edge_serve_metrics() - all counters and histograms.
+ * edge_serve_metrics() - print all metrics.
  * @arg: the struct edge
- * @path: asked for
+ * @path: the path, which does not matter
  * @body: filled in
+ *
+ * Return: the HTTP status, always 200.
  */
 unsigned
 edge_serve_metrics(void *arg, const char *path, GString *body)
--- a/src/edge.c
+++ b/src/edge.c
@@ -1,4 +1,4 @@
-/* The daemon before the users' endpoints: all parts on one event loop. */
+/* banklift-edge: the proxy, the mesh and the placer on one event loop. */
 #include <stdio.h>
 #include <string.h>
 #include <sys/stat.h>
@@ -10,53 +10,57 @@
 #include "event-log.h"
 
 #define EXIT_BAD_SETTING 2
-/* How often lines are written out and lapsed things looked at. */
-#define SECOND_MS 250
-/* Looks between two looks at the settings file. */
-#define FILE_LOOKS 8
-/* Looks between two lines of counters. */
-#define COUNTER_LOOKS 40
-/* A call to the store; slow stores answer in some hundred ms. */
+/* Interval of the periodic work, such as writing the log and expiring state. */
+#define TICK_MS 250
+/* Ticks between two checks of the settings file. */
+#define FILE_CHECK_TICKS 8
+/* Ticks between two log lines with counters. */
+#define COUNTER_LOG_TICKS 40
+/* Bound on a call to the store; slow stores respond within some hundred ms. */
 #define STORE_TIMEOUT_MS 1200
-/* Kept back from the bound on keys: a proof is used this much shorter. */
-#define KEY_MARGIN_MS 500
-/* The configuration is read this often within the bound on keys, so that a
- * proof that came by way of others is still young. */
-#define CONFIG_READS 10
-/* Parts of the bound within which a configuration is in force after which the
- * first daemon that hears of none reads itself, and the last; the rest is for
- * the reading, and for telling the others of it. A word of a daemon that has
- * nothing to report is up to 1.1 s old. */
-#define CONFIG_LEAST 0.6
-#define CONFIG_MOST 0.8
-/* Endpoints are read this often within the bound on leaving ones. */
-#define ENDPOINT_READS 4
-/* The same parts of that bound: two reads that were missed, and the last. */
-#define ENDPOINT_LEAST 0.5
-#define ENDPOINT_MOST 0.7
-/* At its start a daemon waits this long for a relay before it reads the store,
- * and this long for one that has nothing to tell yet: that reads it first. */
-#define HOLD_MS 1500
-#define HOLD_LED_MS 4000
-#define HOLD_LOOK_MS 20
-/* Up to so many daemons read the store for themselves at their start where
- * callers come already. With four hosts a daemon and 350 bytes an entry that is
- * 23 MB, 0.3 s of what the store gives; with 295 daemons it was 1.5 s. */
-#define HOLD_DAEMONS_MOST 128
-/* A balancer that asks each second and drops after two misses has moved on
- * by then. */
-#define LEAVE_ACCEPT_MS 3000
-#define LEAVE_LOOK_MS 50
-/* Kept back from the grace time. */
-#define LEAVE_MARGIN_MS 700
-
-/* Capacities of daemons are compared in thousandths of a core. */
-#define CAPACITY_UNIT 1000
-
-static const int signal_numbers[] = { SIGTERM, SIGINT, SIGHUP };
+/* Subtracted from key-proof-ms: a proof that the configuration is the newest is
+ * used this much shorter. */
+#define KEY_PROOF_MARGIN_MS 500
+/* Reads of the configuration within key-proof-ms, so that a proof is still
+ * young when it arrives by way of other daemons. */
+#define CONFIG_READS_PER_BOUND 10
+/* Fractions of apply-ms after which the first and the last daemon that hear
+ * nothing of the configuration read the store themselves. The rest of the time
+ * is for that read and for sending its result to the others. What a daemon that
+ * has nothing to report sends is up to 1.1 s old. */
+#define CONFIG_FALLBACK_MIN 0.6
+#define CONFIG_FALLBACK_MAX 0.8
+/* Reads of the endpoints' entries within drain-ms. */
+#define ENDPOINT_READS_PER_BOUND 4
+/* The same fractions of drain-ms; the first is the time of two missed reads. */
+#define ENDPOINT_FALLBACK_MIN 0.5
+#define ENDPOINT_FALLBACK_MAX 0.7
+/* At its start a daemon waits this long for a relay, and this long for data
+ * from a relay that is alive but has none yet, since that one reads the store
+ * first. Then the daemon reads the store itself. */
+#define STARTUP_RELAY_WAIT_MS 1500
+#define STARTUP_DATA_WAIT_MS 4000
+#define STARTUP_POLL_MS 20
+/* With fewer known peers than this a daemon that has clients already reads the
+ * store itself at its start. With four hosts per daemon and 350 bytes per entry
+ * all daemons together then read 23 MB, which takes the store 0.3 s; with 295
+ * daemons it took 1.5 s. */
+#define STARTUP_READ_PEERS_MAX 128
+/* How long new connections are accepted while draining. A load balancer that
+ * checks readiness every second and removes a daemon after two failures sends
+ * no more clients by then. */
+#define DRAIN_ACCEPT_MS 3000
+#define DRAIN_POLL_MS 50
+/* Part of the grace time that is left for closing connections and exiting. */
+#define DRAIN_MARGIN_MS 700
+
+/* Capacities of daemons are given in thousandths of a core. */
+#define CAPACITY_PER_CORE 1000
+
+static const int handled_signals[] = { SIGTERM, SIGINT, SIGHUP };
 
 static bool
-address_of(const char *text, struct sockaddr_in *addr)
+parse_address(const char *text, struct sockaddr_in *addr)
 {
 	g_autofree char *ip = NULL;
 	uint16_t port;
@@ -65,9 +69,9 @@
 	    uv_ip4_addr(ip, port, addr) == 0);
 }
 
-/* When a file last changed; 0 where it can't be read. */
+/* Returns the modification time of a file; 0 if it can't be read. */
 static uint64_t
-file_changed_ns(const char *path)
+file_mtime_ns(const char *path)
 {
 	struct stat st;
 
@@ -78,7 +82,7 @@
 }
 
 /**
- * edge_apply_settings() - put the settings that may change into force.
+ * edge_apply_settings() - pass the reloadable settings on to the parts.
  * @e: the daemon
  */
 void
@@ -88,8 +92,9 @@
 
 	event_log_open("banklift-edge", event_log_level(e->set.log_level));
 	set->domain = e->set.domain;
-	set->key_proof_ms = (uint64_t)MAX(e->set.key_proof_ms - KEY_MARGIN_MS,
-	    e->set.key_proof_ms / 2);
+	set->key_proof_ms =
+	    (uint64_t)MAX(e->set.key_proof_ms - KEY_PROOF_MARGIN_MS,
+		e->set.key_proof_ms / 2);
 	set->keys_fail_closed = e->set.keys_fail_closed;
 	set->rest_most_ms = (uint64_t)e->set.rest_most_ms;
 	set->deny_proof_ms = (uint64_t)e->set.apply_ms;
@@ -102,9 +107,11 @@
 }
 
 /**
- * edge_reload() - read the settings again.
+ * edge_reload() - read the settings again and apply them.
  * @e: the daemon
- * @reason: for the log
+ * @reason: why, for the log
+ *
+ * If they are invalid, the settings in force stay.
  */
 void
 edge_reload(struct edge *e, const char *reason)
@@ -118,7 +125,7 @@
 		edge_setting_free(&next);
 		return;
 	}
-	/* What the sockets and peers were made with stays until a restart. */
+	/* The settings of sockets and of the mesh only change at a restart. */
 	e->set.key_proof_ms = next.key_proof_ms;
 	e->set.keys_fail_closed = next.keys_fail_closed;
 	e->set.apply_ms = next.apply_ms;
@@ -140,7 +147,7 @@
 	event_log(LOG_NOTICE, "reloaded", "why=%s", reason);
 }
 
-/* Ends the loop; what still runs ends with the process. */
+/* Stops the event loop; what still runs ends with the process. */
 static void
 edge_stop(struct edge *e, const char *reason)
 {
@@ -151,13 +158,13 @@
 }
 
 static void
-on_leave(uv_timer_t *timer)
+on_drain_timer(uv_timer_t *timer)
 {
 	struct edge *e = timer->data;
 	uint64_t since = clock_loop_ms(e->loop) - e->draining_since_ms;
 	uint64_t grace = (uint64_t)(e->set.grace_s * 1000);
 
-	if (since >= LEAVE_ACCEPT_MS) {
+	if (since >= DRAIN_ACCEPT_MS) {
 		fwd_stop_listening(&e->fwd);
 		fwd_close_conns(&e->fwd, false);
 		if (e->fwd.n_exchanges == 0 && fwd_conns_drained(&e->fwd)) {
@@ -165,15 +172,19 @@
 			return;
 		}
 	}
-	if (since + LEAVE_MARGIN_MS >= grace) {
+	if (since + DRAIN_MARGIN_MS >= grace) {
 		fwd_close_conns(&e->fwd, true);
 		edge_stop(e, "grace_over");
 	}
 }
 
 /**
- * edge_drain() - end gracefully: be taken out of rotation, then finish.
+ * edge_drain() - start a graceful shutdown.
  * @e: the daemon
+ *
+ * The daemon is no longer ready but accepts connections until the load balancer
+ * has taken it out of rotation. It exits when all exchanges have ended, or
+ * shortly before the grace time is over.
  */
 void
 edge_drain(struct edge *e)
@@ -186,7 +197,8 @@
 	e->mesh.self.leaving = true;
 	mesh_send_now(&e->mesh);
 	fwd_drain(&e->fwd);
-	uv_timer_start(&e->drain_timer, on_leave, LEAVE_LOOK_MS, LEAVE_LOOK_MS);
+	uv_timer_start(&e->drain_timer, on_drain_timer, DRAIN_POLL_MS,
+	    DRAIN_POLL_MS);
 }
 
 static void
@@ -201,46 +213,50 @@
 }
 
 /*
- * One daemon reads the store for all that hear it: the placer, since it needs
- * what it reads first, or the first one that reaches the store. In a cut each
- * side has its own.
+ * Decides whether this daemon is the reader, which reads the store for all
+ * daemons that hear it: the placer, since it needs the entries first, or else
+ * the highest-ranking daemon that reaches the store. In a network partition
+ * each side has its own reader.
  */
 static void
 edge_choose_reader(struct edge *e)
 {
-	bool places = e->placer.state == PLACER_HOLDING;
-	bool reader = places ||
+	bool is_placer = e->placer.state == PLACER_HOLDING;
+	bool reader = is_placer ||
 	    (!mesh_placer_heard(&e->mesh) && mesh_is_reader(&e->mesh));
 
 	topic_follower_set_reader(&e->registry.config, reader);
-	/* One that takes the lease reads all entries for itself first. */
+	/* Before a daemon takes the lease it reads all entries itself. */
 	topic_follower_set_reader(&e->registry.endpoints,
 	    reader || e->placer.preparing || e->placer.state != PLACER_IDLE);
 }
 
-/* A part of a bound of the settings, in milliseconds. */
+/* Returns a fraction of a setting in milliseconds. */
 static unsigned
-part_ms(int64_t bound_ms, double part)
+fraction_ms(int64_t bound_ms, double part)
 {
 	return ((unsigned)((double)bound_ms * part));
 }
 
-/* Sets how old others' news may get before this daemon reads for itself. */
+/* Sets how old updates from peers may get before this daemon reads the store
+ * itself. */
 static void
-edge_choose_patience(struct edge *e)
+edge_update_fallback(struct edge *e)
 {
 	const struct mesh *mesh = &e->mesh;
 	const struct edge_settings *set = &e->set;
 
 	registry_set_fallback(&e->registry,
-	    mesh_stale_after_ms(mesh, part_ms(set->apply_ms, CONFIG_LEAST),
-		part_ms(set->apply_ms, CONFIG_MOST)),
-	    mesh_stale_after_ms(mesh, part_ms(set->drain_ms, ENDPOINT_LEAST),
-		part_ms(set->drain_ms, ENDPOINT_MOST)),
+	    mesh_stale_after_ms(mesh,
+		fraction_ms(set->apply_ms, CONFIG_FALLBACK_MIN),
+		fraction_ms(set->apply_ms, CONFIG_FALLBACK_MAX)),
+	    mesh_stale_after_ms(mesh,
+		fraction_ms(set->drain_ms, ENDPOINT_FALLBACK_MIN),
+		fraction_ms(set->drain_ms, ENDPOINT_FALLBACK_MAX)),
 	    mesh_relay_alive(mesh));
 }
 
-/* One line now and then with what was counted, for those with logs only. */
+/* Logs the main counters, for operators who have logs but no metrics. */
 static void
 edge_log_counters(struct edge *e)
 {
@@ -266,51 +282,56 @@
 	    (unsigned long long)e->store->failures);
 }
 
-/* Whether callers come to this daemon, which may know the others by now. */
+/* Returns whether this daemon has had requests and has read the records of the
+ * other daemons. */
 static bool
-callers_come(const struct edge *e)
+has_clients(const struct edge *e)
 {
 	return (e->fwd.stats.counts[COUNT_REQUESTS] > 0 &&
 	    e->mesh.records_read_ms != 0);
 }
 
 /*
- * Begins to read the store, where nobody else tells what it holds: at a relay,
- * or where none tells it in time. 295 daemons that each read all entries keep
- * the store busy for 1.5 s, and make a thousand calls more.
+ * Starts to read the store unless another daemon sends its contents: a relay
+ * reads at once, any other daemon if nothing arrives in time. 295 daemons that
+ * each read all entries keep the store busy for 1.5 s and make a thousand more
+ * calls.
  */
 static void
-on_hold(uv_timer_t *timer)
+on_startup_timer(uv_timer_t *timer)
 {
 	struct edge *e = timer->data;
 	const struct mesh *mesh = &e->mesh;
 	uint64_t since = clock_loop_ms(e->loop) - mesh->opened_ms;
-	/* Where nobody else is known, others may be about to announce. */
-	bool own = mesh->records_read_ms != 0 && mesh->relay == NULL &&
+	/* A daemon that knows no other waits until it is announced itself, as
+	 * others may be about to announce themselves. */
+	bool read_now = mesh->records_read_ms != 0 && mesh->relay == NULL &&
 	    (mesh->n_peers > 0 || e->announced);
 
 	if (e->registry.endpoints.synced && e->registry.catalog != NULL) {
 		uv_timer_stop(timer);
-		/* Those that report here wait for it. */
+		/* Daemons that report to this one wait for the data. */
 		mesh_send_now(&e->mesh);
 		return;
 	}
-	/* After all were killed at once, waiting for a relay took a second, and
-	 * reading takes 0.1 s. */
-	if (callers_come(e)) {
+	/* After all daemons were killed at once, waiting for a relay took 1 s,
+	 * while reading takes 0.1 s. */
+	if (has_clients(e)) {
 		topic_follower_release(&e->registry.config);
-		own = own || mesh->n_peers < HOLD_DAEMONS_MOST;
+		read_now = read_now || mesh->n_peers < STARTUP_READ_PEERS_MAX;
 	}
-	if (own || since >= (mesh_relay_alive(mesh) ? HOLD_LED_MS : HOLD_MS))
+	if (read_now ||
+	    since >= (mesh_relay_alive(mesh) ? STARTUP_DATA_WAIT_MS :
+					       STARTUP_RELAY_WAIT_MS))
 		registry_release(&e->registry);
 }
 
-/* Looks at what has no timer of its own. */
+/* Does the periodic work that has no timer of its own. */
 static void
-on_second(uv_timer_t *timer)
+on_tick(uv_timer_t *timer)
 {
 	struct edge *e = timer->data;
-	static unsigned looks;
+	static unsigned ticks;
 	bool ready = edge_is_ready(e);
 	uint64_t changed;
 
@@ -325,17 +346,17 @@
 	    fwd_daemon_peak_update(&e->daemon_peak, 1 + e->mesh.n_others,
 		e->fwd.set.retry.window_ms, clock_loop_ms(e->loop));
 	edge_choose_reader(e);
-	edge_choose_patience(e);
+	edge_update_fallback(e);
 	e->mesh.self.serving = e->fwd.stats.counts[COUNT_REQUESTS] > 0;
 	registry_sweep(&e->registry, clock_loop_ms(e->loop));
 	fwd_poison_sweep(&e->fwd);
 	edge_quarantine_update(e);
 	event_log_flush();
-	if (++looks % COUNTER_LOOKS == 0)
+	if (++ticks % COUNTER_LOG_TICKS == 0)
 		edge_log_counters(e);
-	if (looks % FILE_LOOKS != 0)
+	if (ticks % FILE_CHECK_TICKS != 0)
 		return;
-	changed = file_changed_ns(e->set.config);
+	changed = file_mtime_ns(e->set.config);
 	if (changed != 0 && changed != e->file_changed_ns) {
 		e->file_changed_ns = changed;
 		edge_reload(e, "file_changed");
@@ -343,13 +364,14 @@
 }
 
 static void
-on_dir_changed(void *arg)
+on_registry_changed(void *arg)
 {
 	struct edge *e = arg;
 	int64_t version =
 	    e->registry.catalog != NULL ? e->registry.catalog->version : -1;
 
-	/* A new configuration is worth a word before the next round. */
+	/* The other daemons are sent a new configuration at once, not with the
+	 * next round, unless this daemon's relay has it already. */
 	if (version != e->notified_version && e->mesh.loop != NULL &&
 	    (e->mesh.relay == NULL || e->mesh.relay->config_version < version))
 		mesh_send_now(&e->mesh);
@@ -360,7 +382,7 @@
 }
 
 static void
-on_suspect(void *arg, struct endpoint *ep)
+on_silent(void *arg, struct endpoint *ep)
 {
 	struct edge *e = arg;
 
@@ -369,7 +391,7 @@
 }
 
 static void
-on_limited(void *arg, struct endpoint *ep)
+on_limit(void *arg, struct endpoint *ep)
 {
 	struct edge *e = arg;
 
@@ -384,7 +406,7 @@
 	placer_suspect(&e->placer, ep);
 }
 
-/* No other daemon could tell which entries changed: read the store. */
+/* Entries are missing that no other daemon could send: reads the store. */
 static void
 on_missed(void *arg)
 {
@@ -401,53 +423,54 @@
 	mesh_send_entries(&e->mesh, from, end, records);
 }
 
-/* Opens one listener, with a typed error. */
+/* Returns whether a listener was opened; sets the error if it was not. */
 static bool
-opened(int rc, const char *what, const char *address, GError **error)
+check_opened(int rc, const char *setting, const char *address, GError **error)
 {
 	if (rc == 0)
 		return (true);
-	error_set(error, ERROR_BAD_SETTING, "%s %s: %s", what, address,
+	error_set(error, ERROR_BAD_SETTING, "%s %s: %s", setting, address,
 	    uv_strerror(rc));
 	return (false);
 }
 
-/* Timers and signals. */
+/* Starts the timers and the signal handlers. */
 static void
 edge_start_timers(struct edge *e)
 {
 	uv_timer_init(e->loop, &e->tick_timer);
 	uv_timer_init(e->loop, &e->startup_timer);
 	e->startup_timer.data = e;
-	uv_timer_start(&e->startup_timer, on_hold, HOLD_LOOK_MS, HOLD_LOOK_MS);
+	uv_timer_start(&e->startup_timer, on_startup_timer, STARTUP_POLL_MS,
+	    STARTUP_POLL_MS);
 	uv_timer_init(e->loop, &e->drain_timer);
 	e->tick_timer.data = e;
 	e->drain_timer.data = e;
-	uv_timer_start(&e->tick_timer, on_second, SECOND_MS, SECOND_MS);
-	for (size_t i = 0; i < G_N_ELEMENTS(signal_numbers); i++) {
+	uv_timer_start(&e->tick_timer, on_tick, TICK_MS, TICK_MS);
+	for (size_t i = 0; i < G_N_ELEMENTS(handled_signals); i++) {
 		uv_signal_init(e->loop, &e->signals[i]);
 		e->signals[i].data = e;
-		uv_signal_start(&e->signals[i], on_signal, signal_numbers[i]);
+		uv_signal_start(&e->signals[i], on_signal, handled_signals[i]);
 	}
 }
 
-/* Connects the parts to each other. */
+/* Connects the parts of the daemon to each other. */
 static void
-edge_join_parts(struct edge *e)
+edge_connect_parts(struct edge *e)
 {
-	e->registry.changed = on_dir_changed;
+	e->registry.changed = on_registry_changed;
 	e->registry.changed_arg = e;
 	e->fwd.wire = e->platform->wire;
 	e->fwd.registry = &e->registry;
-	e->fwd.on_silent = on_suspect;
+	e->fwd.on_silent = on_silent;
 	e->fwd.on_silent_arg = e;
-	e->fwd.on_limit = on_limited;
+	e->fwd.on_limit = on_limit;
 	e->fwd.on_limit_arg = e;
 	e->mesh.registry = &e->registry;
 	e->mesh.name = e->set.name;
 	e->mesh.domain = e->set.domain;
 	e->mesh.capacity =
-	    (uint32_t)(e->set.cpu_share * e->set.cores * CAPACITY_UNIT);
+	    (uint32_t)(e->set.cpu_share * e->set.cores * CAPACITY_PER_CORE);
 	e->mesh.missed = on_missed;
 	e->mesh.missed_arg = e;
 	e->mesh.avoided = on_avoided;
@@ -462,43 +485,45 @@
 }
 
 /**
- * edge_open() - open all listeners and begin to follow the store.
+ * edge_open() - open all listeners and start to follow the store.
  * @e: the daemon; loop, platform and set are filled in
- * @error: set where a listener can't be opened
+ * @error: ERROR_BAD_SETTING if a listener can't be opened
+ *
+ * Return: whether all listeners were opened.
  */
 bool
 edge_open(struct edge *e, GError **error)
 {
-	struct sockaddr_in store, caller, ready, metrics, peer;
+	struct sockaddr_in store, client, ready, metrics, peer;
 
-	address_of(e->set.store_address, &store);
-	address_of(e->set.caller_address, &caller);
-	address_of(e->set.ready_address, &ready);
-	address_of(e->set.metrics_address, &metrics);
-	address_of(e->set.peer_address, &peer);
+	parse_address(e->set.store_address, &store);
+	parse_address(e->set.caller_address, &client);
+	parse_address(e->set.ready_address, &ready);
+	parse_address(e->set.metrics_address, &metrics);
+	parse_address(e->set.peer_address, &peer);
 	e->store = e->platform->store_open(e->loop, &store, STORE_TIMEOUT_MS);
 	registry_init(&e->registry, e->loop, e->store, e->platform->decoders);
 	uv_ip4_addr(e->set.source_ip, 0, &e->registry.fleet.source);
-	edge_join_parts(e);
+	edge_connect_parts(e);
 	edge_start_timers(e);
-	if (!opened(fwd_open(&e->fwd, e->loop, &caller), "--caller-address",
-		e->set.caller_address, error) ||
-	    !opened(status_server_open(&e->ready, e->loop, &ready,
-			edge_serve_ready, e),
+	if (!check_opened(fwd_open(&e->fwd, e->loop, &client),
+		"--caller-address", e->set.caller_address, error) ||
+	    !check_opened(status_server_open(&e->ready, e->loop, &ready,
+			      edge_serve_ready, e),
 		"--ready-address", e->set.ready_address, error) ||
-	    !opened(status_server_open(&e->metrics, e->loop, &metrics,
-			edge_serve_metrics, e),
+	    !check_opened(status_server_open(&e->metrics, e->loop, &metrics,
+			      edge_serve_metrics, e),
 		"--metrics-address", e->set.metrics_address, error) ||
-	    !opened(status_server_open(&e->peers, e->loop, &peer, mesh_serve,
-			&e->mesh),
+	    !check_opened(status_server_open(&e->peers, e->loop, &peer,
+			      mesh_serve, &e->mesh),
 		"--peer-address", e->set.peer_address, error) ||
-	    !opened(mesh_open(&e->mesh, e->loop, &peer), "--peer-address",
+	    !check_opened(mesh_open(&e->mesh, e->loop, &peer), "--peer-address",
 		e->set.peer_address, error))
 		return (false);
 	registry_configure(&e->registry,
-	    (unsigned)(e->set.key_proof_ms / CONFIG_READS),
-	    (unsigned)(e->set.drain_ms / ENDPOINT_READS));
-	edge_choose_patience(e);
+	    (unsigned)(e->set.key_proof_ms / CONFIG_READS_PER_BOUND),
+	    (unsigned)(e->set.drain_ms / ENDPOINT_READS_PER_BOUND));
+	edge_update_fallback(e);
 	edge_apply_settings(e);
 	placer_start(&e->placer, e->loop);
 	edge_find_daemons(e);
@@ -508,8 +533,8 @@
 
 /**
  * edge_main() - run the daemon on a platform.
- * @platform: the adapter
- * @argc: count of arguments
+ * @platform: the adapter to the platform
+ * @argc: number of arguments
  * @argv: the arguments
  *
  * Return: the exit status.
@@ -531,7 +556,7 @@
 	e->argv = argv;
 	e->platform = platform;
 	e->loop = uv_default_loop();
-	e->file_changed_ns = file_changed_ns(e->set.config);
+	e->file_changed_ns = file_mtime_ns(e->set.config);
 	event_log_open("banklift-edge", event_log_level(e->set.log_level));
 	event_log_buffer(STDOUT_FILENO);
 	signal(SIGPIPE, SIG_IGN);
--- a/src/edge.h
+++ b/src/edge.h
@@ -1,4 +1,4 @@
-/* The daemon before the users' endpoints: all parts on one event loop. */
+/* banklift-edge: the proxy, the mesh and the placer on one event loop. */
 #ifndef BL_EDGE_H
 #define BL_EDGE_H
 
@@ -10,10 +10,10 @@
 
 /**
  * struct edge_platform - the adapter to a platform.
- * @wire: headers of requests and answers
- * @decoders: records of the store
+ * @wire: decodes and encodes headers of requests and responses
+ * @decoders: decode records of the store
  * @orders: calls to endpoints
- * @store_open: a client of the store
+ * @store_open: creates a client of the store
  */
 struct edge_platform {
 	const struct wire_ops *wire;
@@ -27,29 +27,29 @@
  * struct edge - the daemon.
  * @loop: the event loop
  * @platform: the adapter
- * @argc: of the command line, to read the settings again
- * @argv: of the command line
+ * @argc: number of arguments, kept to read the settings again
+ * @argv: the arguments
  * @set: settings
  * @store: client of the store
- * @registry: what is known of the deployment
- * @fwd: the forwarding engine
+ * @registry: local copy of configuration and endpoints
+ * @fwd: the reverse proxy
  * @mesh: the other daemons
- * @placer: placement
- * @ready: answers questions for readiness
- * @metrics: answers questions for metrics
- * @peers: answers other daemons
- * @daemons: follows the daemons' addresses
- * @tick_timer: look at what has no timer of its own
- * @startup_timer: whether to read the store, at the start
- * @drain_timer: steps of leaving
+ * @placer: placement of replicas
+ * @ready: serves readiness checks
+ * @metrics: serves metrics
+ * @peers: serves other daemons
+ * @daemons: follows the daemons' addresses in the store
+ * @tick_timer: periodic work that has no timer of its own
+ * @startup_timer: decides at the start when to read the store
+ * @drain_timer: steps of draining; before that, retries of edge_announce()
  * @signals: SIGTERM, SIGINT and SIGHUP
- * @file_changed_ns: when the settings file last changed
+ * @file_changed_ns: modification time of the settings file, when last read
  * @announced: this daemon's address is in the store
- * @notified_version: of the configuration, when the others were last told of
- * one
- * @daemon_peak: daemons among which bounds over all of them are shared
- * @draining_since_ms: loop time of SIGTERM; 0 before
- * @was_ready: as last logged
+ * @notified_version: version of the configuration as of the last change of the
+ *	registry; other daemons are sent a different one at once
+ * @daemon_peak: number of daemons that share the bounds on all of them
+ * @draining_since_ms: loop time at which draining began; 0 before
+ * @was_ready: readiness as last logged
  */
 struct edge {
 	uv_loop_t *loop;
