--- a/src/edge-announce.c
+++ b/src/edge-announce.c
@@ -55,21 +55,22 @@
 }
 
 static void
-on_announced(void *arg, const struct store_answer *answer)
+on_announced(void *arg, const struct store_answer *response)
 {
 	struct edge *e = arg;
 	const struct mesh *mesh = &e->mesh;
 
 	if (e->draining_since_ms != 0)
 		return;
-	if (answer->result != STORE_OK && answer->result != STORE_UNKNOWN) {
+	if (response->result != STORE_OK && response->result != STORE_UNKNOWN) {
 		uv_timer_start(&e->drain_timer, on_announce_retry,
 		    ANNOUNCE_RETRY_MS, 0);
 		return;
 	}
 	e->announced = true;
 	event_log(LOG_INFO, "announced", "result=%s end=%llu",
-	    store_result_name(answer->result), (unsigned long long)answer->end);
+	    store_result_name(response->result),
+	    (unsigned long long)response->end);
 	/* If two daemons start together, at least the one that writes later
 	 * reads the other's record. A daemon that a relay has told of the
 	 * others need not read again. */
--- a/src/edge-quarantine.c
+++ b/src/edge-quarantine.c
@@ -51,19 +51,19 @@
 }
 
 static void
-on_recorded(void *arg, const struct store_answer *answer)
+on_recorded(void *arg, const struct store_answer *response)
 {
 	g_autofree struct quarantine_append *append = arg;
 	struct edge *e = append->edge;
 	struct poison_request *req =
 	    poison_find(&e->registry.poison, append->fingerprint);
-	bool ok = answer->result == STORE_OK;
+	bool ok = response->result == STORE_OK;
 
 	event_log(ok ? LOG_NOTICE : LOG_WARNING,
 	    ok ? "quarantine_recorded" : "quarantine_not_recorded",
 	    "work=%08x ends=%u result=%s",
 	    FINGERPRINT_SHORT(append->fingerprint), append->n_crashes,
-	    store_result_name(answer->result));
+	    store_result_name(response->result));
 	if (req == NULL)
 		return;
 	req->record_again_ms = clock_loop_ms(e->loop) + RECORD_RETRY_MS;
@@ -118,10 +118,10 @@
 }
 
 static void
-on_removed(void *arg, const struct store_answer *answer)
+on_removed(void *arg, const struct store_answer *response)
 {
 	event_log(LOG_INFO, "quarantine_removed", "result=%s",
-	    store_result_name(answer->result));
+	    store_result_name(response->result));
 }
 
 /* Starts to write the record of a quarantined request. */
