--- a/src/http-listen.c
+++ b/src/http-listen.c
@@ -3,7 +3,7 @@
 #include <microhttpd.h>
 #include <string.h>
 
-#include "caller.h"
+#include "client-api.h"
 #include "clock.h"
 #include "error.h"
 #include "http-listen.h"
@@ -51,11 +51,11 @@
 static void
 add_client_handlers(struct _u_instance *inst, struct server *server)
 {
-	add_handler(inst, "POST", "/v1", "/completions", caller_completion,
+	add_handler(inst, "POST", "/v1", "/completions", client_api_completion,
 	    server);
-	add_handler(inst, "POST", "/v1", "/chat/completions", caller_chat,
+	add_handler(inst, "POST", "/v1", "/chat/completions", client_api_chat,
 	    server);
-	add_handler(inst, "*", "/s", "/*", caller_service, server);
+	add_handler(inst, "*", "/s", "/*", client_api_service, server);
 	add_handler(inst, "GET", "/health", NULL, health_check, server);
 }
 
