--- a/src/edge-announce.c
+++ b/src/edge-announce.c
@@ -55,7 +55,7 @@
 }
 
 static void
-on_announced(void *arg, const struct store_answer *response)
+on_announced(void *arg, const struct store_response *response)
 {
 	struct edge *e = arg;
 	const struct mesh *mesh = &e->mesh;
--- a/src/edge-quarantine.c
+++ b/src/edge-quarantine.c
@@ -51,7 +51,7 @@
 }
 
 static void
-on_recorded(void *arg, const struct store_answer *response)
+on_recorded(void *arg, const struct store_response *response)
 {
 	g_autofree struct quarantine_append *append = arg;
 	struct edge *e = append->edge;
@@ -94,7 +94,7 @@
 	g_array_append_val(records, record);
 	if (!e->store->ops->append(e->store, TOPIC_DAEMONS, records, -1, done,
 		arg)) {
-		const struct store_answer none = { .result = STORE_REFUSED };
+		const struct store_response none = { .result = STORE_REFUSED };
 
 		done(arg, &none);
 	}
@@ -118,7 +118,7 @@
 }
 
 static void
-on_removed(void *arg, const struct store_answer *response)
+on_removed(void *arg, const struct store_response *response)
 {
 	event_log(LOG_INFO, "quarantine_removed", "result=%s",
 	    store_result_name(response->result));
--- a/src/registry-follower.c
+++ b/src/registry-follower.c
@@ -75,7 +75,7 @@
 
 /* Counts a failure, logs the first of a row and schedules a retry. */
 static void
-follower_failed(struct topic_follower *f, const struct store_answer *answer)
+follower_failed(struct topic_follower *f, const struct store_response *answer)
 {
 	unsigned pause = RETRY_MIN_MS;
 
@@ -101,7 +101,8 @@
 
 /* Notes that the local copy is current as of the time of the call. */
 static void
-follower_succeeded(struct topic_follower *f, const struct store_answer *answer)
+follower_succeeded(struct topic_follower *f,
+    const struct store_response *answer)
 {
 	if (f->failures > 0) {
 		f->regained_ms = clock_loop_ms(f->loop);
@@ -112,7 +113,7 @@
 			clock_loop_ms(f->loop)));
 	}
 	f->failures = 0;
-	f->proof_ms = MAX(f->proof_ms, answer->asked_ms);
+	f->proof_ms = MAX(f->proof_ms, answer->sent_ms);
 }
 
 /* Passes records to the owner, and collects the keys of a snapshot. */
@@ -159,7 +160,7 @@
 }
 
 static void
-on_snapshot_page(void *arg, const struct store_answer *answer)
+on_snapshot_page(void *arg, const struct store_response *answer)
 {
 	struct topic_follower *f = arg;
 	const struct store_record *last;
@@ -189,7 +190,7 @@
 }
 
 static void
-on_records(void *arg, const struct store_answer *answer)
+on_records(void *arg, const struct store_response *answer)
 {
 	struct topic_follower *f = arg;
 
@@ -229,7 +230,7 @@
 static void
 follower_read(struct topic_follower *f)
 {
-	const struct store_answer none = { .result = STORE_REFUSED };
+	const struct store_response none = { .result = STORE_REFUSED };
 	bool started;
 
 	if (f->stopped || f->busy || f->held)
