--- a/src/config-snapshot.c
+++ b/src/config-snapshot.c
@@ -1,8 +1,8 @@
 /*
- * Snapshots. A snapshot is the whole state at a prefix, cut into parts. A
- * reader whose offset is no longer kept loads the newest complete snapshot
- * whose following records the log still has, and replays these on top. So a
- * snapshot never overrides anything newer.
+ * Snapshots of the state. A snapshot is the whole state at an offset, written
+ * to the log in parts. A reader whose offset is no longer retained loads the
+ * first complete snapshot whose following records the log still has, and
+ * replays those records on top, so a snapshot never overrides newer records.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -13,9 +13,10 @@
 #include "event-log.h"
 #include "random.h"
 
+/* Size of the state's text in one record. */
 #define PART_BYTES 49152
 
-/* Parts of one snapshot, as they are met. */
+/* Parts of one snapshot that have been read so far. */
 struct assembly {
 	char *id;
 	json_int_t at;
@@ -34,7 +35,7 @@
 
 /*
  * Adds a record to the assembly if it is the next part of a snapshot. Returns
- * the dump once the last part is there.
+ * the state's dump when the record was the last part, else NULL.
  */
 static json_t *
 assembly_add(struct assembly *a, json_t *record)
@@ -63,8 +64,8 @@
 }
 
 /**
- * config_snapshot_note() - note the newest snapshot while following.
- * @config: locked
+ * config_snapshot_note() - update the offset of the newest snapshot.
+ * @config: the configuration, locked
  * @record: a record that was just replayed
  */
 void
@@ -78,7 +79,10 @@
 		config->snapshot_at = (uint64_t)at;
 }
 
-/* Reads the stream from an offset until a usable snapshot is complete. */
+/*
+ * Reads the stream from an offset until a snapshot is complete that no record
+ * is missing after. Returns its dump, or NULL when there is none.
+ */
 static json_t *
 snapshot_find(struct config *config, uint64_t from)
 {
@@ -106,11 +110,11 @@
 }
 
 /**
- * config_snapshot_restore() - start over from a snapshot.
- * @config: the configuration, whose next offset is no longer kept
- * @first: oldest offset that the log keeps
+ * config_snapshot_restore() - replace the state by a snapshot from the log.
+ * @config: the configuration, whose next offset is no longer retained
+ * @first: oldest offset that the log retains
  *
- * Return: true when the state moved on.
+ * Return: true when the state has advanced.
  */
 bool
 config_snapshot_restore(struct config *config, uint64_t first)
@@ -129,8 +133,8 @@
 /**
  * config_snapshot_write() - append the state as a snapshot.
  * @config: the configuration
- * @error: ERROR_LOG_UNAVAILABLE; parts may have been written, which does no
- *	harm
+ * @error: ERROR_LOG_UNAVAILABLE; some parts may have been written, which
+ *	readers ignore
  */
 bool
 config_snapshot_write(struct config *config, GError **error)
@@ -145,7 +149,7 @@
 	dump = state_dump(config->state);
 	at = (json_int_t)config->state->next - 1;
 	g_mutex_unlock(&config->lock);
-	/* ASCII only, so that a part never ends within a character. */
+	/* ASCII only, so that no part ends within a multibyte character. */
 	text = json_dumps(dump, JSON_COMPACT | JSON_ENSURE_ASCII);
 	len = strlen(text);
 	parts = (json_int_t)((len + PART_BYTES - 1) / PART_BYTES);
--- a/src/config-snapshot.h
+++ b/src/config-snapshot.h
@@ -1,4 +1,4 @@
-/* Snapshots: the live state written to the log again before it expires. */
+/* Snapshots of the state, written to the log before its records expire. */
 #ifndef BL_CONFIG_SNAPSHOT_H
 #define BL_CONFIG_SNAPSHOT_H
 
--- a/src/config-verdict.c
+++ b/src/config-verdict.c
@@ -1,8 +1,8 @@
-/* What replay made of one recent change, kept for the change's writer. */
+/* Verdicts of recent changes, kept for the threads that wrote them. */
 #include "config-verdict.h"
 
-/* Verdicts kept; a writer looks within seconds. */
-#define VERDICTS_KEPT 4096
+/* Number of verdicts kept; a writer looks its verdict up within seconds. */
+#define VERDICTS_MAX 4096
 
 struct config_verdict {
 	enum verdict verdict;
@@ -24,15 +24,15 @@
 }
 
 /**
- * config_verdict_note() - keep what replay made of a record.
- * @config: locked
+ * config_verdict_note() - save the verdict on a record that has a change id.
+ * @config: the configuration, locked
  * @record: the record
  * @offset: its offset
  * @verdict: the verdict
  * @error: why it was not applied, or NULL
  *
- * A change may stand in the log twice when its writer lost the first answer.
- * The first verdict is the change's own.
+ * A change may be in the log twice when the response to its first append was
+ * lost. The verdict on the first record counts.
  */
 void
 config_verdict_note(struct config *config, json_t *record, uint64_t offset,
@@ -50,7 +50,7 @@
 	v->error = error != NULL ? g_error_copy(error) : NULL;
 	g_hash_table_insert(config->verdicts, g_strdup(id), v);
 	g_queue_push_tail(&config->verdict_order, g_strdup(id));
-	if (config->verdict_order.length > VERDICTS_KEPT) {
+	if (config->verdict_order.length > VERDICTS_MAX) {
 		g_autofree char *oldest =
 		    g_queue_pop_head(&config->verdict_order);
 
@@ -59,12 +59,14 @@
 }
 
 /**
- * config_verdict_find() - look a change's verdict up.
- * @config: locked
+ * config_verdict_find() - look up the verdict on a change.
+ * @config: the configuration, locked
  * @id: change id
  * @verdict: set to the verdict
- * @offset: set to the offset
- * @error: set to why it was not applied
+ * @offset: set to the offset of the record
+ * @error: set to the reason if it was not applied
+ *
+ * Return: false when no verdict on the change is known.
  */
 bool
 config_verdict_find(struct config *config, const char *id,
--- a/src/config-verdict.h
+++ b/src/config-verdict.h
@@ -1,4 +1,4 @@
-/* What replay made of one recent change, kept for the change's writer. */
+/* Verdicts of recent changes, kept for the threads that wrote them. */
 #ifndef BL_CONFIG_VERDICT_H
 #define BL_CONFIG_VERDICT_H
 
--- a/src/config.c
+++ b/src/config.c
@@ -1,4 +1,4 @@
-/* The configuration of this daemon: the log followed into a state. */
+/* Configuration of this daemon: the state replayed from the log. */
 #include <inttypes.h>
 #include <string.h>
 
@@ -12,18 +12,18 @@
 #include "random.h"
 #include "resource.h"
 
-/* How long a writer waits to read its own record back. */
+/* Time for which a writer waits to read its own record back. */
 #define READ_BACK_MS 4000
-/* Pause after a failed read of the log: at least, and up to as much more. */
+/* Delay after a failed read of the log: the minimum and a random addition. */
 #define RETRY_MIN_MS 100
-#define RETRY_SPREAD_MS 400
+#define RETRY_JITTER_MS 400
 
 /**
- * config_init() - begin with the empty state.
+ * config_init() - initialize a configuration with the empty state.
  * @config: the configuration
- * @log: the platform's log; kept
- * @ops: surroundings, or NULL members
- * @arg: for @ops
+ * @log: client of the platform's log; must outlive the configuration
+ * @ops: callbacks; the structure or any of them may be NULL
+ * @arg: argument of the callbacks
  */
 void
 config_init(struct config *config, struct log_client *log,
@@ -42,7 +42,7 @@
 }
 
 /**
- * config_destroy() - free what config_init() made.
+ * config_destroy() - free the contents of a configuration.
  * @config: the configuration
  */
 void
@@ -55,7 +55,7 @@
 	g_cond_clear(&config->advanced);
 }
 
-/* Replays one record under the lock. */
+/* Replays one record; the configuration is locked. */
 static void
 config_apply(struct config *config, const struct log_record *record)
 {
@@ -77,11 +77,14 @@
 	}
 }
 
-/* Replays what a read gave; records that a peer's state covers are skipped. */
+/*
+ * Replays the records of a read, except those that the state contains already
+ * since it was taken from a peer. Returns true when the state has advanced.
+ */
 static bool
 config_apply_batch(struct config *config, const struct log_batch *batch)
 {
-	bool moved = false;
+	bool advanced = false;
 
 	g_mutex_lock(&config->lock);
 	config->log_ok_ms = clock_now_ms();
@@ -92,41 +95,43 @@
 		if (record->offset != config->state->next)
 			continue;
 		config_apply(config, record);
-		moved = true;
+		advanced = true;
 	}
-	if (moved)
+	if (advanced)
 		g_cond_broadcast(&config->advanced);
 	g_mutex_unlock(&config->lock);
-	return (moved);
+	return (advanced);
 }
 
 /**
- * config_adopt_state() - take a state that a peer or a snapshot gave.
+ * config_adopt_state() - replace the state by one from a peer or a snapshot.
  * @config: the configuration
- * @dump: what state_dump() gave
+ * @dump: dump of a state, see state_dump()
+ *
+ * Only the state of a longer prefix is adopted, so versions never decrease,
+ * whatever the source.
  *
- * Return: true when it was taken. Only a longer prefix is ever taken, so a
- * version never goes back, whoever offers it.
+ * Return: true when it was adopted.
  */
 bool
 config_adopt_state(struct config *config, json_t *dump)
 {
 	g_autoptr(GError) error = NULL;
-	CLEANUP(state_cleanup) struct state *offered = NULL;
+	CLEANUP(state_cleanup) struct state *loaded = NULL;
 	struct state *old;
 	bool longer;
 
-	offered = state_load(dump, &error);
-	if (offered == NULL) {
+	loaded = state_load(dump, &error);
+	if (loaded == NULL) {
 		event_log(LOG_WARNING, "state_offer_malformed", " ");
 		return (false);
 	}
 	g_mutex_lock(&config->lock);
-	longer = offered->next > config->state->next;
+	longer = loaded->next > config->state->next;
 	if (longer) {
 		old = config->state;
-		config->state = g_steal_pointer(&offered);
-		offered = old;
+		config->state = g_steal_pointer(&loaded);
+		loaded = old;
 		g_cond_broadcast(&config->advanced);
 	}
 	g_mutex_unlock(&config->lock);
@@ -137,7 +142,7 @@
 }
 
 /**
- * config_next() - the first offset that this daemon has not applied.
+ * config_next() - first offset that this daemon has not applied.
  * @config: the configuration
  */
 uint64_t
@@ -152,9 +157,9 @@
 }
 
 /**
- * config_log_ok() - whether the log answered within some time.
+ * config_log_ok() - whether a read of the log succeeded lately.
  * @config: the configuration
- * @within_ms: milliseconds
+ * @within_ms: maximum age of the last successful read, in ms
  */
 bool
 config_log_ok(struct config *config, uint64_t within_ms)
@@ -168,7 +173,7 @@
 	return (ok);
 }
 
-/* Without the log: take a longer prefix from a peer, if one has it. */
+/* Fetches and adopts a peer's state with a longer prefix, if there is one. */
 static bool
 config_fetch(struct config *config)
 {
@@ -180,44 +185,46 @@
 	return (dump != NULL && config_adopt_state(config, dump));
 }
 
-/* Waits a random while, so that daemons do not come back all at once. */
+/* Waits a random time, so that daemons do not all retry at once. */
 static void
-config_back_off(void)
+config_wait_retry(void)
 {
-	g_usleep((RETRY_MIN_MS + random_below(RETRY_SPREAD_MS)) * 1000);
+	g_usleep((RETRY_MIN_MS + random_below(RETRY_JITTER_MS)) * 1000);
 }
 
 /**
- * config_follow() - read once from the log and replay what came.
+ * config_follow() - read once from the log and replay the records.
  * @config: the configuration
- * @wait_ms: how long the log may wait for a record
+ * @wait_ms: time for which the log may wait for a record
  *
- * One thread calls this in a loop.
+ * When the log is unavailable or has trimmed the next record, the state is
+ * fetched from a peer or, if trimmed, restored from a snapshot. A single
+ * thread calls this in a loop.
  */
 void
 config_follow(struct config *config, unsigned wait_ms)
 {
 	CLEANUP(log_batch_clear) struct log_batch batch = { 0 };
 	g_autoptr(GError) error = NULL;
-	bool moved;
+	bool advanced;
 
 	if (config->log->ops->read(config->log, CONFIG_STREAM,
 		config_next(config), wait_ms, &batch, &error)) {
-		moved = config_apply_batch(config, &batch);
+		advanced = config_apply_batch(config, &batch);
 	} else if (error->code == ERROR_LOG_TRIMMED) {
-		moved = config_fetch(config) ||
+		advanced = config_fetch(config) ||
 		    config_snapshot_restore(config, batch.first);
 	} else {
 		log_debug("log_read_failed", " ");
-		moved = config_fetch(config);
-		if (!moved)
-			config_back_off();
+		advanced = config_fetch(config);
+		if (!advanced)
+			config_wait_retry();
 	}
-	if (moved && config->ops != NULL && config->ops->changed != NULL)
+	if (advanced && config->ops != NULL && config->ops->changed != NULL)
 		config->ops->changed(config->ops_arg);
 }
 
-/* Waits until replay has reached the change, or the time is up. */
+/* Waits until replay has reached a change, at most READ_BACK_MS. */
 static bool
 config_wait_verdict(struct config *config, const char *id,
     enum verdict *verdict, uint64_t *offset, GError **error)
@@ -239,12 +246,13 @@
 /**
  * config_append() - append a record and wait for its verdict.
  * @config: the configuration; another thread follows the log
- * @record: the record; gets a change id
- * @offset: set to its offset
- * @error: ERROR_LOG_UNAVAILABLE when the verdict is not known yet, and the
+ * @record: the record; a change id is added to it
+ * @offset: set to the record's offset
+ * @error: ERROR_LOG_UNAVAILABLE when the verdict is not known yet and the
  *	record may still take effect; else why it was not applied
  *
- * A lost answer to the append is made up for by reading on.
+ * When the response to the append is lost, the record is still recognised by
+ * its change id once it is read back.
  */
 enum verdict
 config_append(struct config *config, json_t *record, uint64_t *offset,
@@ -267,7 +275,7 @@
 	return (VERDICT_INVALID);
 }
 
-/* Fills in the base when the operator gave none, and checks the change. */
+/* Sets the base when the operator gave none, and validates the change. */
 static bool
 config_precheck(struct config *config, json_t *record, int64_t base,
     GError **error)
@@ -280,7 +288,7 @@
 	name = json_string_value(json_object_get(record, "name"));
 	g_mutex_lock(&config->lock);
 	res = state_resource(config->state, type, name);
-	/* Creating anew after a deletion is based on the deletion. */
+	/* A creation after a deletion is based on the deletion's version. */
 	if (base < 0 || (base == 0 && res != NULL && !resource_live(res)))
 		base = res != NULL ? (int64_t)res->version : 0;
 	json_object_set_new(record, "base", json_integer(base));
@@ -291,14 +299,14 @@
 }
 
 /**
- * config_change() - carry out an operator's change.
+ * config_change() - make an operator's change to a resource.
  * @config: the configuration
  * @op: "put" or "delete"
  * @type: type of the resource
  * @name: its name
- * @base: version that the change is based on, 0 to create, -1 for whatever
- *	is current here
- * @spec: the declaration; NULL to delete
+ * @base: version that the change is based on; 0 to create the resource, -1 for
+ *	the version that is current on this daemon
+ * @spec: declaration of the resource; NULL to delete it
  * @version: set to the new version
  * @error: ERROR_BAD_FIELD, ERROR_CONFLICT, ERROR_NOT_FOUND (nothing was
  *	written), or ERROR_LOG_UNAVAILABLE (it may still take effect)
--- a/src/config.h
+++ b/src/config.h
@@ -1,4 +1,4 @@
-/* The configuration of this daemon: the log followed into a state. */
+/* Configuration of this daemon: the state replayed from the log. */
 #ifndef BL_CONFIG_H
 #define BL_CONFIG_H
 
@@ -13,9 +13,10 @@
 #define CONFIG_STREAM "config"
 
 /**
- * struct config_ops - what the configuration needs from its surroundings.
- * @changed: the state moved on; called without the lock
- * @fetch: ask peers for a state beyond @next; returns a dump or NULL
+ * struct config_ops - callbacks of the configuration.
+ * @changed: the state has advanced; called without the lock
+ * @fetch: fetch a peer's state whose next offset is above the given one;
+ *	returns a dump or NULL
  */
 struct config_ops {
 	void (*changed)(void *);
@@ -23,14 +24,17 @@
 };
 
 /**
- * struct config - the followed log.
+ * struct config - the state and the log that it is replayed from.
  * @lock: guards the members below
- * @advanced: signalled whenever the state moved on
- * @state: what replay has made; never replaced by a shorter prefix
- * @verdicts: change id to the verdict that replay gave, of recent records
+ * @advanced: signalled when the state has advanced
+ * @state: result of replay; never replaced by the state of a shorter prefix
+ * @verdicts: change id to struct config_verdict, of recent records
  * @verdict_order: change ids, oldest first
- * @log_ok_ms: last time the log answered a read, 0 for never
- * @snapshot_at: prefix of the newest complete snapshot seen
+ * @log_ok_ms: time of the last successful read of the log, 0 for never
+ * @snapshot_at: last offset covered by the newest complete snapshot seen
+ * @log: client of the log
+ * @ops: callbacks, or NULL
+ * @ops_arg: argument of the callbacks
  */
 struct config {
 	GMutex lock;
--- a/src/log-batch.c
+++ b/src/log-batch.c
@@ -1,4 +1,4 @@
-/* What one read of the log gave. */
+/* Result of one read of the log. */
 #include <string.h>
 
 #include "log-client.h"
@@ -12,7 +12,7 @@
 }
 
 /**
- * log_batch_init() - make a batch without records.
+ * log_batch_init() - initialize a batch without records.
  * @batch: the batch; free with log_batch_clear()
  */
 void
@@ -24,7 +24,7 @@
 }
 
 /**
- * log_batch_clear() - clean-up attribute for a batch.
+ * log_batch_clear() - free the contents of a batch; for CLEANUP().
  * @batch: the batch
  */
 void
--- a/src/log-client.h
+++ b/src/log-client.h
@@ -1,4 +1,4 @@
-/* The platform's log: an adapter as a table of function pointers. */
+/* Client of the platform's log; log_ops selects the protocol. */
 #ifndef BL_LOG_CLIENT_H
 #define BL_LOG_CLIENT_H
 
@@ -8,9 +8,9 @@
 #include <stdint.h>
 
 /**
- * struct log_record - one record that was read.
- * @offset: its place in the stream, from 1
- * @json: its content, or NULL when it did not parse
+ * struct log_record - one record read from the log.
+ * @offset: position in the stream, from 1
+ * @json: content, or NULL when it did not parse
  */
 struct log_record {
 	uint64_t offset;
@@ -18,10 +18,10 @@
 };
 
 /**
- * struct log_batch - what one read gave.
- * @first: oldest offset that the log still keeps
+ * struct log_batch - result of one read.
+ * @first: oldest offset that the log retains
  * @next: offset that the next append would get, as of the read
- * @records: struct log_record in order
+ * @records: array of struct log_record, in order of offset
  */
 struct log_batch {
 	uint64_t first;
@@ -32,12 +32,12 @@
 struct log_client;
 
 /**
- * struct log_ops - the protocol of one kind of log service.
- * @append: add a record; false with ERROR_LOG_UNAVAILABLE means that it may
- *	or may not have been added
+ * struct log_ops - functions of one log protocol.
+ * @append: append a record; false with ERROR_LOG_UNAVAILABLE means that it
+ *	may or may not have been appended
  * @read: read from an offset, waiting up to wait_ms for a record; false with
- *	ERROR_LOG_TRIMMED when the offset is no longer kept, and then the
- *	batch's @first is set
+ *	ERROR_LOG_TRIMMED when the offset is no longer retained, in which case
+ *	the batch's @first is set
  * @close: free the client
  */
 struct log_ops {
--- a/src/log-http.c
+++ b/src/log-http.c
@@ -1,4 +1,4 @@
-/* The log over HTTP; the protocol stands in docs/INTERFACES.md. */
+/* Client of the log over HTTP; docs/INTERFACES.md describes the protocol. */
 #include <inttypes.h>
 
 #include "cleanup.h"
@@ -7,6 +7,7 @@
 #include "log-client.h"
 
 #define APPEND_TIMEOUT_MS 2000
+/* Time-out of a read, in addition to the time that the log may wait. */
 #define READ_TIMEOUT_MS 2000
 #define READ_MAX_RECORDS 1000
 
@@ -36,7 +37,7 @@
 	return (true);
 }
 
-/* Moves the records of an answer into the batch. */
+/* Appends the records of a response to a batch. */
 static void
 batch_fill(struct log_batch *batch, json_t *records)
 {
@@ -102,7 +103,7 @@
 };
 
 /**
- * log_http_open() - a client of a log service over HTTP.
+ * log_http_open() - create a client of a log service over HTTP.
  * @url: base URL of the service
  */
 struct log_client *
--- a/src/state-dump.c
+++ b/src/state-dump.c
@@ -1,4 +1,4 @@
-/* The state as JSON: for snapshots, for peers that catch up, for a digest. */
+/* Dump of the state as JSON: for snapshots, peers that are behind, digests. */
 #include <xxhash.h>
 
 #include "error.h"
@@ -39,8 +39,10 @@
 }
 
 /**
- * state_dump() - the whole state as JSON; the same state, the same JSON.
+ * state_dump() - dump the whole state as JSON.
  * @state: the state
+ *
+ * Equal states give equal dumps.
  */
 json_t *
 state_dump(const struct state *state)
@@ -53,9 +55,10 @@
 }
 
 /**
- * state_digest() - a hash of the whole state; equal on all daemons at equal
- * offsets.
+ * state_digest() - hash of the whole state.
  * @state: the state
+ *
+ * Equal on all daemons at equal offsets.
  */
 uint64_t
 state_digest(const struct state *state)
@@ -116,7 +119,7 @@
 	return (true);
 }
 
-/* Loads each item of an array; false at the first that does not fit. */
+/* Loads the items of an array; false at the first malformed one. */
 static bool
 load_array(struct state *state, json_t *dump, const char *name,
     bool (*load)(struct state *, json_t *))
@@ -135,9 +138,11 @@
 }
 
 /**
- * state_load() - make a state from a dump.
- * @dump: what state_dump() gave
+ * state_load() - create a state from a dump.
+ * @dump: dump of a state, see state_dump()
  * @error: ERROR_BAD_FIELD
+ *
+ * Return: the state, or NULL when the dump is malformed.
  */
 struct state *
 state_load(json_t *dump, GError **error)
--- a/src/state.c
+++ b/src/state.c
@@ -1,7 +1,7 @@
 /*
  * Replay of the configuration log. Every daemon applies the same records in
- * the same order with these rules, so whether a record is valid is a function
- * of the records before it, and the log needs no compare-and-swap of its own.
+ * the same order by these rules, so the validity of a record is a function of
+ * the records before it, and the log itself needs no compare-and-swap.
  */
 #include <string.h>
 
@@ -12,7 +12,7 @@
 #include "resource.h"
 #include "state.h"
 
-/* A record kind and the rule that replays it. */
+/* A record kind and the function that replays it. */
 struct rule {
 	const char *kind;
 	enum verdict (*apply)(struct state *, uint64_t, json_t *, GError **);
@@ -38,8 +38,8 @@
 };
 
 /**
- * verdict_name() - the name of a verdict.
- * @verdict: what replay made of a record
+ * verdict_name() - name of a verdict, for logs.
+ * @verdict: the verdict
  */
 const char *
 verdict_name(enum verdict verdict)
@@ -51,7 +51,7 @@
 }
 
 /**
- * state_create() - the state before the first record.
+ * state_create() - create the state before the first record.
  */
 struct state *
 state_create(void)
@@ -85,8 +85,8 @@
 }
 
 /**
- * state_cleanup() - clean-up attribute for a state.
- * @state: the variable
+ * state_cleanup() - free a state; for CLEANUP().
+ * @state: the variable, which may hold NULL
  */
 void
 state_cleanup(struct state **state)
@@ -96,7 +96,7 @@
 }
 
 /**
- * state_resource() - look up a resource; deleted ones too.
+ * state_resource() - look up a resource, also a deleted one.
  * @state: the state
  * @type: its type
  * @name: its name
@@ -172,7 +172,7 @@
 	return (VERDICT_INVALID);
 }
 
-/* Whether an operator's change names the current version. */
+/* Checks that an operator's change is based on the current version. */
 static enum verdict
 check_base(const struct resource *old, const char *type, const char *name,
     uint64_t base, GError **error)
@@ -189,7 +189,7 @@
 }
 
 /**
- * state_check_change() - what replay would make of a change now.
+ * state_check_change() - verdict that replay would give on a change now.
  * @state: the state
  * @record: the change
  * @error: why it would not be applied: ERROR_CONFLICT, ERROR_BAD_FIELD,
@@ -225,7 +225,7 @@
 	return (VERDICT_APPLIED);
 }
 
-/* An operator's put or delete: valid iff it names the current version. */
+/* An operator's put or delete; valid iff based on the current version. */
 static enum verdict
 apply_change(struct state *state, uint64_t offset, json_t *record,
     GError **error)
@@ -247,7 +247,7 @@
 	return (VERDICT_APPLIED);
 }
 
-/* Taking a lease: valid iff it names the term that it ends. */
+/* Acquisition of a lease; valid iff it names the term that it ends. */
 static enum verdict
 apply_lease(struct state *state, uint64_t offset, json_t *record,
     GError **error)
@@ -270,7 +270,7 @@
 	return (VERDICT_APPLIED);
 }
 
-/* The lease that a record's term names, if it is still the newest. */
+/* Returns the lease that a record's term names, if it is still the newest. */
 static struct lease *
 record_lease(struct state *state, json_t *record, GError **error)
 {
@@ -291,6 +291,7 @@
 	return (lease);
 }
 
+/* Renewal of a lease; valid iff the lease is still the newest. */
 static enum verdict
 apply_renew(struct state *state, uint64_t offset, json_t *record,
     GError **error)
@@ -304,7 +305,7 @@
 	return (VERDICT_APPLIED);
 }
 
-/* Forming a group: by the newest lease, from hosts that are in no other. */
+/* Formation of a group, by the newest lease, of hosts that are in no group. */
 static enum verdict
 apply_form(struct state *state, uint64_t offset, json_t *record, GError **error)
 {
@@ -332,6 +333,7 @@
 	return (VERDICT_APPLIED);
 }
 
+/* Dissolution of a group; valid iff it names the group's epoch. */
 static enum verdict
 apply_dissolve(struct state *state, uint64_t offset, json_t *record,
     GError **error)
@@ -354,7 +356,7 @@
 	return (VERDICT_APPLIED);
 }
 
-/* A snapshot changes nothing for a reader that has all before it. */
+/* A snapshot changes nothing for a reader that has replayed all before it. */
 static enum verdict
 apply_nothing(struct state *state, uint64_t offset, json_t *record,
     GError **error)
@@ -364,13 +366,13 @@
 
 /**
  * state_apply() - replay one record.
- * @state: the state; moves on to the next offset whatever the verdict
+ * @state: the state; advances to the next offset whatever the verdict
  * @offset: offset of the record; must be @state's next
  * @record: the record's JSON, or NULL when it did not parse
  * @error: why a record was not applied
  *
- * Return: what was made of the record. The same prefix gives the same verdict
- * on every daemon.
+ * Return: the verdict on the record. The same prefix gives the same verdict on
+ * every daemon.
  */
 enum verdict
 state_apply(struct state *state, uint64_t offset, json_t *record,
@@ -397,8 +399,10 @@
 }
 
 /**
- * state_sorted_keys() - the keys of a table in order; free the array only.
+ * state_sorted_keys() - sorted keys of a table.
  * @table: a table with string keys
+ *
+ * Return: an array of the keys, which remain owned by the table
  */
 GPtrArray *
 state_sorted_keys(GHashTable *table)
--- a/src/state.h
+++ b/src/state.h
@@ -1,4 +1,4 @@
-/* The configuration state: a pure function of a prefix of the log. */
+/* The configuration state, a pure function of a prefix of the log. */
 #ifndef BL_STATE_H
 #define BL_STATE_H
 
@@ -12,10 +12,10 @@
 struct resource;
 
 /**
- * enum verdict - what replay made of one record.
+ * enum verdict - replay's decision on one record.
  * @VERDICT_APPLIED: it took effect
  * @VERDICT_CONFLICT: its base is not the current version
- * @VERDICT_INVALID: it is malformed or refers to what does not exist
+ * @VERDICT_INVALID: it is malformed or refers to an object that does not exist
  * @VERDICT_STALE_TERM: its writer's lease is not the newest
  * @VERDICT_HOST_TAKEN: one of its hosts is in another live group
  */
@@ -28,9 +28,9 @@
 };
 
 /**
- * struct state - what replay of the log up to @next has made.
- * @next: the first offset that is not applied yet; starts at 1
- * @resources: key "type/name" to struct resource, with deleted ones
+ * struct state - the result of replay up to @next.
+ * @next: first offset that has not been applied; starts at 1
+ * @resources: key "type/name" to struct resource, including deleted ones
  * @groups: name to struct group
  * @leases: failure domain to struct lease
  * @host_groups: host name to its struct group; owned by @groups
