--- a/src/gossip.c
+++ b/src/gossip.c
@@ -1,4 +1,4 @@
-/* Asks other daemons for news, a bounded number in each round. */
+/* Gossip among daemons: queries a bounded number of them in each round. */
 #include <arpa/inet.h>
 
 #include "clock.h"
@@ -9,17 +9,20 @@
 #include "random.h"
 #include "server.h"
 
-/* How soon a request's need for remote news is met, and how often at most. */
-#define REMOTE_STEP_MS 50
+/*
+ * Interval at which requests that need a target of another failure domain are
+ * looked for, and pause after the other domains were queried for them.
+ */
+#define REMOTE_POLL_MS 50
 #define REMOTE_PAUSE_MS 500
-/* Otherwise one other failure domain is asked in every so many rounds, */
+/* Period, in rounds, of queries to one other failure domain, */
 #define REMOTE_ROUNDS 3
-/* but all in every round for so long after a request needed one. */
+/* unless a request needed one within this time: then all, in every round. */
 #define REMOTE_USED_MS 30000
 
-/* Adds the seeds from the settings while nobody else is known. */
+/* Adds the seed peers of the settings. */
 static void
-ask_seeds(struct server *server, GArray *ask)
+select_seeds(struct server *server, GArray *selected)
 {
 	g_auto(GStrv) seeds = g_strsplit(server->set.peers, ",", -1);
 
@@ -34,15 +37,16 @@
 		m.port = port;
 		if (m.ip != server->members.self.ip ||
 		    m.port != server->members.self.port)
-			g_array_append_val(ask, m);
+			g_array_append_val(selected, m);
 	}
 }
 
+/* Queries the selected daemons, one after the other. */
 static void
-pull_all(struct server *server, const GArray *ask)
+pull_all(struct server *server, const GArray *selected)
 {
-	for (guint i = 0; i < ask->len; i++) {
-		struct member *m = &g_array_index(ask, struct member, i);
+	for (guint i = 0; i < selected->len; i++) {
+		struct member *m = &g_array_index(selected, struct member, i);
 
 		if (!peer_pull(server, m->ip, m->port))
 			log_debug("pull_failed", "ip=%u port=%u", m->ip,
@@ -51,28 +55,29 @@
 }
 
 /*
- * The daemon that controls the domain hears of every host twice before it
- * would count as lost; the others' answers are spread over the rounds.
+ * Queries daemons of this failure domain for their evidence of hosts. The
+ * controller of the domain queries each daemon twice within dead_ms, the time
+ * after which a host counts as lost; the queries are spread over the rounds.
  */
 static void
 pull_hosts(struct server *server, unsigned round)
 {
 	unsigned rounds =
 	    (unsigned)(server->set.dead_ms / (2 * server->set.heartbeat_ms));
-	g_autoptr(GArray) ask = NULL;
+	g_autoptr(GArray) selected = NULL;
 
-	ask = g_array_new(FALSE, FALSE, sizeof(struct member));
-	members_select_share(&server->members, round, MAX(rounds, 1), ask);
-	for (guint i = 0; i < ask->len; i++) {
-		struct member *m = &g_array_index(ask, struct member, i);
+	selected = g_array_new(FALSE, FALSE, sizeof(struct member));
+	members_select_share(&server->members, round, MAX(rounds, 1), selected);
+	for (guint i = 0; i < selected->len; i++) {
+		struct member *m = &g_array_index(selected, struct member, i);
 
 		peer_pull_hosts(server, m->ip, m->port);
 	}
 }
 
-/* Whether requests need other failure domains these days. */
+/* Whether a request needed another failure domain within REMOTE_USED_MS. */
 static bool
-remote_used(struct server *server)
+remote_needed(struct server *server)
 {
 	uint64_t used = atomic_load(&server->remote_ms);
 
@@ -82,41 +87,41 @@
 static void
 pull_round(struct server *server, unsigned round)
 {
-	g_autoptr(GArray) ask = NULL;
+	g_autoptr(GArray) selected = NULL;
 
-	ask = g_array_new(FALSE, FALSE, sizeof(struct member));
+	selected = g_array_new(FALSE, FALSE, sizeof(struct member));
 	members_select_local(&server->members, clock_now_ms(), random_u64(),
-	    ask);
-	if (remote_used(server))
-		members_select_each_remote(&server->members, ask);
+	    selected);
+	if (remote_needed(server))
+		members_select_each_remote(&server->members, selected);
 	else if (round % REMOTE_ROUNDS == 0)
-		members_select_remote(&server->members, ask);
-	if (ask->len == 0 || round % GOSSIP_SEED_ROUNDS == 0)
-		ask_seeds(server, ask);
-	pull_all(server, ask);
+		members_select_remote(&server->members, selected);
+	if (selected->len == 0 || round % GOSSIP_SEED_ROUNDS == 0)
+		select_seeds(server, selected);
+	pull_all(server, selected);
 	if (controller_holds(server))
 		pull_hosts(server, round);
 }
 
-/* A request found no target here: ask all other failure domains now. */
+/* Queries all other failure domains, since a request found no target here. */
 static void
 pull_remote(struct server *server)
 {
-	g_autoptr(GArray) ask = NULL;
+	g_autoptr(GArray) selected = NULL;
 
-	ask = g_array_new(FALSE, FALSE, sizeof(struct member));
-	members_select_each_remote(&server->members, ask);
-	pull_all(server, ask);
+	selected = g_array_new(FALSE, FALSE, sizeof(struct member));
+	members_select_each_remote(&server->members, selected);
+	pull_all(server, selected);
 }
 
-/* Waits for the next round, and serves requests that need remote news. */
+/* Waits for the next round; queries other domains when requests need them. */
 static bool
 wait_round(struct server *server)
 {
 	uint64_t until = clock_now_ms() + (uint64_t)server->set.heartbeat_ms;
 
 	while (clock_now_ms() < until) {
-		if (!server_sleep(server, REMOTE_STEP_MS))
+		if (!server_sleep(server, REMOTE_POLL_MS))
 			return (false);
 		if (!atomic_exchange(&server->want_remote, false))
 			continue;
@@ -127,8 +132,9 @@
 	return (true);
 }
 
+/* Rebuilds the view when the number of daemons sharing limits has changed. */
 static void
-note_sharing(struct server *server, unsigned *sharing)
+update_sharing(struct server *server, unsigned *sharing)
 {
 	unsigned now_sharing =
 	    members_count_sharing(&server->members, clock_now_ms());
@@ -141,8 +147,8 @@
 }
 
 /**
- * gossip_run() - the thread that asks.
- * @arg: the daemon
+ * gossip_run() - thread that queries other daemons.
+ * @arg: the struct server
  */
 void *
 gossip_run(void *arg)
@@ -152,7 +158,7 @@
 
 	do {
 		pull_round(server, round++);
-		note_sharing(server, &sharing);
+		update_sharing(server, &sharing);
 	} while (wait_round(server));
 	return (NULL);
 }
--- a/src/members-select.c
+++ b/src/members-select.c
@@ -1,28 +1,28 @@
 /*
- * Whom to ask for news. Each round asks a bounded number of daemons, whatever
- * their number, so that the cost of news does not grow with it.
+ * Selects the daemons to query in a gossip round: a bounded number of them,
+ * so that the cost of gossip per daemon does not grow with their total.
  */
 #include <string.h>
 
 #include "members.h"
 #include "route.h"
 
-/* Daemons of the own failure domain asked per round. */
-#define ASK_LOCAL 2
+/* Daemons of this failure domain that are queried per round. */
+#define LOCAL_QUERIES 2
 
 static void
-ask_add(GArray *ask, const struct member *m)
+selection_add(GArray *selected, const struct member *m)
 {
 	struct member copy = { .ip = m->ip,
 		.port = m->port,
 		.name_hash = m->name_hash };
 
-	g_array_append_val(ask, copy);
+	g_array_append_val(selected, copy);
 }
 
-/* The nth member of a failure domain, counted around; NULL if it has none. */
+/* Returns the nth member of a failure domain, modulo their number, or NULL. */
 static struct member *
-domain_member(struct members *ms, const char *domain, unsigned turn)
+domain_nth_member(struct members *ms, const char *domain, unsigned index)
 {
 	unsigned n = 0;
 	struct member *m;
@@ -31,17 +31,17 @@
 		n += strcmp(m->domain, domain) == 0;
 	if (n == 0)
 		return (NULL);
-	turn %= n;
+	index %= n;
 	TAILQ_FOREACH(m, &ms->others, entry) {
-		if (strcmp(m->domain, domain) == 0 && turn-- == 0)
+		if (strcmp(m->domain, domain) == 0 && index-- == 0)
 			return (m);
 	}
 	return (NULL);
 }
 
-/* Whether no earlier member is of the same failure domain. */
+/* Whether a member is the first in the list of its failure domain. */
 static bool
-first_of_domain(struct members *ms, const struct member *m)
+first_in_domain(struct members *ms, const struct member *m)
 {
 	struct member *earlier;
 
@@ -54,87 +54,93 @@
 	return (true);
 }
 
-/* The next daemon of the next other failure domain, in turn, or NULL. */
+/*
+ * Returns the next daemon of the next other failure domain, round-robin, or
+ * NULL when there is none.
+ */
 static struct member *
-remote_member(struct members *ms)
+next_remote_member(struct members *ms)
 {
 	unsigned domains = 0, pick;
 	struct member *m;
 
 	TAILQ_FOREACH(m, &ms->others, entry)
 		domains += strcmp(m->domain, ms->self.domain) != 0 &&
-		    first_of_domain(ms, m);
+		    first_in_domain(ms, m);
 	if (domains == 0)
 		return (NULL);
 	pick = ms->remote_rotation % domains;
 	TAILQ_FOREACH(m, &ms->others, entry) {
 		if (strcmp(m->domain, ms->self.domain) == 0 ||
-		    !first_of_domain(ms, m))
+		    !first_in_domain(ms, m))
 			continue;
 		if (pick-- == 0)
-			return (domain_member(ms, m->domain,
+			return (domain_nth_member(ms, m->domain,
 			    ms->remote_rotation / domains));
 	}
 	return (NULL);
 }
 
 /**
- * members_select_local() - whom to ask for news in this round.
+ * members_select_local() - select daemons of this failure domain to query.
  * @ms: the members
- * @now: monotonic milliseconds
- * @random: a random number
- * @ask: array of struct member; addresses and keys are added
+ * @now: monotonic time, in ms
+ * @random: random number
+ * @selected: array of struct member; addresses and name hashes are appended
  *
- * A bounded number of the own failure domain, whatever the number of daemons.
- * They are drawn by chance: if all daemons asked the same one, nobody would
- * hear of the others' news.
+ * At most LOCAL_QUERIES daemons are selected, however many there are. The
+ * choice is random: if all daemons queried the same one, information held by
+ * the others would not spread.
  */
 void
 members_select_local(struct members *ms, uint64_t now, uint64_t random,
-    GArray *ask)
+    GArray *selected)
 {
 	struct member *m;
 
 	g_mutex_lock(&ms->lock);
 	members_forget(ms, now);
 	ms->rotation++;
-	for (unsigned i = 0; i < ASK_LOCAL; i++) {
-		m = domain_member(ms, ms->self.domain, (unsigned)random + i);
+	for (unsigned i = 0; i < LOCAL_QUERIES; i++) {
+		m = domain_nth_member(ms, ms->self.domain,
+		    (unsigned)random + i);
 		if (m != NULL)
-			ask_add(ask, m);
+			selection_add(selected, m);
 		random = route_mix(random);
 	}
 	g_mutex_unlock(&ms->lock);
 }
 
 /**
- * members_select_remote() - a daemon of another failure domain, in turn.
+ * members_select_remote() - select a daemon of one other failure domain.
  * @ms: the members
- * @ask: array of struct member; its address and key are added
+ * @selected: array of struct member; its address and name hash are appended
+ *
+ * Failure domains, and daemons within one, are selected round-robin.
  */
 void
-members_select_remote(struct members *ms, GArray *ask)
+members_select_remote(struct members *ms, GArray *selected)
 {
 	struct member *m;
 
 	g_mutex_lock(&ms->lock);
 	ms->remote_rotation++;
-	m = remote_member(ms);
+	m = next_remote_member(ms);
 	if (m != NULL)
-		ask_add(ask, m);
+		selection_add(selected, m);
 	g_mutex_unlock(&ms->lock);
 }
 
 /**
- * members_select_share() - the daemons of the own failure domain, in shares.
+ * members_select_share() - select a share of this failure domain's daemons.
  * @ms: the members
  * @round: number of the round
- * @rounds: rounds in which each is asked once
- * @ask: array of struct member; addresses and keys are added
+ * @rounds: number of rounds in which each daemon is selected once
+ * @selected: array of struct member; addresses and name hashes are appended
  */
 void
 members_select_share(struct members *ms, unsigned round, unsigned rounds,
-    GArray *ask)
+    GArray *selected)
 {
 	struct member *m;
 
@@ -142,18 +148,19 @@
 	TAILQ_FOREACH(m, &ms->others, entry) {
 		if (strcmp(m->domain, ms->self.domain) == 0 &&
 		    (m->name_hash + round) % rounds == 0)
-			ask_add(ask, m);
+			selection_add(selected, m);
 	}
 	g_mutex_unlock(&ms->lock);
 }
 
 /**
- * members_select_each_remote() - one daemon of each other failure domain.
+ * members_select_each_remote() - select one daemon of each other failure
+ * domain.
  * @ms: the members
- * @ask: array of struct member; addresses and keys are added
+ * @selected: array of struct member; addresses and name hashes are appended
  */
 void
-members_select_each_remote(struct members *ms, GArray *ask)
+members_select_each_remote(struct members *ms, GArray *selected)
 {
 	struct member *m;
 
@@ -161,9 +168,9 @@
 	ms->rotation++;
 	TAILQ_FOREACH(m, &ms->others, entry) {
 		if (strcmp(m->domain, ms->self.domain) != 0 &&
-		    first_of_domain(ms, m))
-			ask_add(ask,
-			    domain_member(ms, m->domain, ms->rotation));
+		    first_in_domain(ms, m))
+			selection_add(selected,
+			    domain_nth_member(ms, m->domain, ms->rotation));
 	}
 	g_mutex_unlock(&ms->lock);
 }
--- a/src/members.c
+++ b/src/members.c
@@ -1,4 +1,4 @@
-/* The daemons that this one knows of, and when each last proved to live. */
+/* Membership: the daemons known, and the newest evidence that each is alive. */
 #include <arpa/inet.h>
 #include <string.h>
 #include <xxhash.h>
@@ -7,12 +7,12 @@
 #include "members.h"
 #include "route.h"
 
-/* A daemon that was silent for this many dead times is forgotten. */
+/* A daemon is forgotten after a silence of this many times dead_ms. */
 #define FORGET_FACTOR 40
 
 /**
- * member_name_hash() - the stable hash of a daemon's name.
- * @name: its name
+ * member_name_hash() - stable hash of a daemon's name.
+ * @name: the name
  */
 uint64_t
 member_name_hash(const char *name)
@@ -21,10 +21,10 @@
 }
 
 /**
- * members_init() - begin with this daemon alone.
+ * members_init() - initialize a membership of this daemon alone.
  * @ms: the members
- * @set: checked settings
- * @boot: identifier of this run
+ * @set: validated settings
+ * @boot: identifier of this run, of which the incarnation is a hash
  */
 void
 members_init(struct members *ms, const struct settings *set, const char *boot)
@@ -81,14 +81,14 @@
 }
 
 static struct member *
-members_add(struct members *ms, const struct member *news)
+members_add(struct members *ms, const struct member *update)
 {
 	struct member *m;
 
 	m = g_new0(struct member, 1);
-	m->name = g_strdup(news->name);
-	m->domain = g_strdup(news->domain);
-	m->name_hash = member_name_hash(news->name);
+	m->name = g_strdup(update->name);
+	m->domain = g_strdup(update->domain);
+	m->name_hash = member_name_hash(update->name);
 	TAILQ_INSERT_TAIL(&ms->others, m, entry);
 	g_hash_table_insert(ms->by_name, m->name, m);
 	event_log(LOG_INFO, "member_new", "member=%s domain=%s", m->name,
@@ -97,51 +97,54 @@
 }
 
 /**
- * members_update() - take what was heard of a daemon.
+ * members_update() - update a daemon's entry, or add it.
  * @ms: the members
- * @news: the daemon
- * @seen_ms: local time that the proof is at least as new as
+ * @update: what was received of the daemon
+ * @seen_ms: lower bound, in local time, of the evidence that it is alive
  *
- * Only newer proof counts, so late and repeated news do no harm.
+ * An update with older evidence than the entry's is ignored, so delayed and
+ * duplicate ones do no harm.
  */
 void
-members_update(struct members *ms, const struct member *news, uint64_t seen_ms)
+members_update(struct members *ms, const struct member *update,
+    uint64_t seen_ms)
 {
 	struct member *m;
 
-	if (strcmp(news->name, ms->self.name) == 0)
+	if (strcmp(update->name, ms->self.name) == 0)
 		return;
 	g_mutex_lock(&ms->lock);
-	m = members_find(ms, news->name);
+	m = members_find(ms, update->name);
 	if (m == NULL)
-		m = members_add(ms, news);
+		m = members_add(ms, update);
 	if (seen_ms > m->seen_ms) {
 		m->seen_ms = seen_ms;
-		m->ip = news->ip;
-		m->port = news->port;
-		m->incarnation = news->incarnation;
-		m->next_offset = news->next_offset;
-		m->leaving = news->leaving;
+		m->ip = update->ip;
+		m->port = update->port;
+		m->incarnation = update->incarnation;
+		m->next_offset = update->next_offset;
+		m->leaving = update->leaving;
 	}
 	g_mutex_unlock(&ms->lock);
 }
 
 /**
- * members_refresh() - take news of a daemon of the own failure domain.
+ * members_refresh() - update the liveness of a known daemon of this failure
+ * domain.
  * @ms: the members
- * @key: the low bits of its key; one that is not known is ignored
+ * @hash: low bits of its name hash; ignored when no daemon has it
  * @leaving: it is draining
- * @seen_ms: local time that the proof is at least as new as
+ * @seen_ms: lower bound, in local time, of the evidence that it is alive
  */
 void
-members_refresh(struct members *ms, uint32_t key, bool leaving,
+members_refresh(struct members *ms, uint32_t hash, bool leaving,
     uint64_t seen_ms)
 {
 	struct member *m;
 
 	g_mutex_lock(&ms->lock);
 	TAILQ_FOREACH(m, &ms->others, entry) {
-		if ((uint32_t)m->name_hash != key || seen_ms <= m->seen_ms)
+		if ((uint32_t)m->name_hash != hash || seen_ms <= m->seen_ms)
 			continue;
 		m->seen_ms = seen_ms;
 		m->leaving = leaving;
@@ -150,38 +153,38 @@
 }
 
 /**
- * members_introduce() - hear that a daemon exists, without proof of when.
+ * members_introduce() - add a daemon without evidence that it is alive.
  * @ms: the members
- * @news: the daemon; name, failure domain and address
- * @now: monotonic milliseconds
+ * @update: the daemon's name, failure domain and address
+ * @now: monotonic time, in ms
  *
- * A new one counts as dead until it answers.
+ * A new daemon counts as dead until it answers.
  */
 void
-members_introduce(struct members *ms, const struct member *news, uint64_t now)
+members_introduce(struct members *ms, const struct member *update, uint64_t now)
 {
 	struct member *m;
 
-	if (strcmp(news->name, ms->self.name) == 0)
+	if (strcmp(update->name, ms->self.name) == 0)
 		return;
 	g_mutex_lock(&ms->lock);
-	m = members_find(ms, news->name);
+	m = members_find(ms, update->name);
 	if (m == NULL) {
-		m = members_add(ms, news);
+		m = members_add(ms, update);
 		m->seen_ms = now > ms->dead_ms ? now - ms->dead_ms : 0;
 	}
 	if (!member_alive(ms, m, now)) {
-		m->ip = news->ip;
-		m->port = news->port;
+		m->ip = update->ip;
+		m->port = update->port;
 	}
 	g_mutex_unlock(&ms->lock);
 }
 
 /**
- * member_alive() - whether a daemon proved to live lately.
+ * member_alive() - whether a daemon was alive within the last dead_ms.
  * @ms: the members
  * @m: the daemon
- * @now: monotonic milliseconds
+ * @now: monotonic time, in ms
  */
 bool
 member_alive(const struct members *ms, const struct member *m, uint64_t now)
@@ -190,13 +193,14 @@
 }
 
 /**
- * members_count_sharing() - how many daemons share the customers' limits.
+ * members_count_sharing() - number of daemons that share the customers'
+ * limits.
  * @ms: the members
- * @now: monotonic milliseconds
+ * @now: monotonic time, in ms
  *
- * A dead daemon's share is given to the others only while some daemon of its
- * failure domain is heard: a whole domain that falls silent may be cut off
- * and go on serving, so its daemons still count.
+ * A dead daemon's share passes to the others only while another daemon of its
+ * failure domain is alive: a whole domain that falls silent may be
+ * partitioned and still be serving, so its daemons still count.
  */
 unsigned
 members_count_sharing(struct members *ms, uint64_t now)
@@ -221,12 +225,12 @@
 }
 
 /**
- * members_rank() - this daemon's place for a key among the live ones of its
- * failure domain.
+ * members_rank() - this daemon's rank for a key among the live daemons of its
+ * failure domain, by rendezvous hashing.
  * @ms: the members
- * @key: the key, as in rendezvous hashing
- * @last: key of a daemon that comes last for every key, or 0
- * @now: monotonic milliseconds
+ * @key: the key
+ * @last: name hash of a daemon that ranks last for every key, or 0
+ * @now: monotonic time, in ms
  *
  * Return: 0 for the first.
  */
@@ -262,14 +266,14 @@
 }
 
 /**
- * members_owner() - the daemon that comes first for a key.
+ * members_owner() - the daemon that owns a key, by rendezvous hashing.
  * @ms: the members
- * @key: the key, as in rendezvous hashing
- * @now: monotonic milliseconds
- * @excluded: keys (uint64_t) of daemons that did not answer
- * @owner: set to its address and key
+ * @key: the key
+ * @now: monotonic time, in ms
+ * @excluded: name hashes (uint64_t) of daemons that did not answer
+ * @owner: set to its address and name hash
  *
- * Return: false when it is this daemon itself.
+ * Return: false when the owner is this daemon itself.
  */
 bool
 members_owner(struct members *ms, uint64_t key, uint64_t now,
@@ -300,36 +304,40 @@
 }
 
 /**
- * members_most_advanced() - the live daemon with the longest configuration.
+ * members_most_advanced() - the live daemon that has applied the most of the
+ * configuration log.
  * @ms: the members
- * @next: only one that has applied beyond this
- * @now: monotonic milliseconds
- * @furthest: set to its address
+ * @next: lower bound, exclusive, of the daemon's next offset
+ * @now: monotonic time, in ms
+ * @found: set to its address
+ *
+ * Return: false when no live daemon is beyond @next.
  */
 bool
 members_most_advanced(struct members *ms, uint64_t next, uint64_t now,
-    struct member *furthest)
+    struct member *found)
 {
 	struct member *m;
-	bool found = false;
+	bool any = false;
 
 	g_mutex_lock(&ms->lock);
 	TAILQ_FOREACH(m, &ms->others, entry) {
 		if (m->next_offset <= next || !member_alive(ms, m, now))
 			continue;
 		next = m->next_offset;
-		furthest->ip = m->ip;
-		furthest->port = m->port;
-		found = true;
+		found->ip = m->ip;
+		found->port = m->port;
+		any = true;
 	}
 	g_mutex_unlock(&ms->lock);
-	return (found);
+	return (any);
 }
 
 /**
- * members_forget() - forget daemons that were silent for very long.
+ * members_forget() - remove daemons that were silent for FORGET_FACTOR times
+ * dead_ms.
  * @ms: the members, locked
- * @now: monotonic milliseconds
+ * @now: monotonic time, in ms
  */
 void
 members_forget(struct members *ms, uint64_t now)
--- a/src/members.h
+++ b/src/members.h
@@ -1,4 +1,4 @@
-/* The daemons that this one knows of, and when each last proved to live. */
+/* Membership: the daemons known, and the newest evidence that each is alive. */
 #ifndef BL_MEMBERS_H
 #define BL_MEMBERS_H
 
@@ -11,15 +11,16 @@
 #include "setting.h"
 
 /**
- * struct member - one other daemon.
+ * struct member - one daemon.
  * @name: its name
  * @domain: its failure domain
- * @ip: IPv4 number in host order
+ * @ip: IPv4 address in host byte order
  * @port: its peer port
  * @incarnation: number of its run, new at every start
  * @next_offset: first configuration offset that it has not applied
  * @leaving: it is draining
- * @seen_ms: local time that the latest proof is at least as new as
+ * @seen_ms: lower bound, in local time, of the newest evidence that it is
+ *	alive
  * @name_hash: stable hash of its name
  */
 struct member {
@@ -39,13 +40,14 @@
 
 /**
  * struct members - this daemon and the others.
- * @lock: guards all below
+ * @lock: guards the fields below
  * @self: this daemon; its @seen_ms is not used
- * @others: the others
- * @by_name: the same by name
- * @dead_ms: silence after which one counts as dead
- * @rotation: rotates who is named next
- * @remote_rotation: rotates which other failure domain is asked next
+ * @others: the other daemons
+ * @by_name: the other daemons by name
+ * @dead_ms: silence after which a daemon counts as dead
+ * @rotation: counter of rounds; selects which members a reply names, and
+ *	which daemon of each other failure domain is queried
+ * @remote_rotation: counter; selects which other failure domain is queried
  */
 struct members {
 	GMutex lock;
--- a/src/peer-client.c
+++ b/src/peer-client.c
@@ -1,4 +1,4 @@
-/* Calls to other daemons over ONC RPC, by UDP, without a port mapper. */
+/* Client side of the ONC RPC between daemons: UDP, without a port mapper. */
 #include <arpa/inet.h>
 #include <glib.h>
 #include <string.h>
@@ -13,32 +13,33 @@
 #include "server.h"
 
 #define DATAGRAM_BYTES 16384
-/* Heads of an RPC call and its reply, without authentication. */
+/* Headers of an RPC call and its reply, without authentication. */
 #define RPC_HEADER_BYTES 64
+/* Interval at which a call is sent again until it is answered. */
 #define RESEND_MS 150
 #define PULL_TIMEOUT_MS 400
 #define STATE_TIMEOUT_MS 1000
-/* libtirpc sends nothing at all when the time is 0. */
+/* Not 0, with which libtirpc sends nothing at all. */
 #define DECIDED_TIMEOUT_MS 20
-/* A dumped state larger than this is not one of ours. */
+/* A larger dump of a state is taken to be invalid. */
 #define STATE_MAX_BYTES (64u * 1024 * 1024)
 
-/* The argument or result of a call that has none. */
+/* Encodes an empty argument, or decodes an empty result. */
 static bool_t
-xdr_nothing(XDR *xdrs, ...)
+xdr_empty(XDR *xdrs, ...)
 {
 	return (TRUE);
 }
 
 static struct timeval
-timeval_of(unsigned ms)
+timeval_from_ms(unsigned ms)
 {
 	struct timeval tv = { ms / 1000, (suseconds_t)(ms % 1000) * 1000 };
 
 	return (tv);
 }
 
-/* A client handle for one peer; NULL when no socket can be had. */
+/* Creates a client handle for a peer; NULL when that fails. */
 static CLIENT *
 client_open(uint32_t ip, uint16_t port)
 {
@@ -46,7 +47,7 @@
 		.sin_port = htons(port),
 		.sin_addr.s_addr = htonl(ip) };
 	struct netbuf address = { sizeof sin, sizeof sin, &sin };
-	struct timeval resend = timeval_of(RESEND_MS);
+	struct timeval resend = timeval_from_ms(RESEND_MS);
 	CLIENT *client;
 	int fd;
 
@@ -64,7 +65,7 @@
 	return (client);
 }
 
-/* One call; the handle lives for this call only. */
+/* Makes one call, with a handle of its own. */
 static bool
 client_call(uint32_t ip, uint16_t port, rpcproc_t proc, xdrproc_t xargs,
     void *args, xdrproc_t xres, void *res, unsigned timeout_ms)
@@ -75,7 +76,7 @@
 	if (client == NULL)
 		return (false);
 	stat = clnt_call(client, proc, xargs, args, xres, res,
-	    timeval_of(timeout_ms));
+	    timeval_from_ms(timeout_ms));
 	clnt_destroy(client);
 	control_cost_add(COST_PEER,
 	    RPC_HEADER_BYTES + xdr_sizeof(xargs, args) +
@@ -85,53 +86,56 @@
 }
 
 /**
- * peer_pull() - ask a daemon for news, and take them.
+ * peer_pull() - query a daemon for gossip, and apply it.
  * @server: this daemon
- * @ip: its address in host order
- * @port: its port
+ * @ip: the peer's address in host byte order
+ * @port: the peer's port
  *
- * Ages in the reply count back from the time before the question was sent, so
- * a delay of the reply, or a pause of this daemon, only makes news older.
+ * Ages in the reply are counted back from the time before the request was
+ * sent, so a delay of the reply, or a pause of this daemon, only makes the
+ * information older.
+ *
+ * Return: false when there was no reply.
  */
 bool
 peer_pull(struct server *server, uint32_t ip, uint16_t port)
 {
 	pull_request req = { 0 };
 	pull_reply reply = { 0 };
-	uint64_t asked_ms = clock_now_ms();
+	uint64_t sent_ms = clock_now_ms();
 
 	peer_gossip_self(server, &req.from);
 	if (!client_call(ip, port, PEER_PULL, (xdrproc_t)xdr_pull_request, &req,
 		(xdrproc_t)xdr_pull_reply, &reply, PULL_TIMEOUT_MS))
 		return (false);
-	peer_gossip_apply(server, &reply, asked_ms);
+	peer_gossip_apply(server, &reply, sent_ms);
 	xdr_free((xdrproc_t)xdr_pull_reply, &reply);
 	return (true);
 }
 
 /**
- * peer_pull_hosts() - ask a daemon what it saw of hosts, and take it.
+ * peer_pull_hosts() - query a daemon for its evidence of hosts, and apply it.
  * @server: this daemon
- * @ip: its address in host order
- * @port: its port
+ * @ip: the peer's address in host byte order
+ * @port: the peer's port
  */
 bool
 peer_pull_hosts(struct server *server, uint32_t ip, uint16_t port)
 {
-	uint64_t asked_ms = clock_now_ms();
+	uint64_t sent_ms = clock_now_ms();
 	hosts_reply reply = { 0 };
 
-	if (!client_call(ip, port, PEER_HOSTS, xdr_nothing, NULL,
+	if (!client_call(ip, port, PEER_HOSTS, xdr_empty, NULL,
 		(xdrproc_t)xdr_hosts_reply, &reply, PULL_TIMEOUT_MS))
 		return (false);
-	peer_gossip_apply_hosts(server, &reply, asked_ms);
+	peer_gossip_apply_hosts(server, &reply, sent_ms);
 	xdr_free((xdrproc_t)xdr_hosts_reply, &reply);
 	return (true);
 }
 
-/* Fetches the parts of a dump; they must all be of one prefix. */
+/* Fetches the parts of a dump; all must be of the state at one offset. */
 static bool
-fetch_parts(const struct member *from, uint64_t after, GByteArray *text)
+fetch_dump(const struct member *from, uint64_t after, GByteArray *text)
 {
 	state_request req = { .after = after };
 	unsigned total = 1;
@@ -160,11 +164,11 @@
 }
 
 /**
- * peer_fetch_state() - get a state from the peer that is furthest ahead.
+ * peer_fetch_state() - fetch the state of the most advanced peer.
  * @server: this daemon
  * @next: first offset that this daemon has not applied
  *
- * Return: a dump, or NULL when no peer is further.
+ * Return: a dump, or NULL when no peer is beyond @next or the fetch failed.
  */
 json_t *
 peer_fetch_state(struct server *server, uint64_t next)
@@ -176,18 +180,18 @@
 		&from))
 		return (NULL);
 	text = g_byte_array_new();
-	if (!fetch_parts(&from, next, text))
+	if (!fetch_dump(&from, next, text))
 		return (NULL);
 	return (json_loadb((const char *)text->data, text->len, 0, NULL));
 }
 
 /**
- * peer_claim() - hand an operation on a request id to a daemon.
- * @ip: its address in host order
- * @port: its port
+ * peer_claim() - send an operation on a request id to a daemon.
+ * @ip: the peer's address in host byte order
+ * @port: the peer's port
  * @req: the operation
  * @answer: filled in; free with xdr_free()
- * @timeout_ms: bound on the call
+ * @timeout_ms: time-out of the call
  */
 bool
 peer_claim(uint32_t ip, uint16_t port, struct claim_request *req,
@@ -199,16 +203,17 @@
 }
 
 /**
- * peer_send_decision() - tell a daemon a decision, hardly waiting.
- * @ip: its address in host order
- * @port: its port
+ * peer_send_decision() - send the decision on an operation to a daemon.
+ * @ip: the peer's address in host byte order
+ * @port: the peer's port
  * @decision: the decision
  *
- * A lost one does no harm: the daemon asks again.
+ * Waits for the reply for DECIDED_TIMEOUT_MS only. Losing the message does no
+ * harm, since the daemon queries again.
  */
 void
 peer_send_decision(uint32_t ip, uint16_t port, struct claim_decision *decision)
 {
 	client_call(ip, port, PEER_DECIDED, (xdrproc_t)xdr_claim_decision,
-	    decision, xdr_nothing, NULL, DECIDED_TIMEOUT_MS);
+	    decision, xdr_empty, NULL, DECIDED_TIMEOUT_MS);
 }
--- a/src/peer-client.h
+++ b/src/peer-client.h
@@ -1,4 +1,4 @@
-/* Calls to other daemons over ONC RPC. */
+/* Client side of the ONC RPC between daemons. */
 #ifndef BL_PEER_CLIENT_H
 #define BL_PEER_CLIENT_H
 
--- a/src/peer-gossip.c
+++ b/src/peer-gossip.c
@@ -1,4 +1,4 @@
-/* News between daemons: members, targets and hosts, each with its age. */
+/* Gossip messages: members, targets and hosts, each with its age. */
 #include <string.h>
 
 #include "clock.h"
@@ -7,9 +7,9 @@
 #include "server.h"
 
 /**
- * peer_gossip_self() - describe this daemon.
+ * peer_gossip_self() - fill in the entry of this daemon.
  * @server: this daemon
- * @out: filled in; its strings stay this daemon's own
+ * @out: filled in; the strings remain owned by @server
  */
 void
 peer_gossip_self(struct server *server, struct peer_member *out)
@@ -26,12 +26,14 @@
 	out->leaving = atomic_load(&server->leaving);
 }
 
+/* Returns the age of a time, in ms, as messages carry it. */
 static unsigned
-age_of(uint64_t seen_ms, uint64_t now)
+age_ms_since(uint64_t seen_ms, uint64_t now)
 {
 	return (now > seen_ms ? (unsigned)MIN(now - seen_ms, UINT32_MAX) : 0);
 }
 
+/* Fills in the targets of this failure domain that have recent evidence. */
 static void
 fill_targets(struct server *server, uint64_t now, struct pull_reply *reply)
 {
@@ -49,11 +51,11 @@
 		peer_target *out = &reply->targets.targets_val[n];
 		struct peer_pack pack;
 
-		/* Only this domain's, and only what is news to most. */
+		/* Only this domain's, and only what most daemons lack. */
 		if (strcmp(target->domain, server->set.domain) != 0 ||
 		    now >= seen_ms + (uint64_t)server->set.evidence_ms * 3 / 4)
 			continue;
-		pack.age_ms = age_of(seen_ms, now);
+		pack.age_ms = age_ms_since(seen_ms, now);
 		pack.flag = atomic_load(&target->valid_until_ms) > 0;
 		pack.load = atomic_load(&target->reported);
 		out->key = target->key;
@@ -64,7 +66,7 @@
 	reply->targets.targets_len = n;
 }
 
-/* A bounded part of the members, from a place that moves on every time. */
+/* Fills in a bounded number of members, from a position that rotates. */
 static void
 fill_members(struct server *server, uint64_t now, struct pull_reply *reply)
 {
@@ -91,7 +93,7 @@
 		out->port = m->port;
 		out->boot = m->incarnation;
 		out->applied = m->next_offset;
-		out->age_ms = age_of(m->seen_ms, now);
+		out->age_ms = age_ms_since(m->seen_ms, now);
 		out->leaving = m->leaving;
 		n++;
 	}
@@ -99,7 +101,7 @@
 	reply->members.members_len = n;
 }
 
-/* The lives of this failure domain's daemons, briefly. */
+/* Fills in the liveness of this failure domain's daemons. */
 static void
 fill_lives(struct server *server, uint64_t now, struct pull_reply *reply)
 {
@@ -116,7 +118,7 @@
 		if (n == PEER_LIVES_MAX || !member_alive(ms, m, now) ||
 		    strcmp(m->domain, server->set.domain) != 0)
 			continue;
-		pack.age_ms = age_of(m->seen_ms, now);
+		pack.age_ms = age_ms_since(m->seen_ms, now);
 		pack.flag = m->leaving;
 		out->key = (uint32_t)m->name_hash;
 		out->news = peer_pack(&pack);
@@ -127,7 +129,7 @@
 }
 
 /**
- * peer_gossip_fill_hosts() - what this daemon saw itself of hosts.
+ * peer_gossip_fill_hosts() - fill in this daemon's own evidence of hosts.
  * @server: this daemon
  * @reply: filled in; free with xdr_free()
  */
@@ -149,7 +151,7 @@
 		if (n == PEER_HOSTS_MAX ||
 		    !evidence_fresh(ev, now, (uint64_t)server->set.evidence_ms))
 			continue;
-		pack.age_ms = age_of(ev->seen_ms, now);
+		pack.age_ms = age_ms_since(ev->seen_ms, now);
 		pack.load = ev->load;
 		held.state = ev->state;
 		held.shard = ev->shard;
@@ -166,7 +168,7 @@
 }
 
 /**
- * peer_gossip_fill() - what this daemon knows, for one that asks.
+ * peer_gossip_fill() - fill in the reply to a daemon's query.
  * @server: this daemon
  * @reply: filled in; free with xdr_free()
  */
@@ -184,11 +186,13 @@
 	fill_lives(server, now, reply);
 }
 
+/* Applies a member's entry, with the age that it had when the query was sent.
+ */
 static void
-take_member(struct server *server, const struct peer_member *in,
-    uint64_t asked_ms)
+apply_member(struct server *server, const struct peer_member *in,
+    uint64_t sent_ms)
 {
-	struct member news = { .name = in->name,
+	struct member update = { .name = in->name,
 		.domain = in->domain,
 		.ip = in->ip,
 		.port = (uint16_t)in->port,
@@ -196,27 +200,29 @@
 		.next_offset = in->applied,
 		.leaving = in->leaving };
 
-	if (in->name[0] != '\0' && in->age_ms < asked_ms)
-		members_update(&server->members, &news, asked_ms - in->age_ms);
+	if (in->name[0] != '\0' && in->age_ms < sent_ms)
+		members_update(&server->members, &update, sent_ms - in->age_ms);
 }
 
+/* Applies the liveness of this failure domain's daemons. */
 static void
-take_lives(struct server *server, const struct pull_reply *reply,
-    uint64_t asked_ms)
+apply_lives(struct server *server, const struct pull_reply *reply,
+    uint64_t sent_ms)
 {
 	for (unsigned i = 0; i < reply->lives.lives_len; i++) {
 		const peer_life *in = &reply->lives.lives_val[i];
 		struct peer_pack pack = peer_unpack(in->news);
 
-		if (pack.age_ms < asked_ms)
+		if (pack.age_ms < sent_ms)
 			members_refresh(&server->members, in->key, pack.flag,
-			    asked_ms - pack.age_ms);
+			    sent_ms - pack.age_ms);
 	}
 }
 
+/* Applies newer evidence and loads of known targets. */
 static void
-take_targets(struct server *server, const struct pull_reply *reply,
-    uint64_t asked_ms)
+apply_targets(struct server *server, const struct pull_reply *reply,
+    uint64_t sent_ms)
 {
 	struct target *target;
 
@@ -227,9 +233,9 @@
 		uint64_t key = in->key, seen_ms;
 
 		target = g_hash_table_lookup(server->tables.targets, &key);
-		if (target == NULL || pack.age_ms >= asked_ms)
+		if (target == NULL || pack.age_ms >= sent_ms)
 			continue;
-		seen_ms = asked_ms - pack.age_ms;
+		seen_ms = sent_ms - pack.age_ms;
 		if (seen_ms <= atomic_load(&target->seen_ms))
 			continue;
 		target_evidence(target, seen_ms, pack.flag,
@@ -240,51 +246,51 @@
 }
 
 /**
- * peer_gossip_introduce() - hear of a daemon by its question.
+ * peer_gossip_introduce() - add the daemon that sent a query to the members.
  * @server: this daemon
- * @from: the daemon that asks
+ * @from: the daemon that sent it
  *
- * The question may have waited in a queue while this daemon was paused, so it
- * proves nothing of when it was asked: the other becomes known, and is asked
- * in turn.
+ * The query may have been queued while this daemon was paused, so it does not
+ * prove that the daemon is alive now: it becomes known, and is then queried
+ * itself.
  */
 void
 peer_gossip_introduce(struct server *server, const struct peer_member *from)
 {
-	struct member news = { .name = from->name,
+	struct member update = { .name = from->name,
 		.domain = from->domain,
 		.ip = from->ip,
 		.port = (uint16_t)from->port };
 
 	if (from->name[0] != '\0')
-		members_introduce(&server->members, &news, clock_now_ms());
+		members_introduce(&server->members, &update, clock_now_ms());
 }
 
 /**
- * peer_gossip_apply() - take what another daemon knows.
+ * peer_gossip_apply() - apply another daemon's reply to a query.
  * @server: this daemon
- * @reply: its answer
- * @asked_ms: monotonic time before the question was sent
+ * @reply: the reply
+ * @sent_ms: monotonic time before the query was sent, in ms
  */
 void
 peer_gossip_apply(struct server *server, const struct pull_reply *reply,
-    uint64_t asked_ms)
+    uint64_t sent_ms)
 {
-	take_member(server, &reply->self, asked_ms);
+	apply_member(server, &reply->self, sent_ms);
 	for (unsigned i = 0; i < reply->members.members_len; i++)
-		take_member(server, &reply->members.members_val[i], asked_ms);
-	take_lives(server, reply, asked_ms);
-	take_targets(server, reply, asked_ms);
+		apply_member(server, &reply->members.members_val[i], sent_ms);
+	apply_lives(server, reply, sent_ms);
+	apply_targets(server, reply, sent_ms);
 }
 
-/* Takes newer evidence of one host. */
+/* Applies evidence of one host if it is newer. */
 static void
-take_host(struct host *host, const struct peer_host *in, uint64_t asked_ms)
+apply_host(struct host *host, const struct peer_host *in, uint64_t sent_ms)
 {
 	struct peer_pack pack = peer_unpack(in->news);
 	struct peer_host_state held = peer_unpack_host_state(in->held);
 	struct evidence *ev = &host->evidence;
-	uint64_t seen_ms = asked_ms - MIN(pack.age_ms, asked_ms);
+	uint64_t seen_ms = sent_ms - MIN(pack.age_ms, sent_ms);
 
 	if (seen_ms <= ev->seen_ms)
 		return;
@@ -300,14 +306,14 @@
 }
 
 /**
- * peer_gossip_apply_hosts() - take what another daemon saw of hosts.
+ * peer_gossip_apply_hosts() - apply another daemon's evidence of hosts.
  * @server: this daemon
- * @reply: its answer
- * @asked_ms: monotonic time before the question was sent
+ * @reply: the reply
+ * @sent_ms: monotonic time before the query was sent, in ms
  */
 void
 peer_gossip_apply_hosts(struct server *server, const struct hosts_reply *reply,
-    uint64_t asked_ms)
+    uint64_t sent_ms)
 {
 	struct host *host;
 
@@ -317,7 +323,7 @@
 			const peer_host *in = &reply->hosts.hosts_val[i];
 
 			if ((uint32_t)host->key == in->key)
-				take_host(host, in, asked_ms);
+				apply_host(host, in, sent_ms);
 		}
 	}
 	g_mutex_unlock(&server->inv.lock);
--- a/src/peer-gossip.h
+++ b/src/peer-gossip.h
@@ -1,4 +1,4 @@
-/* News between daemons: members, targets and hosts, each with its age. */
+/* Gossip messages: members, targets and hosts, each with its age. */
 #ifndef BL_PEER_GOSSIP_H
 #define BL_PEER_GOSSIP_H
 
--- a/src/peer-pack.c
+++ b/src/peer-pack.c
@@ -1,48 +1,50 @@
-/* Packs an age, a flag and a load into one number of a message. */
+/* Packs fields of gossip messages into 32-bit words. */
 #include <glib.h>
 
 #include "peer-pack.h"
 
+/* Layout of struct peer_pack: age, flag, load. */
 #define FLAG_SHIFT 16
 #define LOAD_SHIFT 17
+/* Layout of struct peer_host_state: state, rank + 1, number of ranks. */
 #define STATE_MASK 0xffu
-#define HELD_MASK 0xfffu
+#define SHARD_MASK 0xfffu
 #define SHARD_SHIFT 8
 #define SHARDS_SHIFT 20
 
 /**
- * peer_pack_host_state() - pack.
- * @h: what is packed
+ * peer_pack_host_state() - pack a host's state and shard.
+ * @h: the values
  */
 uint32_t
 peer_pack_host_state(const struct peer_host_state *h)
 {
-	uint32_t shard = (uint32_t)(h->shard + 1) & HELD_MASK;
-	uint32_t shards = (uint32_t)h->shards & HELD_MASK;
+	uint32_t shard = (uint32_t)(h->shard + 1) & SHARD_MASK;
+	uint32_t shards = (uint32_t)h->shards & SHARD_MASK;
 
 	return ((h->state & STATE_MASK) | shard << SHARD_SHIFT |
 	    shards << SHARDS_SHIFT);
 }
 
 /**
- * peer_unpack_host_state() - the reverse.
- * @word: what peer_pack_host_state() gave
+ * peer_unpack_host_state() - reverse of peer_pack_host_state().
+ * @word: the packed values
  */
 struct peer_host_state
 peer_unpack_host_state(uint32_t word)
 {
 	struct peer_host_state h = {
 		.state = word & STATE_MASK,
-		.shard = (int)(word >> SHARD_SHIFT & HELD_MASK) - 1,
-		.shards = (int)(word >> SHARDS_SHIFT & HELD_MASK),
+		.shard = (int)(word >> SHARD_SHIFT & SHARD_MASK) - 1,
+		.shards = (int)(word >> SHARDS_SHIFT & SHARD_MASK),
 	};
 
 	return (h);
 }
 
 /**
- * peer_pack() - pack.
- * @p: what is packed
+ * peer_pack() - pack an age, a flag and a load.
+ * @p: the values
  */
 uint32_t
 peer_pack(const struct peer_pack *p)
@@ -54,8 +56,8 @@
 }
 
 /**
- * peer_unpack() - the reverse.
- * @word: what peer_pack() gave
+ * peer_unpack() - reverse of peer_pack().
+ * @word: the packed values
  */
 struct peer_pack
 peer_unpack(uint32_t word)
--- a/src/peer-server.c
+++ b/src/peer-server.c
@@ -1,6 +1,6 @@
 /*
- * Answers calls of other daemons over ONC RPC. One thread answers all, so the
- * handlers are short: what takes time is handed to another thread.
+ * Server side of the ONC RPC between daemons. A single thread serves all
+ * calls, so handlers must be short; longer work is passed to other threads.
  */
 #include <arpa/inet.h>
 #include <errno.h>
@@ -18,16 +18,17 @@
 #include "server.h"
 
 #define DATAGRAM_BYTES 16384
+/* Interval at which the thread checks whether the daemon is stopping. */
 #define POLL_MS 100
 
-/* rpcgen's handlers get no argument of ours. */
+/* Static, since rpcgen's handlers get no argument that could carry it. */
 static struct server *peer_server;
 static int peer_fd = -1;
 
 void banklift_peer_1(struct svc_req *, SVCXPRT *);
 
 /**
- * peer_server_open() - bind the peer address.
+ * peer_server_open() - bind the peer address and register the RPC program.
  * @server: this daemon
  * @error: ERROR_BAD_SETTING when the address cannot be bound
  */
@@ -59,8 +60,8 @@
 }
 
 /**
- * peer_server_run() - the thread that answers.
- * @arg: the daemon
+ * peer_server_run() - thread that serves calls of other daemons.
+ * @arg: the struct server
  */
 void *
 peer_server_run(void *arg)
@@ -75,6 +76,7 @@
 	return (NULL);
 }
 
+/* Serves PEER_PULL: gossip. */
 bool_t
 peer_pull_1_svc(pull_request req, pull_reply *reply, struct svc_req *rqstp)
 {
@@ -83,6 +85,7 @@
 	return (TRUE);
 }
 
+/* Serves PEER_STATE: one part of the dumped state. */
 bool_t
 peer_state_1_svc(state_request req, state_reply *reply, struct svc_req *rqstp)
 {
@@ -92,7 +95,7 @@
 	size_t len, n;
 
 	memset(reply, 0, sizeof *reply);
-	/* One dump is kept for the parts that follow the first. */
+	/* The dump is kept for requests of the parts after the first. */
 	if (req.begin == 0 || text == NULL || text_at != req.at) {
 		g_mutex_lock(&peer_server->config.lock);
 		if (peer_server->config.state->next > req.after) {
@@ -116,6 +119,7 @@
 	return (TRUE);
 }
 
+/* Serves PEER_CLAIM: an operation on a request id. */
 bool_t
 peer_claim_1_svc(claim_request req, claim_answer *answer, struct svc_req *rqstp)
 {
@@ -123,6 +127,7 @@
 	return (TRUE);
 }
 
+/* Serves PEER_DECIDED: the decision on an operation of this daemon. */
 bool_t
 peer_decided_1_svc(claim_decision decision, void *result, struct svc_req *rqstp)
 {
@@ -131,6 +136,7 @@
 	return (TRUE);
 }
 
+/* Serves PEER_HOSTS: this daemon's own evidence of hosts. */
 bool_t
 peer_hosts_1_svc(hosts_reply *reply, struct svc_req *rqstp)
 {
@@ -138,6 +144,7 @@
 	return (TRUE);
 }
 
+/* Frees a result after it was sent; called by rpcgen's code. */
 int
 banklift_peer_1_freeresult(SVCXPRT *xprt, xdrproc_t xdr, caddr_t result)
 {
--- a/src/peer-server.h
+++ b/src/peer-server.h
@@ -1,4 +1,4 @@
-/* Answers calls of other daemons over ONC RPC. */
+/* Server side of the ONC RPC between daemons. */
 #ifndef BL_PEER_SERVER_H
 #define BL_PEER_SERVER_H
 
--- a/src/peer_rpc.x
+++ b/src/peer_rpc.x
@@ -1,4 +1,7 @@
-/* Calls between daemons. Names are stable; add procedures, never change one. */
+/*
+ * RPC between daemons. The names are stable; procedures may be added, but
+ * existing ones never change.
+ */
 
 const PEER_NAME_MAX = 64;
 const PEER_TARGETS_MAX = 160;
@@ -10,15 +13,15 @@
 const PEER_CHUNK_MAX = 6144;
 
 /*
- * What the answering daemon knows of a target. These are most of what daemons
- * send each other, so the rest is packed by peer-pack.h.
+ * What the replying daemon knows of a target. Targets make up most of the
+ * data that daemons exchange, so all but the key is packed; see peer-pack.h.
  */
 struct peer_target {
 	unsigned hyper key;
 	unsigned int news;
 };
 
-/* What the answering daemon saw itself of a host in its failure domain. */
+/* The replying daemon's own evidence of a host in its failure domain. */
 struct peer_host {
 	unsigned int key;
 	unsigned int news;
@@ -27,7 +30,7 @@
 	unsigned int model;
 };
 
-/* Another daemon; age is that of the latest proof that it lives. */
+/* A daemon; age_ms is the age of the newest evidence that it is alive. */
 struct peer_member {
 	string name<PEER_NAME_MAX>;
 	string domain<PEER_NAME_MAX>;
@@ -39,7 +42,10 @@
 	bool leaving;
 };
 
-/* A daemon that the asking one may know already, by the hash of its name. */
+/*
+ * Liveness of a daemon that the querying one may know already; key is a hash
+ * of its name.
+ */
 struct peer_life {
 	unsigned int key;
 	unsigned int news;
@@ -49,7 +55,7 @@
 	peer_member from;
 };
 
-/* What a daemon saw itself of hosts; for the one that controls the domain. */
+/* A daemon's own evidence of hosts, for the controller of the domain. */
 struct hosts_reply {
 	peer_host hosts<PEER_HOSTS_MAX>;
 };
@@ -61,7 +67,7 @@
 	peer_life lives<PEER_LIVES_MAX>;
 };
 
-/* A part of a dumped state, for a daemon that is behind. */
+/* Request for a part of the dumped state, by a daemon that is behind. */
 struct state_request {
 	unsigned hyper after;
 	unsigned hyper at;
