--- a/src/order-ops.c
+++ b/src/order-ops.c
@@ -1,4 +1,4 @@
-/* Orders to endpoints and what they report, as the program sees them. */
+/* Names of orders to endpoints and of their results. */
 #include "order-ops.h"
 
 static const char *const kind_names[] = { "join", "open", "close", "cancel",
--- a/src/order-ops.h
+++ b/src/order-ops.h
@@ -1,4 +1,4 @@
-/* Orders to endpoints and what they report, as the program sees them. */
+/* Orders to endpoints, and queries for their reports, for any adapter. */
 #ifndef BL_ORDER_OPS_H
 #define BL_ORDER_OPS_H
 
@@ -8,13 +8,13 @@
 #include "net-client.h"
 
 /**
- * enum order_kind - what an endpoint is told to do.
- * @ORDER_JOIN: become a member of a group, loading its model
- * @ORDER_OPEN: to a head: serve
- * @ORDER_CLOSE: to a head: finish what runs, then serve no more
- * @ORDER_CANCEL: to a head: end what runs and serve no more
- * @ORDER_LEAVE: be in no group
- * @ORDER_STAGE: load a model onto the host beside all other work
+ * enum order_kind - action that an order requests of an endpoint.
+ * @ORDER_JOIN: become a member of a group and load its model
+ * @ORDER_OPEN: to a head: start to serve
+ * @ORDER_CLOSE: to a head: complete running requests, then stop serving
+ * @ORDER_CANCEL: to a head: abort running requests and stop serving
+ * @ORDER_LEAVE: leave the group
+ * @ORDER_STAGE: copy a model onto the host in the background
  */
 enum order_kind {
 	ORDER_JOIN,
@@ -27,11 +27,11 @@
 
 /**
  * struct order - one order.
- * @kind: what to do
+ * @kind: requested action
  * @fence: fencing token of the placer
  * @group: name of the group
- * @epoch: of the group
- * @model: ORDER_JOIN, ORDER_STAGE: the model
+ * @epoch: epoch of the group
+ * @model: ORDER_JOIN, ORDER_STAGE: name of the model
  * @members: ORDER_JOIN: ids of the members, the head first
  */
 struct order {
@@ -44,13 +44,13 @@
 };
 
 /**
- * enum order_result - what became of an order.
+ * enum order_result - result of an order.
  * @ORDER_ACCEPTED: begun or done
- * @ORDER_BAD_STATE: it does not fit the endpoint's state
- * @ORDER_FENCED: a newer placer or epoch was there before
+ * @ORDER_BAD_STATE: not valid in the endpoint's state
+ * @ORDER_FENCED: the endpoint has seen a newer placer or epoch
  * @ORDER_ADDRESS_REUSED: another incarnation has the address
  * @ORDER_REFUSED: refused for another reason
- * @ORDER_UNKNOWN: no answer; it may be carried out later
+ * @ORDER_UNKNOWN: no response; it may be carried out later
  */
 enum order_result {
 	ORDER_ACCEPTED,
@@ -63,12 +63,14 @@
 
 struct endpoint_report;
 
-/* Told how an order ended. */
+/* Called when an order has ended. */
 typedef void order_fn(void *, enum order_result);
+
 /**
- * enum order_report_status - how an endpoint answered a question.
- * @ORDER_REPORT_OK: by its report
- * @ORDER_REPORT_NONE: none; a refused connection too, since cuts may refuse
+ * enum order_report_status - result of a query for an endpoint's report.
+ * @ORDER_REPORT_OK: the endpoint sent its report
+ * @ORDER_REPORT_NONE: no response; also a refused connection, which a network
+ *	partition can cause too
  * @ORDER_REPORT_ADDRESS_REUSED: another incarnation has its address
  */
 enum order_report_status {
@@ -77,14 +79,14 @@
 	ORDER_REPORT_ADDRESS_REUSED,
 };
 
-/* Told what an endpoint reports; NULL without a report. */
+/* Called when a query for a report has ended; the report may be NULL. */
 typedef void order_report_fn(void *, enum order_report_status,
     struct endpoint_report *);
 
 /**
- * struct order_ops - an adapter's calls to endpoints.
- * @send: give an order to the endpoint of a pool, by its id
- * @ask: ask it for its report
+ * struct order_ops - an adapter's calls to endpoints; false if not begun.
+ * @send: send an order to the endpoint with an id, over a pool
+ * @ask: query it for its report
  */
 struct order_ops {
 	bool (*send)(struct net_pool *, const char *, const struct order *,
--- a/src/publish.c
+++ b/src/publish.c
@@ -1,21 +1,21 @@
 /*
- * Turns the evidence of hosts into the validity of targets. A group's target
- * is valid only while every one of its hosts has lately said, itself, that it
- * is ready in this group at this epoch.
+ * Derives the validity of targets from the evidence of their hosts. A group's
+ * target is valid only while each of its hosts has itself reported lately that
+ * it is ready in this group at this epoch.
  */
 #include "group.h"
 #include "publish.h"
 
 /*
- * Whether every host of a group said that it is in it and ready. seen_ms is set
- * to the oldest of their evidence, contradicted_ms to the newest that says
- * otherwise, 0 for none.
+ * Whether every host of a group has reported that it is ready in the group.
+ * seen_ms is set to the time of their oldest evidence, contradicted_ms to that
+ * of the newest evidence to the contrary, 0 for none.
  */
 static bool
-group_whole(struct inventory *inv, const struct group *group, uint64_t *seen_ms,
+group_ready(struct inventory *inv, const struct group *group, uint64_t *seen_ms,
     uint64_t *contradicted_ms)
 {
-	bool whole = true;
+	bool ready = true;
 
 	*seen_ms = UINT64_MAX;
 	*contradicted_ms = 0;
@@ -24,22 +24,23 @@
 		const struct evidence *ev;
 
 		if (host == NULL) {
-			whole = false;
+			ready = false;
 			continue;
 		}
 		ev = &host->evidence;
 		*seen_ms = MIN(*seen_ms, ev->seen_ms);
 		if (evidence_ready_in(ev, group->epoch))
 			continue;
-		whole = false;
+		ready = false;
 		*contradicted_ms = MAX(*contradicted_ms, ev->seen_ms);
 	}
-	return (whole);
+	return (ready);
 }
 
+/* Updates the target of a group. */
 static void
 publish_group(struct inventory *inv, struct view_tables *tables,
-    const struct group *group, uint64_t limit)
+    const struct group *group, uint64_t max_age_ms)
 {
 	uint64_t seen_ms, contradicted_ms;
 	struct target *target;
@@ -48,10 +49,10 @@
 	target = g_hash_table_lookup(tables->targets, &group->epoch);
 	if (target == NULL)
 		return;
-	if (group_whole(inv, group, &seen_ms, &contradicted_ms))
-		target_evidence(target, seen_ms, true, limit);
+	if (group_ready(inv, group, &seen_ms, &contradicted_ms))
+		target_evidence(target, seen_ms, true, max_age_ms);
 	else if (contradicted_ms > 0)
-		target_evidence(target, contradicted_ms, false, limit);
+		target_evidence(target, contradicted_ms, false, max_age_ms);
 	leader = inventory_find(inv, group->hosts->pdata[0]);
 	if (leader != NULL &&
 	    leader->evidence.seen_ms > atomic_load(&target->report_ms))
@@ -59,9 +60,10 @@
 		    leader->evidence.load);
 }
 
+/* Updates the target of a service endpoint. */
 static void
 publish_endpoint(struct view_tables *tables, const struct host *host,
-    uint64_t limit)
+    uint64_t max_age_ms)
 {
 	const struct evidence *ev = &host->evidence;
 	struct target *target;
@@ -69,21 +71,22 @@
 	target = g_hash_table_lookup(tables->targets, &host->key);
 	if (target == NULL || ev->seen_ms == 0)
 		return;
-	target_evidence(target, ev->seen_ms, ev->state == HOST_READY, limit);
+	target_evidence(target, ev->seen_ms, ev->state == HOST_READY,
+	    max_age_ms);
 	if (ev->seen_ms > atomic_load(&target->report_ms))
 		target_report(target, ev->seen_ms, ev->load);
 }
 
 /**
- * publish_evidence() - bring the targets up to date.
+ * publish_evidence() - update all targets from the evidence of hosts.
  * @state: the configuration, locked
  * @inv: the hosts, locked
  * @tables: the targets, locked
- * @limit_ms: age at which evidence lapses
+ * @max_age_ms: age at which evidence expires
  */
 void
 publish_evidence(const struct state *state, struct inventory *inv,
-    struct view_tables *tables, uint64_t limit_ms)
+    struct view_tables *tables, uint64_t max_age_ms)
 {
 	GHashTableIter iter;
 	struct host *host;
@@ -91,9 +94,9 @@
 
 	g_hash_table_iter_init(&iter, state->groups);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		publish_group(inv, tables, value, limit_ms);
+		publish_group(inv, tables, value, max_age_ms);
 	TAILQ_FOREACH(host, &inv->hosts, entry) {
 		if (host->kind == HOST_SERVICE)
-			publish_endpoint(tables, host, limit_ms);
+			publish_endpoint(tables, host, max_age_ms);
 	}
 }
--- a/src/publish.h
+++ b/src/publish.h
@@ -1,4 +1,4 @@
-/* Turns the evidence of hosts into the validity of targets. */
+/* Derives the validity of targets from the evidence of their hosts. */
 #ifndef BL_PUBLISH_H
 #define BL_PUBLISH_H
 
--- a/src/store-ops.c
+++ b/src/store-ops.c
@@ -1,4 +1,4 @@
-/* The platform's store as the rest of the program sees it. */
+/* Names of the store's topics and results; its records. */
 #include "store-ops.h"
 
 static const char *const topic_names[] = { "config", "endpoints", "placement",
@@ -27,7 +27,7 @@
 }
 
 /**
- * store_record_clear() - free what a record holds.
+ * store_record_clear() - free the contents of a record.
  * @data: the struct store_record
  */
 void
--- a/src/store-ops.h
+++ b/src/store-ops.h
@@ -1,4 +1,4 @@
-/* The platform's store as the rest of the program sees it. */
+/* Interface to the platform's store, for any adapter. */
 #ifndef BL_STORE_OPS_H
 #define BL_STORE_OPS_H
 
@@ -7,7 +7,7 @@
 #include <stdint.h>
 
 /**
- * enum store_topic - what is kept there.
+ * enum store_topic - topics of the store.
  * @TOPIC_CONFIG: the operators' configuration
  * @TOPIC_ENDPOINTS: the endpoints' entries
  * @TOPIC_PLACEMENT: the placer's lease and the records of groups
@@ -22,12 +22,12 @@
 };
 
 /**
- * enum store_result - how a call to the store ended.
- * @STORE_OK: done
- * @STORE_TRIMMED: the records asked for are no longer kept
- * @STORE_CONFLICT: the topic did not end where the caller said
- * @STORE_REFUSED: nothing was done
- * @STORE_UNKNOWN: no answer; it may have been done, or may yet be
+ * enum store_result - result of a call to the store.
+ * @STORE_OK: success
+ * @STORE_TRIMMED: the requested records are no longer retained
+ * @STORE_CONFLICT: the topic does not end at the offset given to the append
+ * @STORE_REFUSED: refused without any effect
+ * @STORE_UNKNOWN: no response; the call may have taken effect, or may yet
  */
 enum store_result {
 	STORE_OK,
@@ -41,8 +41,8 @@
  * struct store_record - the value of a key.
  * @key: the key
  * @value: its value; NULL when the key was removed
- * @length: bytes of the value
- * @offset: place of the record in its topic
+ * @length: size of the value in bytes
+ * @offset: position of the record in its topic
  */
 struct store_record {
 	char *key;
@@ -52,13 +52,13 @@
 };
 
 /**
- * struct store_response - what a call brought.
- * @result: how it ended
- * @records: of struct store_record; NULL for an append
- * @end: where the topic ended
+ * struct store_response - response to a call.
+ * @result: result of the call
+ * @records: array of struct store_record; NULL for an append
+ * @end: end offset of the topic
  * @more: further pages follow the last key
  * @sent_ms: loop time just before the call; the state is no older
- * @status: of the reply, for logs
+ * @status: HTTP status of the response, for logs
  */
 struct store_response {
 	enum store_result result;
@@ -69,17 +69,18 @@
 	unsigned status;
 };
 
-/* Told once when a call ends; the answer lives until it returns. */
+/* Called once when a call ends; the response is valid until it returns. */
 typedef void store_fn(void *, const struct store_response *);
 
 struct store;
 
 /**
  * struct store_ops - calls to the store; each returns false if not begun.
- * @newest: the newest record of each key after a key (NULL: from the first)
- * @read: records from an offset on; never held back where there are none,
- *	since what is proved dates from the asking
- * @append: add records, if the topic ends at a given offset
+ * @newest: get the newest record of each key after a given one (NULL: from
+ *	the first)
+ * @read: get records from an offset on; not a long poll, since a response
+ *	proves the topic's contents only as of the time of the call
+ * @append: append records, if the topic ends at a given offset
  */
 struct store_ops {
 	bool (*newest)(struct store *, enum store_topic, const char *,
@@ -92,10 +93,10 @@
 
 /**
  * struct store - a store and its adapter's functions.
- * @ops: the functions
- * @timeout_ms: for one call
- * @calls: made so far, by topic
- * @failures: of them without a good answer
+ * @ops: functions of the adapter
+ * @timeout_ms: time-out of one call
+ * @calls: number of calls made, by topic
+ * @failures: number of calls refused or without a valid response
  */
 struct store {
 	const struct store_ops *ops;
--- a/src/view.c
+++ b/src/view.c
@@ -1,11 +1,11 @@
-/* The view: what request threads read under RCU; replaced, never changed. */
+/* The view: an immutable snapshot that request threads read under RCU. */
 #include <string.h>
 
 #include "admission.h"
 #include "group.h"
 #include "view.h"
 
-/* What the steps of one build share. */
+/* State shared by the steps of one build. */
 struct build {
 	struct view_tables *tables;
 	const struct state *state;
@@ -17,7 +17,7 @@
 };
 
 /**
- * view_tables_init() - begin with no targets and customers.
+ * view_tables_init() - initialize empty tables.
  * @tables: the tables
  */
 void
@@ -43,7 +43,10 @@
 	g_hash_table_unref(tables->admissions);
 }
 
-/* The lasting target of a key, made when it is new. */
+/*
+ * Returns the target of a key; creates it if it is new or its URL has
+ * changed.
+ */
 static struct target *
 build_target(struct build *b, const char *name, const struct host *host,
     uint64_t key, uint64_t epoch)
@@ -66,7 +69,7 @@
 	return (target);
 }
 
-/* Whether a host of the group is known to leave, or not known at all. */
+/* Whether a host of a group is leaving, or is not in the inventory. */
 static bool
 group_leaving(struct build *b, const struct group *group)
 {
@@ -80,6 +83,7 @@
 	return (false);
 }
 
+/* Adds the targets of groups to the route sets of their deployments. */
 static void
 build_groups(struct build *b)
 {
@@ -103,6 +107,7 @@
 	}
 }
 
+/* Adds the targets of a pool's endpoints to the route set of a service. */
 static void
 build_endpoints(struct build *b, struct route_set *set, const char *pool)
 {
@@ -118,7 +123,7 @@
 	}
 }
 
-/* The lasting admission of a deployment, made when it is new. */
+/* Returns the admission of a deployment; creates it if it is new. */
 static struct admission *
 build_admission(struct build *b, const char *name)
 {
@@ -133,7 +138,7 @@
 
 /*
  * Sets how many requests of each deployment this daemon serves at once: its
- * share of what the known replicas take.
+ * share of the number that the known replicas serve together.
  */
 static void
 build_slots(struct build *b)
@@ -155,6 +160,7 @@
 	}
 }
 
+/* Adds the route set of a deployment or service. */
 static void
 build_set(struct build *b, const struct resource *res, bool service)
 {
@@ -172,6 +178,7 @@
 		build_endpoints(b, set, resource_string(res, "pool", ""));
 }
 
+/* Adds a customer; updates its limits, of which this daemon has a share. */
 static void
 build_customer(struct build *b, const struct resource *res)
 {
@@ -210,7 +217,7 @@
 	}
 }
 
-/* Targets that no set names any more get no new work, and go. */
+/* Retires a target that no route set uses, so that it gets no new requests. */
 static gboolean
 target_unused(gpointer key, gpointer value, gpointer arg)
 {
@@ -223,12 +230,12 @@
 }
 
 /**
- * view_build() - make a view.
- * @tables: what outlives views
+ * view_build() - build a view.
+ * @tables: objects that successive views share
  * @state: the configuration, locked
- * @inv: the hosts
+ * @inv: the hosts; not locked
  * @domain: failure domain of this daemon
- * @daemons: how many daemons share the customers' limits
+ * @daemons: number of daemons that share the customers' limits
  */
 struct view *
 view_build(struct view_tables *tables, const struct state *state,
@@ -257,7 +264,7 @@
 }
 
 /**
- * view_free() - free a view that no thread reads any more.
+ * view_free() - free a view that no thread reads any longer.
  * @view: the view
  */
 void
--- a/src/view.h
+++ b/src/view.h
@@ -1,4 +1,4 @@
-/* The view: what request threads read under RCU; replaced, never changed. */
+/* The view: an immutable snapshot that request threads read under RCU. */
 #ifndef BL_VIEW_H
 #define BL_VIEW_H
 
@@ -11,7 +11,7 @@
 
 /**
  * struct view - one published view.
- * @next: prefix of the configuration that it was made from
+ * @next: next offset of the configuration that it was built from
  * @by_key: SHA-256 of a customer's key to struct customer
  * @deployments: name to struct route_set
  * @services: name to struct route_set
@@ -24,7 +24,8 @@
 };
 
 /**
- * struct view_tables - what outlives single views; for the builder only.
+ * struct view_tables - objects that successive views share; for the builder
+ * only.
  * @targets: key to struct target
  * @customers: name to struct customer
  * @admissions: name of a deployment to struct admission
