--- a/tests/test-config.c
+++ b/tests/test-config.c
@@ -1,4 +1,4 @@
-/* Scripts over following the log: read-back, snapshots, offers of states. */
+/* Scripts on replay of the log: read-back, snapshots, adoption of states. */
 #include <inttypes.h>
 #include <string.h>
 
@@ -13,46 +13,46 @@
 
 static struct fake_log flog;
 static struct config configs[CONFIGS];
-static json_t *kept;
-static gboolean made;
+static json_t *saved;
+static gboolean initialized;
 static gint following;
 
 static void
-drop(void)
+destroy_configs(void)
 {
-	for (int i = 0; made && i < CONFIGS; i++)
+	for (int i = 0; initialized && i < CONFIGS; i++)
 		config_destroy(&configs[i]);
-	if (made)
+	if (initialized)
 		fake_log_clear(&flog);
-	g_clear_pointer(&kept, json_decref);
-	made = FALSE;
+	g_clear_pointer(&saved, json_decref);
+	initialized = FALSE;
 }
 
 static void
 reset(void)
 {
-	drop();
+	destroy_configs();
 	fake_log_init(&flog);
 	for (int i = 0; i < CONFIGS; i++)
 		config_init(&configs[i], &flog.client, NULL, NULL);
-	made = TRUE;
+	initialized = TRUE;
 }
 
-/* The configuration that the first word names: a or b. */
+/* Returns the configuration that the first word names: a or b. */
 static struct config *
 config_of(const char *rest)
 {
 	return (&configs[rest[0] == 'b']);
 }
 
-/* reset: begin anew */
+/* reset: starts with an empty log and empty states */
 static void
 exec_reset(const char *rest, GString *out)
 {
 	reset();
 }
 
-/* log JSON: a record is written by some other program */
+/* log JSON: appends a record, as written by another program */
 static void
 exec_log(const char *rest, GString *out)
 {
@@ -61,7 +61,7 @@
 	fake_log_add(&flog, record);
 }
 
-/* fault down=0|1 lose=N refuse=N first=N */
+/* fault down=0|1 lose=N refuse=N first=N: faults of the log; see fake-log.h */
 static void
 exec_fault(const char *rest, GString *out)
 {
@@ -71,7 +71,7 @@
 	flog.first = script_number(rest, "first", flog.first);
 }
 
-/* follow a|b: one read of the log */
+/* follow a|b: reads once from the log; prints the next offset */
 static void
 exec_follow(const char *rest, GString *out)
 {
@@ -80,7 +80,7 @@
 	    config_next(config_of(rest)));
 }
 
-/* show a|b NAME: the policy of a placement */
+/* show a|b NAME: prints the policy of a placement */
 static void
 exec_show(const char *rest, GString *out)
 {
@@ -92,8 +92,9 @@
 }
 
 /*
- * Reads on once the change was appended: a conflict that is in the log already
- * must be found by replay after the append, and not, now and then, before it.
+ * Follows the log once the change has been appended. If it started earlier, a
+ * conflicting record that is in the log already would at times be found before
+ * the append instead of by the replay after it.
  */
 static gpointer
 follow_thread(gpointer arg)
@@ -106,7 +107,7 @@
 	return (NULL);
 }
 
-/* change a|b NAME POLICY BASE: an operator's change, with its read-back */
+/* change a|b NAME POLICY BASE: makes an operator's change and reads it back */
 static void
 exec_change(const char *rest, GString *out)
 {
@@ -131,23 +132,24 @@
 		g_string_append_printf(out, "%s\n", error_name(error->code));
 }
 
-/* keep a|b: remember its state; offer a|b: hand the remembered one to it */
+/* save a|b: saves its state */
 static void
-exec_keep(const char *rest, GString *out)
+exec_save(const char *rest, GString *out)
 {
-	json_decref(kept);
-	kept = state_dump(config_of(rest)->state);
+	json_decref(saved);
+	saved = state_dump(config_of(rest)->state);
 }
 
+/* adopt a|b: lets it adopt the saved state; prints whether it did */
 static void
-exec_offer(const char *rest, GString *out)
+exec_adopt(const char *rest, GString *out)
 {
 	g_string_append(out,
-	    config_adopt_state(config_of(rest), kept) ? "taken\n" :
-							"not taken\n");
+	    config_adopt_state(config_of(rest), saved) ? "adopted\n" :
+							 "not adopted\n");
 }
 
-/* snapshot a|b: writes a snapshot of its state */
+/* snapshot a|b: writes a snapshot of its state to the log */
 static void
 exec_snapshot(const char *rest, GString *out)
 {
@@ -155,7 +157,7 @@
 		g_string_append(out, "failed\n");
 }
 
-/* same: whether both have the same state */
+/* same: prints whether the two states are equal */
 static void
 exec_same(const char *rest, GString *out)
 {
@@ -172,8 +174,8 @@
 	{ "follow", exec_follow },
 	{ "show", exec_show },
 	{ "change", exec_change },
-	{ "keep", exec_keep },
-	{ "offer", exec_offer },
+	{ "save", exec_save },
+	{ "adopt", exec_adopt },
 	{ "snapshot", exec_snapshot },
 	{ "same", exec_same },
 	{ NULL, NULL },
@@ -184,6 +186,6 @@
 {
 	int rc = script_main("config", commands, reset);
 
-	drop();
+	destroy_configs();
 	return (rc);
 }
--- a/tests/test-fuzz.c
+++ b/tests/test-fuzz.c
@@ -1,6 +1,7 @@
 /*
- * Feeds damaged input to every parser of what comes from outside: a bounded
- * count, from a fixed seed. Nothing may crash, and valid input stays valid.
+ * Fuzzes the parsers of external input with a bounded number of mutated
+ * samples, from a fixed seed. Nothing may crash, and input that is accepted
+ * must be valid.
  */
 #include <CUnit/Basic.h>
 #include <string.h>
@@ -56,9 +57,9 @@
 	return (rng % below);
 }
 
-/* A sample with some bytes changed, removed or doubled. */
+/* Returns a sample with up to three mutations. */
 static GString *
-damage(const char *sample)
+mutate(const char *sample)
 {
 	GString *text = g_string_new(sample);
 
@@ -85,6 +86,7 @@
 	return (text);
 }
 
+/* Feeds JSON to the parsers of records, hosts and states. */
 static void
 feed_json(struct state *state, struct claim_index *claims, json_t *json)
 {
@@ -103,6 +105,7 @@
 		state_free(loaded);
 }
 
+/* Feeds text to the parsers of event streams and addresses. */
 static void
 feed_text(const GString *text)
 {
@@ -127,7 +130,7 @@
 	rng = SEED;
 	claim_index_init(&claims);
 	for (int i = 0; i < ROUNDS; i++) {
-		GString *text = damage(samples[draw(G_N_ELEMENTS(samples))]);
+		GString *text = mutate(samples[draw(G_N_ELEMENTS(samples))]);
 		json_t *json =
 		    json_loadb(text->str, text->len, JSON_ALLOW_NUL, NULL);
 
@@ -141,7 +144,7 @@
 	state_free(state);
 }
 
-/* Decodes damaged entries: those that are taken can be used as they are. */
+/* Decodes mutated entries: those that are accepted must be well-formed. */
 static void
 test_entries(void)
 {
@@ -155,7 +158,7 @@
 
 	rng = SEED;
 	for (int i = 0; i < ROUNDS; i++) {
-		GString *text = damage(sample);
+		GString *text = mutate(sample);
 		g_autoptr(GError) error = NULL;
 		struct endpoint_report r;
 
@@ -172,7 +175,7 @@
 	}
 }
 
-/* Decodes damaged messages of other daemons. */
+/* Decodes random RPC messages, mostly of zero bytes. */
 static void
 test_messages(void)
 {
@@ -205,23 +208,23 @@
 	CU_PASS("decoded");
 }
 
-/* A datagram with something of all that it may tell. */
+/* Encodes a datagram with some entries of each kind. */
 static size_t
-datagram(char *out, size_t size)
+encode_datagram(char *out, size_t size)
 {
-	static struct mesh_message news;
+	static struct mesh_message msg;
 
-	mesh_message_clear(&news);
-	news.kind = MESH_FLEET_SUMMARY;
-	g_strlcpy(news.name, "d1", sizeof news.name);
-	g_strlcpy(news.domain, "z1", sizeof news.domain);
-	news.n_loads = 3;
-	news.n_avoid = 2;
-	news.n_limits = 2;
-	news.n_poison = 4;
-	news.n_members = 3;
-	for (unsigned i = 0; i < news.n_poison; i++) {
-		news.poison[i] = (struct mesh_poison){
+	mesh_message_clear(&msg);
+	msg.kind = MESH_FLEET_SUMMARY;
+	g_strlcpy(msg.name, "d1", sizeof msg.name);
+	g_strlcpy(msg.domain, "z1", sizeof msg.domain);
+	msg.n_loads = 3;
+	msg.n_avoid = 2;
+	msg.n_limits = 2;
+	msg.n_poison = 4;
+	msg.n_members = 3;
+	for (unsigned i = 0; i < msg.n_poison; i++) {
+		msg.poison[i] = (struct mesh_poison){
 			.fingerprint = UINT64_C(0x1122334455667788) * (i + 1),
 			.id_hash = i,
 			.started = i,
@@ -229,40 +232,42 @@
 			.kind = MESH_POISON_BROKEN + i % MESH_POISON_CLEARED,
 		};
 	}
-	return (mesh_message_encode(&news, out, size));
+	return (mesh_message_encode(&msg, out, size));
 }
 
-/* Decodes damaged datagrams of other daemons: those that are taken are within
- * their bounds. */
+/*
+ * Decodes mutated datagrams of other daemons: those that are accepted must be
+ * within their bounds.
+ */
 static void
 test_datagrams(void)
 {
-	static struct mesh_message news;
-	char whole[MESH_DATAGRAM_MAX], bytes[MESH_DATAGRAM_MAX];
-	size_t length = datagram(whole, sizeof whole);
-	unsigned taken = 0;
+	static struct mesh_message msg;
+	char sample[MESH_DATAGRAM_MAX], bytes[MESH_DATAGRAM_MAX];
+	size_t length = encode_datagram(sample, sizeof sample);
+	unsigned accepted = 0;
 
 	rng = SEED;
 	CU_ASSERT(length > 0);
 	if (length == 0)
 		return;
 	for (int i = 0; i < ROUNDS; i++) {
-		memcpy(bytes, whole, length);
+		memcpy(bytes, sample, length);
 		for (unsigned n = draw(4); n > 0; n--)
 			bytes[draw(length)] = (char)draw(256);
-		if (!mesh_message_decode(&news, bytes,
+		if (!mesh_message_decode(&msg, bytes,
 			draw(8) == 0 ? draw(length) : length))
 			continue;
-		taken++;
-		CU_ASSERT(news.n_loads <= MESH_LOADS_MAX &&
-		    news.n_limits <= MESH_LIMITS_MAX &&
-		    news.n_poison <= MESH_POISON_MAX &&
-		    news.n_members <= MESH_MEMBERS_MAX);
-		for (uint32_t k = 0; k < news.n_poison; k++)
-			CU_ASSERT(news.poison[k].kind >= MESH_POISON_BROKEN &&
-			    news.poison[k].kind <= MESH_POISON_CLEARED);
+		accepted++;
+		CU_ASSERT(msg.n_loads <= MESH_LOADS_MAX &&
+		    msg.n_limits <= MESH_LIMITS_MAX &&
+		    msg.n_poison <= MESH_POISON_MAX &&
+		    msg.n_members <= MESH_MEMBERS_MAX);
+		for (uint32_t k = 0; k < msg.n_poison; k++)
+			CU_ASSERT(msg.poison[k].kind >= MESH_POISON_BROKEN &&
+			    msg.poison[k].kind <= MESH_POISON_CLEARED);
 	}
-	CU_ASSERT(taken > 0);
+	CU_ASSERT(accepted > 0);
 }
 
 int
--- a/tests/test-publish.c
+++ b/tests/test-publish.c
@@ -1,4 +1,6 @@
-/* A group whose hosts are not all known here: one contradicts, one is unknown.
+/*
+ * The target of a group becomes invalid when one of its hosts reports another
+ * state, even if another of its hosts is not in the inventory.
  */
 #include <CUnit/Basic.h>
 
--- a/tests/test-rebuild.c
+++ b/tests/test-rebuild.c
@@ -1,4 +1,7 @@
-/* Many threads rebuild the view at once; the sanitizer sees what is freed. */
+/*
+ * Threads rebuild the view concurrently, to let the sanitizer detect uses of a
+ * freed view.
+ */
 #include <CUnit/Basic.h>
 #include <fcntl.h>
 #include <unistd.h>
@@ -17,7 +20,7 @@
 	return (NULL);
 }
 
-/* A view that was published may be freed by the next rebuild at once. */
+/* The next rebuild may free a view as soon as it has been published. */
 static void
 test_rebuild(void)
 {
@@ -46,7 +49,7 @@
 	CU_pSuite suite;
 	int failures;
 
-	/* The line of each rebuild is what read the freed view. */
+	/* It was the log line of a rebuild that read a freed view. */
 	event_log_open("test", LOG_DEBUG);
 	if (null < 0 || dup2(null, STDERR_FILENO) < 0)
 		return (1);
--- a/tests/test-state.c
+++ b/tests/test-state.c
@@ -1,4 +1,4 @@
-/* Scripts over the replay of the configuration log. */
+/* Scripts on the replay of the configuration log. */
 #include <inttypes.h>
 
 #include "group.h"
@@ -16,7 +16,7 @@
 	state = state_create();
 }
 
-/* apply JSON: replays a record at the next offset. */
+/* apply JSON: replays a record at the next offset; prints the verdict. */
 static void
 exec_apply(const char *rest, GString *out)
 {
@@ -31,7 +31,7 @@
 	    error != NULL ? error->message : "");
 }
 
-/* show TYPE NAME: the version and spec of a resource. */
+/* show TYPE NAME: prints the version and spec of a resource. */
 static void
 exec_show(const char *rest, GString *out)
 {
@@ -48,7 +48,7 @@
 	    spec);
 }
 
-/* host NAME: the group that a host is in. */
+/* host NAME: prints the group that a host is in. */
 static void
 exec_host(const char *rest, GString *out)
 {
@@ -61,7 +61,7 @@
 		    group->name, group->epoch);
 }
 
-/* reload: dumps and loads the state; says whether its digest is the same. */
+/* reload: dumps and loads the state; prints whether the digest is equal. */
 static void
 exec_reload(const char *rest, GString *out)
 {
