--- a/src/publish.c
+++ b/src/publish.c
@@ -12,10 +12,10 @@
  * of the newest evidence to the contrary, 0 for none.
  */
 static bool
-group_ready(struct inventory *inv, const struct group *group, uint64_t *seen_ms,
-    uint64_t *contradicted_ms)
+group_intact(struct inventory *inv, const struct group *group,
+    uint64_t *seen_ms, uint64_t *contradicted_ms)
 {
-	bool ready = true;
+	bool intact = true;
 
 	*seen_ms = UINT64_MAX;
 	*contradicted_ms = 0;
@@ -24,17 +24,17 @@
 		const struct evidence *ev;
 
 		if (host == NULL) {
-			ready = false;
+			intact = false;
 			continue;
 		}
 		ev = &host->evidence;
 		*seen_ms = MIN(*seen_ms, ev->seen_ms);
 		if (evidence_ready_in(ev, group->epoch))
 			continue;
-		ready = false;
+		intact = false;
 		*contradicted_ms = MAX(*contradicted_ms, ev->seen_ms);
 	}
-	return (ready);
+	return (intact);
 }
 
 /* Updates the target of a group. */
@@ -49,7 +49,7 @@
 	target = g_hash_table_lookup(tables->targets, &group->epoch);
 	if (target == NULL)
 		return;
-	if (group_ready(inv, group, &seen_ms, &contradicted_ms))
+	if (group_intact(inv, group, &seen_ms, &contradicted_ms))
 		target_evidence(target, seen_ms, true, max_age_ms);
 	else if (contradicted_ms > 0)
 		target_evidence(target, contradicted_ms, false, max_age_ms);
