--- a/src/order-ops.h
+++ b/src/order-ops.h
@@ -5,7 +5,7 @@
 #include <glib.h>
 #include <stdint.h>
 
-#include "net-client.h"
+#include "net-conn.h"
 
 /**
  * enum order_kind - action that an order requests of an endpoint.
