--- a/src/bankliftctl.c
+++ b/src/bankliftctl.c
@@ -1,4 +1,4 @@
-/* bankliftctl: the operators' command line. */
+/* bankliftctl: command-line tool for operators. */
 #include <popt.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -6,7 +6,8 @@
 
 #include "cmd.h"
 
-#define TIMEOUT_MS 10000
+/* Time limit of calls and waiting without --timeout. */
+#define DEFAULT_TIMEOUT_MS 10000
 
 static const struct cmd_entry *const cmd_table[] = {
 	&cmd_account_entry,
@@ -42,7 +43,7 @@
 	return (CMD_USAGE);
 }
 
-/* Runs the command that the arguments name. */
+/* Runs the command named by the first argument. */
 static enum cmd_exit
 run(struct cmd_context *ctx, const char **args)
 {
@@ -67,19 +68,21 @@
 int
 main(int argc, const char **argv)
 {
-	struct cmd_context ctx = { .base = -1, .timeout_ms = TIMEOUT_MS };
+	struct cmd_context ctx = { .base = -1,
+		.timeout_ms = DEFAULT_TIMEOUT_MS };
 	char *server = NULL, *file = NULL;
 	int json = 0, rc;
 	struct poptOption options[] = {
 		{ "server", 's', POPT_ARG_STRING, &server, 0,
-		    "operator addresses (BANKLIFT_SERVER)", "url,..." },
-		{ "file", 'f', POPT_ARG_STRING, &file, 0, "file to apply",
-		    "path" },
+		    "operator addresses of daemons (BANKLIFT_SERVER)",
+		    "url,..." },
+		{ "file", 'f', POPT_ARG_STRING, &file, 0,
+		    "file of resources to apply", "path" },
 		{ "json", 'j', POPT_ARG_NONE, &json, 0, "print JSON", NULL },
 		{ "base", 'b', POPT_ARG_LONGLONG, &ctx.base, 0,
 		    "version that the change is based on", "version" },
 		{ "timeout", 't', POPT_ARG_INT, &ctx.timeout_ms, 0,
-		    "bound on waiting", "ms" },
+		    "time limit of calls and waits", "ms" },
 		POPT_AUTOHELP POPT_TABLEEND
 	};
 	poptContext context;
--- a/src/cmd-account.c
+++ b/src/cmd-account.c
@@ -1,4 +1,7 @@
-/* bankliftctl account [FILE...]: what became of requests and hosts, by time. */
+/*
+ * bankliftctl account [FILE...]: outcomes of requests and use of hosts over
+ * time, from logs of banklift-edge.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,57 +9,57 @@
 #include "cmd-log-line.h"
 #include "cmd.h"
 
-/* Milliseconds of one row; the shortest repair takes about as long. */
-#define ACCOUNT_SPAN_MS 2000
+/* Time that one row covers; the shortest repair takes about as long. */
+#define ACCOUNT_INTERVAL_MS 2000
 
 /**
- * struct account_span - one row.
- * @answered: whole answers
+ * struct account_span - outcomes of the requests that ended in one interval.
+ * @answered: requests with a complete response
  * @moved: of these, the ones that were sent more than once
- * @ends: "outcome reason" of the others to their number
- * @first: times to the first event seen, of struct account_first
+ * @ends: counts of the other requests by "outcome:reason"
+ * @first: times to the first event of responses, of struct first_event
  */
-struct account_span {
+struct account_interval {
 	unsigned answered;
-	unsigned moved;
-	GHashTable *ends;
+	unsigned retried;
+	GHashTable *failures;
 	GArray *first;
 };
 
-/* A first event: when it came and when it was expected, in milliseconds. */
-struct account_first {
-	double seen;
+/* Time to the first event of a response, measured and expected, in ms. */
+struct first_event {
+	double measured;
 	double expected;
 };
 
-/* Events that end a request without a whole answer. */
-static const char *const failed_ends[] = { "request_refused", "request_failed",
-	"request_broken_off" };
+/* Log events of requests that end without a complete response. */
+static const char *const failure_events[] = { "request_refused",
+	"request_failed", "request_broken_off" };
 
-static struct account_span *
-span_new(void)
+static struct account_interval *
+interval_new(void)
 {
-	struct account_span *span = g_new0(struct account_span, 1);
+	struct account_interval *interval = g_new0(struct account_interval, 1);
 
-	span->ends =
+	interval->failures =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	span->first = g_array_new(FALSE, FALSE, sizeof(struct account_first));
-	return (span);
+	interval->first = g_array_new(FALSE, FALSE, sizeof(struct first_event));
+	return (interval);
 }
 
 static void
-span_free(void *data)
+interval_free(void *data)
 {
-	struct account_span *span = data;
+	struct account_interval *interval = data;
 
-	g_hash_table_destroy(span->ends);
-	g_array_free(span->first, TRUE);
-	g_free(span);
+	g_hash_table_destroy(interval->failures);
+	g_array_free(interval->first, TRUE);
+	g_free(interval);
 }
 
-/* Adds one to a count by name. */
+/* Increments the count of a name; takes ownership of the name. */
 static void
-count_up(GHashTable *counts, char *name)
+count_increment(GHashTable *counts, char *name)
 {
 	guint n = GPOINTER_TO_UINT(g_hash_table_lookup(counts, name));
 
@@ -71,66 +74,69 @@
 	return (value != NULL ? g_ascii_strtod(value, NULL) : 0);
 }
 
-/* A whole answer; first events count where the model is known. */
+/*
+ * Adds a complete response. Its time to the first event counts if the request
+ * was sent once and a time was expected, which is so where the model is known.
+ */
 static void
-span_add_answer(struct account_span *span, const char *text)
+interval_add_response(struct account_interval *interval, const char *text)
 {
-	struct account_first first = { line_number(text, "first_ms"),
+	struct first_event first = { line_number(text, "first_ms"),
 		line_number(text, "expected_ms") };
-	bool moved = line_number(text, "sends") > 1;
+	bool retried = line_number(text, "sends") > 1;
 
-	span->answered++;
-	span->moved += moved;
-	if (!moved && first.expected > 0)
-		g_array_append_val(span->first, first);
+	interval->answered++;
+	interval->retried += retried;
+	if (!retried && first.expected > 0)
+		g_array_append_val(interval->first, first);
 }
 
-/* Takes in the end of a request. */
+/* Adds the outcome of a request if the line tells one. */
 static void
-span_add(struct account_span *span, const char *text)
+interval_add_outcome(struct account_interval *interval, const char *text)
 {
 	if (log_line_has(text, "event", "request_answered")) {
-		span_add_answer(span, text);
+		interval_add_response(interval, text);
 		return;
 	}
-	for (size_t i = 0; i < G_N_ELEMENTS(failed_ends); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(failure_events); i++) {
 		g_autofree char *reason = NULL;
 
-		if (!log_line_has(text, "event", failed_ends[i]))
+		if (!log_line_has(text, "event", failure_events[i]))
 			continue;
 		reason = log_line_get(text, "reason");
-		count_up(span->ends,
+		count_increment(interval->failures,
 		    g_strdup_printf("%s:%s",
-			failed_ends[i] + strlen("request_"),
+			failure_events[i] + strlen("request_"),
 			reason != NULL ? reason : "-"));
 	}
 }
 
 static int
-by_number(const void *a, const void *b)
+compare_doubles(const void *a, const void *b)
 {
 	const double *x = a, *y = b;
 
 	return (*x < *y ? -1 : *x > *y);
 }
 
-/* The median of seen or of expected first events. */
+/* Returns the median measured or expected time to the first event, in ms. */
 static double
-span_median(const struct account_span *span, bool seen)
+interval_median(const struct account_interval *interval, bool measured)
 {
-	g_autofree double *v = g_new(double, span->first->len + 1);
+	g_autofree double *v = g_new(double, interval->first->len + 1);
 
-	for (guint i = 0; i < span->first->len; i++) {
-		const struct account_first *first =
-		    &g_array_index(span->first, struct account_first, i);
+	for (guint i = 0; i < interval->first->len; i++) {
+		const struct first_event *first =
+		    &g_array_index(interval->first, struct first_event, i);
 
-		v[i] = seen ? first->seen : first->expected;
+		v[i] = measured ? first->measured : first->expected;
 	}
-	qsort(v, span->first->len, sizeof *v, by_number);
-	return (span->first->len > 0 ? v[span->first->len / 2] : 0);
+	qsort(v, interval->first->len, sizeof *v, compare_doubles);
+	return (interval->first->len > 0 ? v[interval->first->len / 2] : 0);
 }
 
-/* Prints counts by name, in the order of names. */
+/* Prints counts sorted by name. */
 static void
 print_counts(GHashTable *counts)
 {
@@ -142,7 +148,7 @@
 		    GPOINTER_TO_UINT(g_hash_table_lookup(counts, at->data)));
 }
 
-/* What hosts did at the end of a span: use to number. */
+/* Prints how many hosts have each use at the end of an interval. */
 static void
 print_hosts(GHashTable *hosts)
 {
@@ -153,26 +159,26 @@
 
 	g_hash_table_iter_init(&iter, hosts);
 	while (g_hash_table_iter_next(&iter, NULL, &use))
-		count_up(counts, g_strdup(use));
+		count_increment(counts, g_strdup(use));
 	print_counts(counts);
 }
 
 static void
-span_print(const struct account_span *span, long long from_ms,
+interval_print(const struct account_interval *interval, long long from_ms,
     GHashTable *hosts)
 {
 	printf("%6.1f answered=%u moved=%u first_ms=%.0f expected_ms=%.0f",
-	    (double)from_ms / 1000, span->answered, span->moved,
-	    span_median(span, true), span_median(span, false));
-	print_counts(span->ends);
+	    (double)from_ms / 1000, interval->answered, interval->retried,
+	    interval_median(interval, true), interval_median(interval, false));
+	print_counts(interval->failures);
 	printf(" | hosts");
 	print_hosts(hosts);
 	putchar('\n');
 }
 
-/* Keeps what each host was last said to do. */
+/* Updates the last logged use of a host, or forgets a host that is gone. */
 static void
-hosts_note(GHashTable *hosts, const char *text)
+hosts_update(GHashTable *hosts, const char *text)
 {
 	char *host = log_line_get(text, "host");
 	char *endpoint = log_line_get(text, "endpoint");
@@ -180,7 +186,7 @@
 
 	if (host != NULL && log_line_has(text, "event", "host_use"))
 		use = log_line_get(text, "use");
-	/* A line that was cut may say no use. */
+	/* A truncated line may lack the use. */
 	if (use != NULL)
 		g_hash_table_replace(hosts, g_strdup(host), use);
 	if (endpoint != NULL && log_line_has(text, "event", "endpoint_gone"))
@@ -190,15 +196,16 @@
 }
 
 /*
- * Prints one row after the other; the lines are in order of time. Spans without
- * a line have no row: a log that was cut in a line may hold any time.
+ * Prints a row for each interval; the lines are sorted by time. Intervals
+ * without a line have no row: a truncated line may have any time, and would
+ * otherwise cause any number of empty rows.
  */
 static void
 account_print(const GArray *lines)
 {
 	g_autoptr(GHashTable) hosts =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	struct account_span *span = span_new();
+	struct account_interval *interval = interval_new();
 	long long first = g_array_index(lines, struct log_line, 0).at_ms;
 	long long from = 0;
 
@@ -206,22 +213,22 @@
 		const struct log_line *line =
 		    &g_array_index(lines, struct log_line, i);
 
-		if (line->at_ms - first >= from + ACCOUNT_SPAN_MS) {
-			span_print(span, from, hosts);
-			span_free(span);
-			span = span_new();
-			from = (line->at_ms - first) / ACCOUNT_SPAN_MS *
-			    ACCOUNT_SPAN_MS;
+		if (line->at_ms - first >= from + ACCOUNT_INTERVAL_MS) {
+			interval_print(interval, from, hosts);
+			interval_free(interval);
+			interval = interval_new();
+			from = (line->at_ms - first) / ACCOUNT_INTERVAL_MS *
+			    ACCOUNT_INTERVAL_MS;
 		}
-		span_add(span, line->text);
-		hosts_note(hosts, line->text);
+		interval_add_outcome(interval, line->text);
+		hosts_update(hosts, line->text);
 	}
-	span_print(span, from, hosts);
-	span_free(span);
+	interval_print(interval, from, hosts);
+	interval_free(interval);
 }
 
 static enum cmd_exit
-account_exec(const struct cmd_context *ctx)
+cmd_account_exec(const struct cmd_context *ctx)
 {
 	g_autoptr(GArray) lines =
 	    g_array_new(FALSE, FALSE, sizeof(struct log_line));
@@ -239,9 +246,9 @@
 const struct cmd_entry cmd_account_entry = {
 	.name = "account",
 	.usage = "[FILE...]",
-	.help = "requests by outcome and hosts by use, by time, from logs of "
+	.help = "requests by outcome and hosts by use over time, from logs of "
 		"banklift-edge",
 	.min_args = 0,
 	.max_args = 1000,
-	.exec = account_exec,
+	.exec = cmd_account_exec,
 };
--- a/src/cmd-apply.c
+++ b/src/cmd-apply.c
@@ -1,14 +1,17 @@
-/* bankliftctl apply -f FILE: create or change the resources of a file. */
+/* bankliftctl apply -f FILE: creates or changes the resources of a file. */
 #include <stdio.h>
 
 #include "cleanup.h"
 #include "cmd.h"
 
-/* Applies one resource: {"type", "name", "spec"} and perhaps "version". */
+/*
+ * Applies one resource: {"type", "name", "spec"} with an optional "version"
+ * that the change is based on; it overrides --base.
+ */
 static enum cmd_exit
-apply_one(const struct cmd_context *ctx, json_t *item)
+apply_resource(const struct cmd_context *ctx, json_t *item)
 {
-	CLEANUP(http_reply_clear) struct http_reply reply = { 0 };
+	CLEANUP(http_reply_clear) struct http_reply response = { 0 };
 	g_autofree char *path = NULL;
 	json_auto_t *body = NULL;
 	const char *type, *name;
@@ -25,11 +28,11 @@
 	}
 	path = g_strdup_printf("/api/v1/%s/%s", type, name);
 	body = json_pack("{s:O, s:I}", "spec", spec, "base", base);
-	rc = cmd_call(ctx, "PUT", path, body, &reply);
+	rc = cmd_call(ctx, "PUT", path, body, &response);
 	if (rc == CMD_OK)
 		printf("%s/%s version %lld\n", type, name,
 		    (long long)json_integer_value(
-			json_object_get(reply.json, "version")));
+			json_object_get(response.json, "version")));
 	return (rc);
 }
 
@@ -53,9 +56,9 @@
 		return (CMD_USAGE);
 	}
 	if (json_is_object(file))
-		return (apply_one(ctx, file));
+		return (apply_resource(ctx, file));
 	json_array_foreach(file, i, item) {
-		rc = apply_one(ctx, item);
+		rc = apply_resource(ctx, item);
 		if (rc != CMD_OK)
 			return (rc);
 	}
@@ -65,6 +68,6 @@
 const struct cmd_entry cmd_apply_entry = {
 	.name = "apply",
 	.usage = "-f FILE",
-	.help = "create or change the resources of a file, in its order",
+	.help = "create or change the resources of a file, in file order",
 	.exec = cmd_apply_exec,
 };
--- a/src/cmd-call.c
+++ b/src/cmd-call.c
@@ -1,4 +1,4 @@
-/* What the commands share: calls to a daemon and their failures. */
+/* Calls to a daemon and their errors, for all commands. */
 #include <curl/curl.h>
 #include <stdio.h>
 #include <string.h>
@@ -6,17 +6,17 @@
 #include "cmd.h"
 
 /**
- * cmd_report_error() - print a daemon's typed error.
- * @reply: its answer
+ * cmd_report_error() - print the typed error of a daemon's response.
+ * @response: the response
  *
- * Return: the exit code of the error's type.
+ * Return: the exit code for the type of the error.
  */
 enum cmd_exit
-cmd_report_error(const struct http_reply *reply)
+cmd_report_error(const struct http_reply *response)
 {
 	const char *type = "unknown", *message = "";
 
-	json_unpack(reply->json, "{s:{s:s, s:s}}", "error", "type", &type,
+	json_unpack(response->json, "{s:{s:s, s:s}}", "error", "type", &type,
 	    "message", &message);
 	fprintf(stderr, "bankliftctl: %s: %s\n", type, message);
 	if (strcmp(type, "conflict") == 0)
@@ -29,38 +29,42 @@
 }
 
 /**
- * cmd_call() - call the first daemon.
- * @ctx: what the command line says
+ * cmd_call() - send a request to the first daemon of the list.
+ * @ctx: options and arguments of the command line
  * @method: HTTP method
- * @path: path of the operators' interface
- * @body: JSON, or NULL
- * @reply: the answer; free with http_reply_clear()
+ * @path: path in the operators' interface
+ * @body: JSON body, or NULL
+ * @response: filled in; free with http_reply_clear()
+ *
+ * Return: CMD_OK if the status is 200; otherwise the error is printed and its
+ * exit code returned.
  */
 enum cmd_exit
 cmd_call(const struct cmd_context *ctx, const char *method, const char *path,
-    json_t *body, struct http_reply *reply)
+    json_t *body, struct http_reply *response)
 {
 	g_autofree char *url = g_strconcat(ctx->urls[0], path, NULL);
 	g_autoptr(GError) error = NULL;
 
 	if (!http_client_send(method, url, body, ctx->token, ctx->timeout_ms,
-		reply, &error)) {
+		response, &error)) {
 		fprintf(stderr, "bankliftctl: %s: %s\n", url, error->message);
 		return (CMD_UNAVAILABLE);
 	}
-	if (reply->status != 200)
-		return (cmd_report_error(reply));
+	if (response->status != 200)
+		return (cmd_report_error(response));
 	return (CMD_OK);
 }
 
 /**
- * cmd_stream() - GET what is no JSON, and hand it on as it comes.
- * @ctx: what the command line says
- * @url: the whole URL
- * @write: as CURLOPT_WRITEFUNCTION
- * @arg: for @write
+ * cmd_stream() - GET a body that is not JSON and pass it on as it arrives.
+ * @ctx: options and arguments of the command line
+ * @url: complete URL
+ * @write: callback as for CURLOPT_WRITEFUNCTION
+ * @arg: argument of @write
  *
- * Return: CMD_OK also when the time is up, which ends a watch.
+ * Return: CMD_OK at the end of the body, and when the time limit has passed,
+ * which is how a watch ends.
  */
 enum cmd_exit
 cmd_stream(const struct cmd_context *ctx, const char *url,
@@ -90,8 +94,8 @@
 }
 
 /**
- * cmd_print_json() - print JSON for people.
- * @json: the JSON
+ * cmd_print_json() - print JSON indented and with sorted keys.
+ * @json: what to print
  */
 void
 cmd_print_json(json_t *json)
--- a/src/cmd-compare.c
+++ b/src/cmd-compare.c
@@ -1,10 +1,11 @@
-/* bankliftctl compare POLICY POLICY: two routing policies side by side. */
+/* bankliftctl compare POLICY POLICY: metrics of two routing policies. */
 #include <stdio.h>
 #include <string.h>
 
 #include "cmd.h"
 
-static const char *const compared[] = {
+/* The metrics to show; %s stands for the policy. */
+static const char *const compared_metrics[] = {
 	"requests_whole{policy=\"%s\"}",
 	"requests_unknown{policy=\"%s\"}",
 	"requests_not_run{policy=\"%s\"}",
@@ -24,30 +25,32 @@
 	return (size * n);
 }
 
-/* The value of a metric of a policy, "-" when the page has none. */
+/* Returns the value of a metric of a policy, "-" if the page lacks it. */
 static char *
-value_find(const char *page, const char *format, const char *policy)
+metric_find(const char *page, const char *format, const char *policy)
 {
 	g_autofree char *label = g_strdup_printf("policy=\"%s\"", policy);
 	g_auto(GStrv) parts = g_strsplit(format, "policy=\"%s\"", 2);
 	g_autofree char *key =
 	    g_strconcat("banklift_", parts[0], label, parts[1], " ", NULL);
-	const char *at = strstr(page, key);
+	const char *pos = strstr(page, key);
 
-	if (at == NULL)
+	if (pos == NULL)
 		return (g_strdup("-"));
-	at += strlen(key);
-	return (g_strndup(at, strcspn(at, "\n")));
+	pos += strlen(key);
+	return (g_strndup(pos, strcspn(pos, "\n")));
 }
 
 static void
-print_compared(const char *page, const char *const *policies)
+print_comparison(const char *page, const char *const *policies)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(compared); i++) {
-		g_autofree char *a = value_find(page, compared[i], policies[0]);
-		g_autofree char *b = value_find(page, compared[i], policies[1]);
+	for (size_t i = 0; i < G_N_ELEMENTS(compared_metrics); i++) {
+		g_autofree char *a =
+		    metric_find(page, compared_metrics[i], policies[0]);
+		g_autofree char *b =
+		    metric_find(page, compared_metrics[i], policies[1]);
 		g_auto(GStrv) parts =
-		    g_strsplit(compared[i], "policy=\"%s\"", 2);
+		    g_strsplit(compared_metrics[i], "policy=\"%s\"", 2);
 		g_autofree char *title = g_strconcat(parts[0], parts[1], NULL);
 
 		printf("%-36s %16s %16s\n", title, a, b);
@@ -69,7 +72,7 @@
 			return (rc);
 		if (ctx->urls[1] != NULL)
 			printf("%s\n", *url);
-		print_compared(page->str, ctx->args);
+		print_comparison(page->str, ctx->args);
 	}
 	return (CMD_OK);
 }
--- a/src/cmd-delete.c
+++ b/src/cmd-delete.c
@@ -1,4 +1,4 @@
-/* bankliftctl delete TYPE NAME */
+/* bankliftctl delete TYPE NAME: deletes a resource. */
 #include <stdio.h>
 
 #include "cleanup.h"
@@ -7,7 +7,7 @@
 static enum cmd_exit
 cmd_delete_exec(const struct cmd_context *ctx)
 {
-	CLEANUP(http_reply_clear) struct http_reply reply = { 0 };
+	CLEANUP(http_reply_clear) struct http_reply response = { 0 };
 	g_autofree char *path = NULL;
 	enum cmd_exit rc;
 
@@ -17,7 +17,7 @@
 	else
 		path = g_strdup_printf("/api/v1/%s/%s", ctx->args[0],
 		    ctx->args[1]);
-	rc = cmd_call(ctx, "DELETE", path, NULL, &reply);
+	rc = cmd_call(ctx, "DELETE", path, NULL, &response);
 	if (rc == CMD_OK)
 		printf("%s/%s deleted\n", ctx->args[0], ctx->args[1]);
 	return (rc);
--- a/src/cmd-explain.c
+++ b/src/cmd-explain.c
@@ -1,4 +1,4 @@
-/* bankliftctl explain ID [FILE...]: the story of a request from the logs. */
+/* bankliftctl explain ID [FILE...]: the timeline of a request from the logs. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,60 +6,65 @@
 #include "cmd-log-line.h"
 #include "cmd.h"
 
-/* Lines of the request's endpoints are shown from this long before its first
- * line to this long after its last. */
-#define AROUND_MS 2000
-/* What an endpoint said of itself holds on, so it is shown from this long
- * before. */
-#define SAID_BEFORE_MS 60000
+/*
+ * Lines about the request's endpoints and daemons are shown from this long
+ * before its first line until this long after its last.
+ */
+#define MARGIN_MS 2000
+/* Feedback of an endpoint stays in force, so it is shown from this early on. */
+#define FEEDBACK_BEFORE_MS 60000
 
-/* Events that tell why an endpoint was or was not used. */
+/* Log events that tell why an endpoint is or is not used. */
 static const char *const endpoint_events[] = { "endpoint_silent",
 	"endpoint_rests", "endpoint_rest_over", "endpoint_gone",
 	"endpoint_lapsed", "endpoint_avoided", "endpoint_changed" };
 
-/* Events of an endpoint that says what it wants. */
-static const char *const said_events[] = { "endpoint_asks_rest",
+/* Log events of feedback: what an endpoint asks of the daemons. */
+static const char *const feedback_events[] = { "endpoint_asks_rest",
 	"endpoint_leaves", "endpoint_names_limit", "endpoint_lifts_limit",
 	"endpoint_limit_told" };
 
-/* Events of work that ended endpoints, at any daemon. */
-static const char *const work_events[] = { "work_lost", "work_told",
+/* Log events, at any daemon, about fingerprints of requests suspected of
+ * crashing endpoints. */
+static const char *const poison_events[] = { "work_lost", "work_told",
 	"work_cleared", "work_quarantined", "work_released", "work_probed" };
 
-/* Events of a daemon that touch all of its requests. */
+/* Log events that affect all requests of a daemon. */
 static const char *const daemon_events[] = { "config_in_force", "store_lost",
 	"store_regained", "not_ready", "ready", "paused", "leaving", "stopped",
 	"started" };
 
-/* What the request's own lines say: its span, endpoints and daemons. */
-struct explain_span {
+/*
+ * What the request's own lines tell: their times, its endpoints and
+ * fingerprints, and the log files that have them.
+ */
+struct explain_scope {
 	long long first_ms;
 	long long last_ms;
 	GHashTable *endpoints;
-	GHashTable *works;
+	GHashTable *fingerprints;
 	GHashTable *sources;
 };
 
 static void
-span_note(struct explain_span *span, const struct log_line *line)
+scope_add_line(struct explain_scope *scope, const struct log_line *line)
 {
 	char *endpoint = log_line_get(line->text, "endpoint");
-	char *work = log_line_get(line->text, "work");
+	char *fingerprint = log_line_get(line->text, "work");
 
-	if (span->first_ms == 0)
-		span->first_ms = line->at_ms;
-	span->first_ms = MIN(span->first_ms, line->at_ms);
-	span->last_ms = MAX(span->last_ms, line->at_ms);
+	if (scope->first_ms == 0)
+		scope->first_ms = line->at_ms;
+	scope->first_ms = MIN(scope->first_ms, line->at_ms);
+	scope->last_ms = MAX(scope->last_ms, line->at_ms);
 	if (endpoint != NULL)
-		g_hash_table_add(span->endpoints, endpoint);
-	if (work != NULL)
-		g_hash_table_add(span->works, work);
-	g_hash_table_add(span->sources, (gpointer)line->source);
+		g_hash_table_add(scope->endpoints, endpoint);
+	if (fingerprint != NULL)
+		g_hash_table_add(scope->fingerprints, fingerprint);
+	g_hash_table_add(scope->sources, (gpointer)line->source);
 }
 
 static bool
-event_among(const char *text, const char *const *events, size_t n)
+event_in(const char *text, const char *const *events, size_t n)
 {
 	for (size_t i = 0; i < n; i++) {
 		if (log_line_has(text, "event", events[i]))
@@ -68,97 +73,102 @@
 	return (false);
 }
 
-/* Whether a line tells what was known of the request's work. */
+/* Whether a line is about the request's fingerprint and not after its end. */
 static bool
-line_of_work(const struct log_line *line, const struct explain_span *span)
+line_about_fingerprint(const struct log_line *line,
+    const struct explain_scope *scope)
 {
-	g_autofree char *work = log_line_get(line->text, "work");
+	g_autofree char *fingerprint = log_line_get(line->text, "work");
 
-	return (work != NULL && line->at_ms <= span->last_ms &&
-	    event_among(line->text, work_events, G_N_ELEMENTS(work_events)) &&
-	    g_hash_table_contains(span->works, work));
+	return (fingerprint != NULL && line->at_ms <= scope->last_ms &&
+	    event_in(line->text, poison_events, G_N_ELEMENTS(poison_events)) &&
+	    g_hash_table_contains(scope->fingerprints, fingerprint));
 }
 
-/* Whether a line belongs to the story. */
+/* Whether a line is shown: the request's own, or one that may explain them. */
 static bool
-line_belongs(const struct log_line *line, const char *id,
-    const struct explain_span *span)
+line_in_timeline(const struct log_line *line, const char *id,
+    const struct explain_scope *scope)
 {
 	g_autofree char *endpoint = log_line_get(line->text, "endpoint");
-	bool said;
+	bool feedback;
 
-	if (log_line_has(line->text, "id", id) || line_of_work(line, span))
+	if (log_line_has(line->text, "id", id) ||
+	    line_about_fingerprint(line, scope))
 		return (true);
-	said = event_among(line->text, said_events, G_N_ELEMENTS(said_events));
+	feedback = event_in(line->text, feedback_events,
+	    G_N_ELEMENTS(feedback_events));
 	if (line->at_ms <
-		span->first_ms - (said ? SAID_BEFORE_MS : AROUND_MS) ||
-	    line->at_ms > span->last_ms + AROUND_MS ||
-	    !g_hash_table_contains(span->sources, line->source))
+		scope->first_ms - (feedback ? FEEDBACK_BEFORE_MS : MARGIN_MS) ||
+	    line->at_ms > scope->last_ms + MARGIN_MS ||
+	    !g_hash_table_contains(scope->sources, line->source))
 		return (false);
-	if (event_among(line->text, daemon_events, G_N_ELEMENTS(daemon_events)))
+	if (event_in(line->text, daemon_events, G_N_ELEMENTS(daemon_events)))
 		return (true);
 	return (endpoint != NULL &&
-	    g_hash_table_contains(span->endpoints, endpoint) &&
-	    (said ||
-		event_among(line->text, endpoint_events,
+	    g_hash_table_contains(scope->endpoints, endpoint) &&
+	    (feedback ||
+		event_in(line->text, endpoint_events,
 		    G_N_ELEMENTS(endpoint_events))));
 }
 
-/* Prints the story, with times from the request's first line. */
+/* Prints the timeline, with times relative to the request's first line. */
 static void
-story_print(const GArray *lines, const char *id,
-    const struct explain_span *span)
+timeline_print(const GArray *lines, const char *id,
+    const struct explain_scope *scope)
 {
 	for (guint i = 0; i < lines->len; i++) {
 		const struct log_line *line =
 		    &g_array_index(lines, struct log_line, i);
 		const char *event = strstr(line->text, "event=");
 
-		if (event != NULL && line_belongs(line, id, span))
+		if (event != NULL && line_in_timeline(line, id, scope))
 			printf("%+8lld ms %s: %s\n",
-			    line->at_ms - span->first_ms, line->source, event);
+			    line->at_ms - scope->first_ms, line->source, event);
 	}
 }
 
 static enum cmd_exit
-explain_exec(const struct cmd_context *ctx)
+cmd_explain_exec(const struct cmd_context *ctx)
 {
 	const char *id = ctx->args[0];
-	struct explain_span span = { 0 };
+	struct explain_scope scope = { 0 };
 	GArray *lines = g_array_new(FALSE, FALSE, sizeof(struct log_line));
 	bool ok;
 
 	g_array_set_clear_func(lines, log_line_clear);
 	ok = log_files_read(lines, ctx->args + 1);
-	span.endpoints =
+	scope.endpoints =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	span.works =
+	scope.fingerprints =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	span.sources = g_hash_table_new(g_direct_hash, g_direct_equal);
+	scope.sources = g_hash_table_new(g_direct_hash, g_direct_equal);
 	for (guint i = 0; i < lines->len; i++) {
 		const struct log_line *line =
 		    &g_array_index(lines, struct log_line, i);
 
 		if (log_line_has(line->text, "id", id))
-			span_note(&span, line);
+			scope_add_line(&scope, line);
 	}
 	g_array_sort(lines, log_line_compare_time);
-	if (ok && span.first_ms != 0)
-		story_print(lines, id, &span);
+	if (ok && scope.first_ms != 0)
+		timeline_print(lines, id, &scope);
 	else if (ok)
-		fprintf(stderr, "bankliftctl: no line with id=%s\n", id);
-	g_hash_table_destroy(span.endpoints);
-	g_hash_table_destroy(span.works);
-	g_hash_table_destroy(span.sources);
+		fprintf(stderr, "bankliftctl: no log line with id=%s\n", id);
+	g_hash_table_destroy(scope.endpoints);
+	g_hash_table_destroy(scope.fingerprints);
+	g_hash_table_destroy(scope.sources);
 	g_array_free(lines, TRUE);
-	return (!ok ? CMD_FAILED : span.first_ms == 0 ? CMD_NOT_FOUND : CMD_OK);
+	return (!ok		    ? CMD_FAILED :
+		scope.first_ms == 0 ? CMD_NOT_FOUND :
+				      CMD_OK);
 }
 
 const struct cmd_entry cmd_explain_entry = {
 	.name = "explain",
 	.usage = "ID [FILE...]",
-	.help = "the story of a request, from logs of banklift-edge",
+	.help = "the timeline of a request, from logs of banklift-edge",
 	.min_args = 1,
 	.max_args = 1000,
-	.exec = explain_exec,
+	.exec = cmd_explain_exec,
 };
--- a/src/cmd-log-line.c
+++ b/src/cmd-log-line.c
@@ -1,4 +1,4 @@
-/* Lines of logs, for the commands that read them. */
+/* Log lines of key=value pairs, for the commands that read logs. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,7 +6,7 @@
 #include "cmd-log-line.h"
 
 /**
- * log_line_clear() - free what a line holds.
+ * log_line_clear() - free the text of a line; a GDestroyNotify for arrays.
  * @data: the struct log_line
  */
 void
@@ -18,11 +18,11 @@
 }
 
 /**
- * log_line_get() - the value of a key in a line.
- * @text: the line
+ * log_line_get() - look up a key in a line.
+ * @text: text of the line
  * @key: the key
  *
- * Return: the value, to be freed; NULL where it has none.
+ * Return: the value, to be freed with g_free(); NULL if the line lacks the key.
  */
 char *
 log_line_get(const char *text, const char *key)
@@ -37,8 +37,8 @@
 }
 
 /**
- * log_line_has() - whether a key has a value in a line.
- * @text: the line
+ * log_line_has() - whether a line has a key with the given value.
+ * @text: text of the line
  * @key: the key
  * @value: the value
  */
@@ -51,9 +51,11 @@
 }
 
 /**
- * log_line_compare_time() - order of two lines, for sorting.
+ * log_line_compare_time() - order two lines by time, as a GCompareFunc.
  * @a: a struct log_line
- * @b: another
+ * @b: another one
+ *
+ * Return: -1, 0 or 1.
  */
 int
 log_line_compare_time(const void *a, const void *b)
@@ -63,19 +65,19 @@
 	return (x->at_ms < y->at_ms ? -1 : x->at_ms > y->at_ms);
 }
 
-/* Reads all lines of a log that have a time; false where it can't be read. */
+/* Appends the lines of a log that have a time; false if it can't be opened. */
 static bool
-file_read(GArray *lines, const char *path)
+log_file_read(GArray *lines, const char *path)
 {
 	FILE *f = strcmp(path, "-") == 0 ? stdin : fopen(path, "r");
 	char *text = NULL;
-	size_t room = 0;
+	size_t capacity = 0;
 
 	if (f == NULL) {
-		fprintf(stderr, "bankliftctl: can't read %s\n", path);
+		fprintf(stderr, "bankliftctl: cannot open %s\n", path);
 		return (false);
 	}
-	while (getline(&text, &room, f) > 0) {
+	while (getline(&text, &capacity, f) > 0) {
 		struct log_line line = { .source = path };
 		g_autofree char *at = log_line_get(text, "at");
 
@@ -92,11 +94,11 @@
 }
 
 /**
- * log_files_read() - read all lines of some logs that have a time.
- * @lines: of struct log_line; appended to
- * @files: paths, ended by NULL; "-", or none at all, is standard input
+ * log_files_read() - read the lines of logs that have a time.
+ * @lines: array of struct log_line to append to
+ * @files: paths, terminated by NULL; "-", or an empty list, is standard input
  *
- * Return: false where one can't be read; that was said on standard error.
+ * Return: false if a file can't be opened, after a message on standard error.
  */
 bool
 log_files_read(GArray *lines, const char *const *files)
@@ -104,8 +106,8 @@
 	bool ok = true;
 
 	if (files[0] == NULL)
-		return (file_read(lines, "-"));
+		return (log_file_read(lines, "-"));
 	for (size_t i = 0; ok && files[i] != NULL; i++)
-		ok = file_read(lines, files[i]);
+		ok = log_file_read(lines, files[i]);
 	return (ok);
 }
--- a/src/cmd-log-line.h
+++ b/src/cmd-log-line.h
@@ -1,4 +1,4 @@
-/* Lines of logs, for the commands that read them. */
+/* Log lines of key=value pairs, for the commands that read logs. */
 #ifndef BL_CMD_LOG_LINE_H
 #define BL_CMD_LOG_LINE_H
 
@@ -7,9 +7,9 @@
 
 /**
  * struct log_line - one line of a log.
- * @at_ms: when it was written
- * @text: the line
- * @source: the file
+ * @at_ms: time of writing, the value of its key "at"
+ * @text: the line without its newline, owned
+ * @source: path of the file, not owned
  */
 struct log_line {
 	long long at_ms;
--- a/src/cmd-status.c
+++ b/src/cmd-status.c
@@ -1,9 +1,10 @@
-/* bankliftctl status */
+/* bankliftctl status: shows one daemon's view of daemons and endpoints. */
 #include <stdio.h>
 
 #include "cleanup.h"
 #include "cmd.h"
 
+/* Prints the other daemons. APPLIED is the last offset applied. */
 static void
 print_members(json_t *members)
 {
@@ -51,20 +52,20 @@
 static enum cmd_exit
 cmd_status_exec(const struct cmd_context *ctx)
 {
-	CLEANUP(http_reply_clear) struct http_reply reply = { 0 };
+	CLEANUP(http_reply_clear) struct http_reply response = { 0 };
 	const char *name, *domain, *digest;
 	json_int_t applied, in_force, active;
 	int ready, leaving, log_ok, controller;
 	enum cmd_exit rc;
 
-	rc = cmd_call(ctx, "GET", "/status", NULL, &reply);
+	rc = cmd_call(ctx, "GET", "/status", NULL, &response);
 	if (rc != CMD_OK)
 		return (rc);
 	if (ctx->json) {
-		cmd_print_json(reply.json);
+		cmd_print_json(response.json);
 		return (CMD_OK);
 	}
-	if (json_unpack(reply.json,
+	if (json_unpack(response.json,
 		"{s:s, s:s, s:s, s:I, s:I, s:I, s:b, s:b, s:b, s:b}", "name",
 		&name, "domain", &domain, "digest", &digest, "applied",
 		&applied, "in_force", &in_force, "active", &active, "ready",
@@ -80,14 +81,14 @@
 	    log_ok ? "reached" : "not reached",
 	    controller ? ", controls the domain" : "", (long long)applied,
 	    (long long)in_force, digest, (long long)active);
-	print_members(json_object_get(reply.json, "members"));
-	print_targets(json_object_get(reply.json, "targets"));
+	print_members(json_object_get(response.json, "members"));
+	print_targets(json_object_get(response.json, "targets"));
 	return (CMD_OK);
 }
 
 const struct cmd_entry cmd_status_entry = {
 	.name = "status",
 	.usage = "",
-	.help = "show what a daemon knows: daemons, replicas, endpoints",
+	.help = "show a daemon's view of daemons, replicas and endpoints",
 	.exec = cmd_status_exec,
 };
--- a/src/cmd-wait.c
+++ b/src/cmd-wait.c
@@ -1,4 +1,4 @@
-/* bankliftctl wait VERSION: until it is in force at every daemon given. */
+/* bankliftctl wait VERSION: waits until it is in force at all daemons given. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -6,41 +6,43 @@
 #include "clock.h"
 #include "cmd.h"
 
-#define STEP_MS 50
+/* Pause between two polls of the daemons. */
+#define POLL_MS 50
 
-/* The version in force at a daemon, -1 when it does not answer. */
+/* Returns the version in force at a daemon, -1 if it does not respond. */
 static long long
-in_force(const struct cmd_context *ctx, const char *base)
+version_in_force(const struct cmd_context *ctx, const char *base)
 {
-	CLEANUP(http_reply_clear) struct http_reply reply = { 0 };
+	CLEANUP(http_reply_clear) struct http_reply response = { 0 };
 	g_autofree char *url = g_strconcat(base, "/status", NULL);
 
-	if (!http_client_send("GET", url, NULL, ctx->token, 1000, &reply,
+	if (!http_client_send("GET", url, NULL, ctx->token, 1000, &response,
 		NULL) ||
-	    reply.status != 200)
+	    response.status != 200)
 		return (-1);
-	return (json_integer_value(json_object_get(reply.json, "in_force")));
+	return (json_integer_value(json_object_get(response.json, "in_force")));
 }
 
 static enum cmd_exit
 cmd_wait_exec(const struct cmd_context *ctx)
 {
-	uint64_t began = clock_now_ms();
+	uint64_t start_ms = clock_now_ms();
 	long long version = atoll(ctx->args[0]);
 	int behind;
 
 	do {
 		behind = 0;
 		for (char **url = ctx->urls; *url != NULL; url++)
-			behind += in_force(ctx, *url) < version;
+			behind += version_in_force(ctx, *url) < version;
 		if (behind == 0) {
 			printf("version %lld in force after %llu ms\n", version,
-			    (unsigned long long)(clock_now_ms() - began));
+			    (unsigned long long)(clock_now_ms() - start_ms));
 			return (CMD_OK);
 		}
-		g_usleep(STEP_MS * 1000);
-	} while (clock_now_ms() < began + (uint64_t)ctx->timeout_ms);
-	fprintf(stderr, "bankliftctl: %d daemons are behind version %lld\n",
+		g_usleep(POLL_MS * 1000);
+	} while (clock_now_ms() < start_ms + (uint64_t)ctx->timeout_ms);
+	fprintf(stderr,
+	    "bankliftctl: timeout: %d daemons are behind version %lld\n",
 	    behind, version);
 	return (CMD_TIMEOUT);
 }
--- a/src/cmd-watch.c
+++ b/src/cmd-watch.c
@@ -1,8 +1,9 @@
-/* bankliftctl watch [VERSION]: print changes as they come. */
+/* bankliftctl watch [VERSION]: prints changes as they are made. */
 #include <stdio.h>
 
 #include "cmd.h"
 
+/* Flushes each piece, so that a pipe sees a change at once. */
 static size_t
 watch_write(char *data, size_t size, size_t n, void *arg)
 {
@@ -24,7 +25,7 @@
 const struct cmd_entry cmd_watch_entry = {
 	.name = "watch",
 	.usage = "[VERSION]",
-	.help = "print changes after a version as they come",
+	.help = "print changes after a version as they are made",
 	.max_args = 1,
 	.exec = cmd_watch_exec,
 };
--- a/src/cmd.h
+++ b/src/cmd.h
@@ -1,4 +1,4 @@
-/* The commands of bankliftctl: a table entry and a file for each. */
+/* The commands of bankliftctl; each has a file with its table entry. */
 #ifndef BL_CMD_H
 #define BL_CMD_H
 
@@ -8,7 +8,7 @@
 
 #include "http-client.h"
 
-/* Exit codes, as in the man page. */
+/* Exit codes, as documented in the man page. */
 enum cmd_exit {
 	CMD_OK = 0,
 	CMD_FAILED = 1,
@@ -20,14 +20,15 @@
 };
 
 /**
- * struct cmd_context - what the command line says.
- * @urls: operator addresses of daemons; the first one is used, wait uses all
+ * struct cmd_context - options and arguments of the command line.
+ * @urls: operator addresses of daemons, terminated by NULL; wait and compare
+ *	use all of them, the other commands the first one
  * @token: the operators' token
- * @file: file to read, or NULL
+ * @file: file of resources, or NULL
  * @json: print JSON rather than a table
- * @base: version that a change is based on, -1 for whatever is current
- * @timeout_ms: bound on waiting, in milliseconds
- * @args: arguments of the command, ended by NULL
+ * @base: version that a change is based on, -1 for the current one
+ * @timeout_ms: time limit of a call or of waiting, in ms
+ * @args: arguments of the command, terminated by NULL
  */
 struct cmd_context {
 	char **urls;
@@ -41,12 +42,12 @@
 
 /**
  * struct cmd_entry - one command.
- * @name: its name
- * @usage: its arguments
- * @help: one line
- * @min_args: least number of arguments
- * @max_args: most
- * @exec: carries it out
+ * @name: name on the command line
+ * @usage: synopsis of its arguments
+ * @help: one-line description
+ * @min_args: minimum number of arguments
+ * @max_args: maximum number of arguments
+ * @exec: runs it and returns the exit code
  */
 struct cmd_entry {
 	const char *name;
