--- a/src/http-listen.c
+++ b/src/http-listen.c
@@ -3,7 +3,7 @@
 #include <microhttpd.h>
 #include <string.h>
 
-#include "caller.h"
+#include "client-api.h"
 #include "clock.h"
 #include "error.h"
 #include "http-listen.h"
@@ -49,9 +49,9 @@
 static void
 add_caller_handlers(struct _u_instance *inst, struct server *server)
 {
-	add(inst, "POST", "/v1", "/completions", caller_completion, server);
-	add(inst, "POST", "/v1", "/chat/completions", caller_chat, server);
-	add(inst, "*", "/s", "/*", caller_service, server);
+	add(inst, "POST", "/v1", "/completions", client_api_completion, server);
+	add(inst, "POST", "/v1", "/chat/completions", client_api_chat, server);
+	add(inst, "*", "/s", "/*", client_api_service, server);
 	add(inst, "GET", "/health", NULL, health, server);
 }
 
--- a/src/peer-server.c
+++ b/src/peer-server.c
@@ -126,8 +126,8 @@
 bool_t
 peer_decided_1_svc(claim_decision decision, void *result, struct svc_req *rqstp)
 {
-	claims_decided(peer_server->claims, (enum claim_op_kind)decision.op,
-	    decision.token, &decision.answer);
+	claims_note_decision(peer_server->claims,
+	    (enum claim_op_kind)decision.op, decision.token, &decision.answer);
 	return (TRUE);
 }
 
--- a/src/request.c
+++ b/src/request.c
@@ -83,12 +83,12 @@
 }
 
 /**
- * request_known() - whether its deployment or service is declared.
+ * request_service_declared() - whether its deployment or service is declared.
  * @req: the request
  * @leaving: set to whether this daemon refuses new requests
  */
 bool
-request_known(struct request *req, bool *leaving)
+request_service_declared(struct request *req, bool *leaving)
 {
 	bool known;
 
@@ -138,7 +138,7 @@
 		return (true);
 	}
 	admission_unref(a);
-	request_refused(req);
+	request_count_refused(req);
 	failure_set(f, ERROR_OVERLOADED, OUTCOME_NOT_RUN, retry_ms + 1,
 	    "the replicas are busy, and the queue is full or too long");
 	return (false);
@@ -209,7 +209,7 @@
 }
 
 /**
- * request_target() - choose the next target.
+ * request_next_target() - choose the next target.
  * @req: the request
  *
  * News of other failure domains come rarely, since they are rarely needed.
@@ -219,7 +219,7 @@
  * there is none or the time is up.
  */
 struct target *
-request_target(struct request *req)
+request_next_target(struct request *req)
 {
 	struct target *target;
 
@@ -312,11 +312,11 @@
 }
 
 /**
- * request_refused() - count that a limit refused it.
+ * request_count_refused() - count that a limit refused it.
  * @req: the request
  */
 void
-request_refused(struct request *req)
+request_count_refused(struct request *req)
 {
 	atomic_fetch_add(&req->customer->series.refused, 1);
 }
--- a/src/target-heard.c
+++ b/src/target-heard.c
@@ -116,9 +116,9 @@
 {
 	uint64_t now = clock_now_ms();
 
-	if (!call_answering(call))
+	if (!call_head_received(call))
 		return;
-	if (call_rest(call) != NULL)
-		target_ask_rest(target, call_rest(call), now);
+	if (call_retry_after(call) != NULL)
+		target_ask_rest(target, call_retry_after(call), now);
 	target_hear_limit(target, call_limit(call), call_started_ms(call), now);
 }
