--- a/src/operator-status.c
+++ b/src/operator-status.c
@@ -1,4 +1,4 @@
-/* GET /status and /metrics: what this daemon knows and counts. */
+/* GET /status and /metrics: this daemon's view of the others, and metrics. */
 #include <inttypes.h>
 #include <sys/resource.h>
 
@@ -11,6 +11,7 @@
 #include "policy-series.h"
 #include "usage.h"
 
+/* Lists the other daemons. */
 static json_t *
 status_members(struct server *server, uint64_t now)
 {
@@ -30,7 +31,10 @@
 	return (out);
 }
 
-/* Each target: whether it may be sent to, and the age of its evidence. */
+/*
+ * Lists targets: whether requests may be sent to each, and the age of its
+ * newest evidence, -1 without any.
+ */
 static json_t *
 status_targets(struct server *server, uint64_t now)
 {
@@ -42,15 +46,16 @@
 	g_hash_table_iter_init(&iter, server->tables.targets);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct target *t = value;
-		uint64_t seen = atomic_load(&t->seen_ms);
+		uint64_t evidence_ms = atomic_load(&t->seen_ms);
 
 		json_array_append_new(out,
 		    json_pack("{s:s, s:s, s:I, s:b, s:I, s:I, s:I}", "name",
 			t->name, "domain", t->domain, "epoch",
 			(json_int_t)t->epoch, "serving", target_valid(t, now),
 			"age_ms",
-			seen != 0 ? (json_int_t)(now - MIN(now, seen)) :
-				    (json_int_t)-1,
+			evidence_ms != 0 ?
+			    (json_int_t)(now - MIN(now, evidence_ms)) :
+			    (json_int_t)-1,
 			"inflight", (json_int_t)atomic_load(&t->inflight),
 			"reported", (json_int_t)atomic_load(&t->reported)));
 	}
@@ -61,8 +66,8 @@
 /**
  * operator_status() - handler of GET /status.
  * @in: the request
- * @res: the answer
- * @arg: the daemon
+ * @res: the response
+ * @arg: this daemon, struct server
  */
 int
 operator_status(const struct _u_request *in, struct _u_response *res, void *arg)
@@ -94,8 +99,9 @@
 	return (U_CALLBACK_COMPLETE);
 }
 
+/* Prints CPU time, peak memory and requests in progress of this process. */
 static void
-print_process(struct server *server, GString *out)
+print_process_metrics(struct server *server, GString *out)
 {
 	struct rusage usage;
 
@@ -111,8 +117,8 @@
 /**
  * operator_metrics() - handler of GET /metrics.
  * @in: the request
- * @res: the answer
- * @arg: the daemon
+ * @res: the response
+ * @arg: this daemon, struct server
  */
 int
 operator_metrics(const struct _u_request *in, struct _u_response *res,
@@ -125,7 +131,7 @@
 
 	if (!operator_authorize(server, in, res))
 		return (U_CALLBACK_COMPLETE);
-	print_process(server, out);
+	print_process_metrics(server, out);
 	control_cost_print(out);
 	g_mutex_lock(&server->config.lock);
 	usage_print(server->usage, out);
--- a/src/operator-watch.c
+++ b/src/operator-watch.c
@@ -1,6 +1,6 @@
 /*
- * GET /api/v1/watch?from=VERSION: a stream of resources and groups as they
- * change. A watch is level-triggered: it gives everything newer than a
+ * GET /api/v1/watch?from=VERSION: server-sent events for resources and groups
+ * as they change. A watch is level-triggered: it sends everything newer than a
  * version, so it can be resumed from any version at any daemon.
  */
 #include <string.h>
@@ -12,9 +12,15 @@
 #include "resource.h"
 #include "text-stream.h"
 
+/* A version event is sent at least this often, also without changes. */
 #define HEARTBEAT_MS 5000
+/* Bytes that ulfius reads from the stream at once. */
 #define STREAM_BLOCK 4096
 
+/*
+ * One watch. from is the first offset whose changes are not queued yet, groups
+ * the names of groups that were sent, pending the events not yet read.
+ */
 struct watch {
 	struct server *server;
 	uint64_t from;
@@ -22,8 +28,9 @@
 	GString *pending;
 };
 
+/* Appends an event to the pending text; takes ownership of json. */
 static void
-watch_event(struct watch *w, const char *kind, json_t *json)
+watch_queue_event(struct watch *w, const char *kind, json_t *json)
 {
 	char *text = json_dumps(json, JSON_COMPACT);
 
@@ -42,9 +49,9 @@
 	return (x->version < y->version ? -1 : x->version > y->version);
 }
 
-/* Queues the resources that are newer than the watch. */
+/* Queues the resources changed since the last version sent, oldest first. */
 static void
-watch_resources(struct watch *w, const struct state *state)
+watch_queue_resources(struct watch *w, const struct state *state)
 {
 	g_autoptr(GPtrArray) newer = g_ptr_array_new();
 	GHashTableIter iter;
@@ -59,14 +66,14 @@
 	for (guint i = 0; i < newer->len; i++) {
 		const struct resource *res = newer->pdata[i];
 
-		watch_event(w, resource_exists(res) ? "put" : "delete",
+		watch_queue_event(w, resource_exists(res) ? "put" : "delete",
 		    resource_dump(res));
 	}
 }
 
-/* Queues groups that formed, and the names of those that ended. */
+/* Queues groups that were formed, and the names of dissolved ones. */
 static void
-watch_groups(struct watch *w, const struct state *state)
+watch_queue_groups(struct watch *w, const struct state *state)
 {
 	GHashTableIter iter;
 	gpointer name, value;
@@ -75,7 +82,8 @@
 	while (g_hash_table_iter_next(&iter, &name, NULL)) {
 		if (state_group(state, name) != NULL)
 			continue;
-		watch_event(w, "dissolve", json_pack("{s:s}", "name", name));
+		watch_queue_event(w, "dissolve",
+		    json_pack("{s:s}", "name", name));
 		g_hash_table_iter_remove(&iter);
 	}
 	g_hash_table_iter_init(&iter, state->groups);
@@ -83,12 +91,15 @@
 		const struct group *group = value;
 
 		if (group->epoch >= w->from)
-			watch_event(w, "form", group_dump(group));
+			watch_queue_event(w, "form", group_dump(group));
 		g_hash_table_add(w->groups, g_strdup(name));
 	}
 }
 
-/* Waits for the configuration to move on, or for the next heartbeat. */
+/*
+ * Waits for the configuration to advance, at most until the next heartbeat, and
+ * queues what has changed.
+ */
 static void
 watch_wait(struct watch *w)
 {
@@ -102,15 +113,16 @@
 			break;
 	}
 	if (config->state->next != w->from) {
-		watch_resources(w, config->state);
-		watch_groups(w, config->state);
+		watch_queue_resources(w, config->state);
+		watch_queue_groups(w, config->state);
 		w->from = config->state->next;
 	}
 	g_mutex_unlock(&config->lock);
-	watch_event(w, "version",
+	watch_queue_event(w, "version",
 	    json_pack("{s:I}", "version", (json_int_t)w->from - 1));
 }
 
+/* Reads the stream; it ends once this daemon refuses new requests. */
 static ssize_t
 watch_read(void *arg, uint64_t offset, char *out, size_t max)
 {
@@ -135,9 +147,9 @@
 
 /**
  * operator_watch() - handler of GET /api/v1/watch?from=VERSION.
- * @in: the request; without from, everything is given first
- * @res: the answer
- * @arg: the daemon
+ * @in: the request; without from, the whole state is sent first
+ * @res: the response
+ * @arg: this daemon, struct server
  */
 int
 operator_watch(const struct _u_request *in, struct _u_response *res, void *arg)
--- a/src/operator.c
+++ b/src/operator.c
@@ -1,4 +1,4 @@
-/* The interface for operators: resources. */
+/* The HTTP interface for operators: reading and changing resources. */
 #include <string.h>
 
 #include "error.h"
@@ -10,7 +10,7 @@
 
 #define BEARER "Bearer "
 
-/* Compares without regard to where the texts differ. */
+/* Compares two texts in a time that does not depend on where they differ. */
 static bool
 equal_constant_time(const char *a, const char *b)
 {
@@ -28,7 +28,9 @@
  * operator_authorize() - check the operator's token.
  * @server: this daemon
  * @in: the request
- * @res: answered when the token is wrong
+ * @res: set to an error if the token is missing or wrong
+ *
+ * Return: whether the request may be served.
  */
 bool
 operator_authorize(struct server *server, const struct _u_request *in,
@@ -77,8 +79,8 @@
 /**
  * operator_list() - handler of GET /api/v1/TYPE.
  * @in: the request
- * @res: the answer
- * @arg: the daemon
+ * @res: the response
+ * @arg: this daemon, struct server
  */
 int
 operator_list(const struct _u_request *in, struct _u_response *res, void *arg)
@@ -106,8 +108,8 @@
 /**
  * operator_get() - handler of GET /api/v1/TYPE/NAME.
  * @in: the request
- * @res: the answer
- * @arg: the daemon
+ * @res: the response
+ * @arg: this daemon, struct server
  */
 int
 operator_get(const struct _u_request *in, struct _u_response *res, void *arg)
@@ -134,10 +136,10 @@
 	return (U_CALLBACK_COMPLETE);
 }
 
-/* Carries a change out and answers the operator. */
+/* Writes a change to the log and sets the response to its version or error. */
 static void
-change(struct server *server, const struct _u_request *in, const char *op,
-    int64_t base, json_t *spec, struct _u_response *res)
+change_resource(struct server *server, const struct _u_request *in,
+    const char *op, int64_t base, json_t *spec, struct _u_response *res)
 {
 	const char *type = u_map_get(in->map_url, "type");
 	const char *name = u_map_get(in->map_url, "name");
@@ -163,9 +165,9 @@
 /**
  * operator_put() - handler of PUT /api/v1/TYPE/NAME.
  * @in: the request: {"spec": {...}, "base": VERSION}; without base the change
- *	applies to whatever is current
- * @res: the answer
- * @arg: the daemon
+ *	applies to the current version, whatever it is
+ * @res: the response
+ * @arg: this daemon, struct server
  */
 int
 operator_put(const struct _u_request *in, struct _u_response *res, void *arg)
@@ -191,15 +193,15 @@
 	if (error != NULL)
 		http_reply_error(res, error);
 	else
-		change(arg, in, "put", base, spec, res);
+		change_resource(arg, in, "put", base, spec, res);
 	return (U_CALLBACK_COMPLETE);
 }
 
 /**
  * operator_delete() - handler of DELETE /api/v1/TYPE/NAME?base=VERSION.
  * @in: the request
- * @res: the answer
- * @arg: the daemon
+ * @res: the response
+ * @arg: this daemon, struct server
  */
 int
 operator_delete(const struct _u_request *in, struct _u_response *res, void *arg)
@@ -216,6 +218,6 @@
 		http_reply_error(res, error);
 		return (U_CALLBACK_COMPLETE);
 	}
-	change(arg, in, "delete", base, NULL, res);
+	change_resource(arg, in, "delete", base, NULL, res);
 	return (U_CALLBACK_COMPLETE);
 }
--- a/src/operator.h
+++ b/src/operator.h
@@ -1,4 +1,5 @@
-/* The interface for operators: what its handlers share. */
+/* The HTTP interface for operators: its handlers and the check of their token.
+ */
 #ifndef BL_OPERATOR_H
 #define BL_OPERATOR_H
 
--- a/src/resource-check.c
+++ b/src/resource-check.c
@@ -1,4 +1,4 @@
-/* Checks a resource's spec before it is written and again at replay. */
+/* Validation of resources before a change is written and again at replay. */
 #include <string.h>
 
 #include "error.h"
@@ -20,8 +20,10 @@
 };
 
 /*
- * One field of a resource type. min and max bound numbers, members of
- * FIELD_COUNTS, and the length of strings. extra is a further check.
+ * A field of a resource type. min and max bound numbers, the values of a
+ * FIELD_COUNTS object, and the length of strings. references is the type of the
+ * resource that the value names, or NULL. check is a further test of a value of
+ * the right kind, or NULL, and expected tells what passes it.
  */
 struct field {
 	const char *name;
@@ -30,10 +32,11 @@
 	double min;
 	double max;
 	const char *references;
-	bool (*extra)(json_t *);
-	const char *extra_help;
+	bool (*check)(json_t *);
+	const char *expected;
 };
 
+/* A resource type with its fields. */
 struct type {
 	const char *name;
 	const struct field *fields;
@@ -93,7 +96,7 @@
 	{ NULL, NULL },
 };
 
-/* A customer's key is kept as its SHA-256 only. */
+/* Checks a SHA-256: only the hash of a customer's API key is stored. */
 static bool
 check_key_hash(json_t *value)
 {
@@ -110,6 +113,7 @@
 	return (strcmp(s, "interactive") == 0 || strcmp(s, "batch") == 0);
 }
 
+/* Checks that a split names known policies and adds up to 100 percent. */
 static bool
 check_split(json_t *value)
 {
@@ -131,6 +135,7 @@
 	return (place_policy_find(json_string_value(value)) != NULL);
 }
 
+/* Checks a number or length against the bounds of its field. */
 static bool
 check_range(const struct field *f, const char *what, double n, GError **error)
 {
@@ -180,43 +185,43 @@
 	return (true);
 }
 
-/* Checks the value's JSON type and its bounds. */
+/* Checks the JSON type of a value and its bounds. */
 static bool
 check_kind(const struct field *f, json_t *value, GError **error)
 {
-	const char *wanted = NULL;
+	const char *expected = NULL;
 
 	switch (f->kind) {
 	case FIELD_STRING:
 		if (json_is_string(value))
 			return (check_range(f, f->name,
 			    json_string_length(value), error));
-		wanted = "a string";
+		expected = "a string";
 		break;
 	case FIELD_INT:
 		if (json_is_integer(value))
 			return (check_range(f, f->name,
 			    json_number_value(value), error));
-		wanted = "an integer";
+		expected = "an integer";
 		break;
 	case FIELD_NUMBER:
 		if (json_is_number(value))
 			return (check_range(f, f->name,
 			    json_number_value(value), error));
-		wanted = "a number";
+		expected = "a number";
 		break;
 	case FIELD_COUNTS:
 		if (json_is_object(value))
 			return (check_counts(f, value, error));
-		wanted = "an object of integers";
+		expected = "an object of integers";
 		break;
 	case FIELD_STRINGS:
 		if (json_is_array(value))
 			return (check_strings(f, value, error));
-		wanted = "an array of strings";
+		expected = "an array of strings";
 		break;
 	}
-	error_set(error, ERROR_BAD_FIELD, "%s: must be %s", f->name, wanted);
+	error_set(error, ERROR_BAD_FIELD, "%s: must be %s", f->name, expected);
 	return (false);
 }
 
@@ -231,9 +236,9 @@
 	}
 	if (!check_kind(f, value, error))
 		return (false);
-	if (f->extra != NULL && !f->extra(value)) {
+	if (f->check != NULL && !f->check(value)) {
 		error_set(error, ERROR_BAD_FIELD, "%s: must be %s", f->name,
-		    f->extra_help);
+		    f->expected);
 		return (false);
 	}
 	return (true);
@@ -278,11 +283,11 @@
 }
 
 /**
- * resource_check_spec() - check a spec by itself.
+ * resource_check_spec() - check the fields of a spec, without other resources.
  * @type_name: type of the resource
- * @spec: the declaration
+ * @spec: declared fields
  * @error: ERROR_NOT_FOUND for an unknown type, else ERROR_BAD_FIELD with the
- *	field and its allowed range
+ *	field and what it must be
  */
 bool
 resource_check_spec(const char *type_name, json_t *spec, GError **error)
@@ -316,7 +321,7 @@
 }
 
 /**
- * resource_check_references() - check that what a spec names exists.
+ * resource_check_references() - check that the resources a spec names exist.
  * @state: the state that the change is based on
  * @type_name: type of the resource
  * @spec: a spec that passed resource_check_spec()
@@ -342,7 +347,7 @@
 	return (true);
 }
 
-/* Whether res refers to type/name in one of its fields. */
+/* Whether a resource names type/name in one of its fields. */
 static bool
 resource_refers(const struct resource *res, const char *type, const char *name)
 {
@@ -358,11 +363,11 @@
 }
 
 /**
- * resource_check_unreferenced() - check that nothing refers to a resource.
+ * resource_check_unreferenced() - check that no resource names another one.
  * @state: the state that the deletion is based on
  * @type: type of the resource to delete
  * @name: its name
- * @error: ERROR_CONFLICT
+ * @error: ERROR_CONFLICT with the resource that names it
  */
 bool
 resource_check_unreferenced(const struct state *state, const char *type,
--- a/src/resource-check.h
+++ b/src/resource-check.h
@@ -1,4 +1,4 @@
-/* Checks a resource's spec before it is written and again at replay. */
+/* Validation of resources before a change is written and again at replay. */
 #ifndef BL_RESOURCE_CHECK_H
 #define BL_RESOURCE_CHECK_H
 
--- a/src/resource.c
+++ b/src/resource.c
@@ -1,14 +1,14 @@
-/* One resource: what an operator declared, at one version. */
+/* A resource: one declaration by an operator, at one version. */
 #include <glib.h>
 
 #include "resource.h"
 
 /**
- * resource_create() - make a resource.
- * @type: its type
- * @name: its name
- * @version: offset of the change
- * @spec: the declaration, or NULL for a deleted one; a reference is taken
+ * resource_create() - allocate a resource.
+ * @type: resource type
+ * @name: name within the type
+ * @version: log offset of the change
+ * @spec: declared fields, or NULL for a deleted resource; a reference is taken
  */
 struct resource *
 resource_create(const char *type, const char *name, uint64_t version,
@@ -40,7 +40,7 @@
 }
 
 /**
- * resource_exists() - whether it is declared now, rather than deleted.
+ * resource_exists() - whether a resource is declared and not deleted.
  * @res: the resource, or NULL
  */
 bool
@@ -50,9 +50,11 @@
 }
 
 /**
- * resource_key() - the key of a resource; free with g_free().
- * @type: its type
- * @name: its name
+ * resource_key() - format the key of a resource.
+ * @type: resource type
+ * @name: name within the type
+ *
+ * Return: "type/name", to be freed with g_free().
  */
 char *
 resource_key(const char *type, const char *name)
@@ -61,7 +63,7 @@
 }
 
 /**
- * resource_dump() - the resource as JSON, as shown to operators.
+ * resource_dump() - encode a resource as JSON, as operators see it.
  * @res: the resource
  */
 json_t *
@@ -72,10 +74,10 @@
 }
 
 /**
- * resource_int() - an integer field of the spec.
+ * resource_int() - get an integer field of the spec.
  * @res: the resource, or NULL
  * @field: name of the field
- * @fallback: value when it is absent
+ * @fallback: returned if the resource or field is absent or of another type
  */
 int64_t
 resource_int(const struct resource *res, const char *field, int64_t fallback)
@@ -89,10 +91,10 @@
 }
 
 /**
- * resource_number() - a numeric field of the spec.
+ * resource_number() - get a numeric field of the spec.
  * @res: the resource, or NULL
  * @field: name of the field
- * @fallback: value when it is absent
+ * @fallback: returned if the resource or field is absent or of another type
  */
 double
 resource_number(const struct resource *res, const char *field, double fallback)
@@ -106,10 +108,12 @@
 }
 
 /**
- * resource_string() - a string field of the spec.
+ * resource_string() - get a string field of the spec.
  * @res: the resource, or NULL
  * @field: name of the field
- * @fallback: value when it is absent
+ * @fallback: returned if the resource or field is absent or of another type
+ *
+ * Return: a string that the resource owns, or @fallback.
  */
 const char *
 resource_string(const struct resource *res, const char *field,
--- a/src/resource.h
+++ b/src/resource.h
@@ -1,4 +1,4 @@
-/* One resource: what an operator declared, at one version. */
+/* A resource: one declaration by an operator, at one version. */
 #ifndef BL_RESOURCE_H
 #define BL_RESOURCE_H
 
@@ -7,12 +7,12 @@
 #include <stdint.h>
 
 /**
- * struct resource - an operator's declaration, as replayed from the log.
+ * struct resource - a declaration by an operator, as replayed from the log.
  * @key: "type/name"
  * @type: such as "deployment"
  * @name: unique within its type
- * @version: log offset of the change that made it so
- * @spec: the declaration; NULL once deleted
+ * @version: log offset of its latest change
+ * @spec: declared fields as a JSON object; NULL once deleted
  */
 struct resource {
 	char *key;
