--- a/src/client-api-service.c
+++ b/src/client-api-service.c
@@ -41,7 +41,7 @@
 	view = rcu_dereference(req->server->view);
 	set = g_hash_table_lookup(view->services, req->service);
 	if (set != NULL)
-		yes = route_set_idempotent(set, method);
+		yes = route_set_is_idempotent(set, method);
 	rcu_read_unlock();
 	return (yes);
 }
@@ -147,11 +147,11 @@
 	*end = drive(req, call);
 	atomic_fetch_sub(&target->inflight, 1);
 	if (answer_whole(end))
-		target_latency(target, call_first_byte_us(call),
+		target_note_success(target, call_first_byte_us(call),
 		    clock_now_ms());
 	else
-		target_failed(target, clock_now_ms());
-	target_heard(target, call);
+		target_note_failure(target, clock_now_ms());
+	target_apply_feedback(target, call);
 	return (call);
 }
 
--- a/src/completion.c
+++ b/src/completion.c
@@ -222,9 +222,9 @@
 
 	log_debug("call_end", "target=%s phase=%d status=%d action=%d",
 	    c->target->name, (int)end.phase, end.status, (int)v.action);
-	target_heard(c->target, c->call);
+	target_apply_feedback(c->target, c->call);
 	call_close(c);
-	target_failed(c->target, clock_now_ms());
+	target_note_failure(c->target, clock_now_ms());
 	if (v.outcome == OUTCOME_UNKNOWN)
 		c->req->may_have_run = true;
 	if (v.action == CALL_PASS) {
@@ -264,8 +264,9 @@
 static enum completion_result
 finish(struct completion *c)
 {
-	target_latency(c->target, call_first_byte_us(c->call), clock_now_ms());
-	target_heard(c->target, c->call);
+	target_note_success(c->target, call_first_byte_us(c->call),
+	    clock_now_ms());
+	target_apply_feedback(c->target, c->call);
 	call_close(c);
 	request_end(c->req, OUTCOME_WHOLE, 200, NULL);
 	return (COMPLETION_END);
--- a/src/operator-status.c
+++ b/src/operator-status.c
@@ -46,7 +46,7 @@
 	g_hash_table_iter_init(&iter, server->tables.targets);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct target *t = value;
-		uint64_t evidence_ms = atomic_load(&t->seen_ms);
+		uint64_t evidence_ms = atomic_load(&t->evidence_as_of_ms);
 
 		json_array_append_new(out,
 		    json_pack("{s:s, s:s, s:I, s:b, s:I, s:I, s:I}", "name",
@@ -57,7 +57,8 @@
 			    (json_int_t)(now - MIN(now, evidence_ms)) :
 			    (json_int_t)-1,
 			"inflight", (json_int_t)atomic_load(&t->inflight),
-			"reported", (json_int_t)atomic_load(&t->reported)));
+			"reported",
+			(json_int_t)atomic_load(&t->reported_load)));
 	}
 	g_mutex_unlock(&server->view_lock);
 	return (out);
--- a/src/peer-news.c
+++ b/src/peer-news.c
@@ -45,7 +45,7 @@
 	while (n < PEER_TARGETS_MAX &&
 	    g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct target *target = value;
-		uint64_t seen_ms = atomic_load(&target->seen_ms);
+		uint64_t seen_ms = atomic_load(&target->evidence_as_of_ms);
 		peer_target *out = &reply->targets.targets_val[n];
 		struct peer_pack pack;
 
@@ -55,7 +55,7 @@
 			continue;
 		pack.age_ms = age_of(seen_ms, now);
 		pack.flag = atomic_load(&target->valid_until_ms) > 0;
-		pack.load = atomic_load(&target->reported);
+		pack.load = atomic_load(&target->reported_load);
 		out->key = target->key;
 		out->news = peer_pack(&pack);
 		n++;
@@ -229,11 +229,11 @@
 		if (target == NULL || pack.age_ms >= asked_ms)
 			continue;
 		seen_ms = asked_ms - pack.age_ms;
-		if (seen_ms <= atomic_load(&target->seen_ms))
+		if (seen_ms <= atomic_load(&target->evidence_as_of_ms))
 			continue;
-		target_evidence(target, seen_ms, pack.flag,
+		target_update_evidence(target, seen_ms, pack.flag,
 		    (uint64_t)server->set.evidence_ms);
-		target_report(target, seen_ms, pack.load);
+		target_update_load(target, seen_ms, pack.load);
 	}
 	g_mutex_unlock(&server->view_lock);
 }
--- a/src/prober.c
+++ b/src/prober.c
@@ -133,10 +133,10 @@
 	if (server->view != NULL) {
 		g_hash_table_iter_init(&iter, server->view->deployments);
 		while (g_hash_table_iter_next(&iter, NULL, &set))
-			route_set_median(set);
+			route_set_update_median(set);
 		g_hash_table_iter_init(&iter, server->view->services);
 		while (g_hash_table_iter_next(&iter, NULL, &set))
-			route_set_median(set);
+			route_set_update_median(set);
 	}
 	g_mutex_unlock(&server->view_lock);
 }
