--- a/src/banklift-bench.c
+++ b/src/banklift-bench.c
@@ -1,4 +1,4 @@
-/* banklift-bench: reproduces the tables of docs/MEASUREMENTS.md. */
+/* banklift-bench: benchmarks that give the tables of docs/MEASUREMENTS.md. */
 #include <stdio.h>
 #include <string.h>
 
--- a/src/bench-choice.c
+++ b/src/bench-choice.c
@@ -1,7 +1,7 @@
 /*
- * bench choice: what one routing choice among 50 replicas costs, as a ratio to
- * round robin in the same run, and with 8 threads reading under RCU while the
- * set is replaced all the time.
+ * Benchmark choice: the time of one routing choice among 50 replicas, also as a
+ * ratio to round robin in the same run, and with 8 threads that read the route
+ * set under RCU while it is replaced continuously.
  */
 #include <stdio.h>
 #include <urcu-bp.h>
@@ -16,12 +16,13 @@
 #define THREADS 8
 #define RUNS 5
 
-static struct route_set *shared;
+/* The route set that reader threads use, replaced by the writer. */
+static struct route_set *current_set;
 static atomic_bool stop;
 
-/* A set of REPLICAS targets that are valid for the whole run. */
+/* Creates a set of targets that are valid for the whole run. */
 static struct route_set *
-set_make(const struct route_policy *policy, struct target **targets)
+set_create(const struct route_policy *policy, struct target **targets)
 {
 	json_auto_t *spec = json_pack("{s:{s:i}}", "split", policy->name, 100);
 	json_auto_t *none = json_object();
@@ -36,6 +37,7 @@
 	return (set);
 }
 
+/* Makes one choice for a request with one of 200 prefixes. */
 static void
 choose(struct route_set *set, uint64_t i, uint64_t now)
 {
@@ -49,41 +51,43 @@
 		target_unref(target);
 }
 
-/* Nanoseconds of one choice, the least of several runs. */
+/* Returns the time of one choice in ns, the minimum over several runs. */
 static double
-cost_ns(const struct route_policy *policy, struct target **targets)
+measure_choice_ns(const struct route_policy *policy, struct target **targets)
 {
-	struct route_set *set = set_make(policy, targets);
-	uint64_t now = clock_now_ms(), began, took, least = UINT64_MAX;
+	struct route_set *set = set_create(policy, targets);
+	uint64_t now = clock_now_ms(), start_us, elapsed_us,
+		 min_us = UINT64_MAX;
 
 	for (int run = 0; run < RUNS; run++) {
-		began = clock_now_us();
+		start_us = clock_now_us();
 		for (uint64_t i = 0; i < CHOICES; i++)
 			choose(set, i, now);
-		took = clock_now_us() - began;
-		if (took < least)
-			least = took;
+		elapsed_us = clock_now_us() - start_us;
+		if (elapsed_us < min_us)
+			min_us = elapsed_us;
 	}
 	route_set_free(set);
-	return ((double)least * 1000 / CHOICES);
+	return ((double)min_us * 1000 / CHOICES);
 }
 
+/* Thread that makes choices under RCU and stores the time of one in ns. */
 static gpointer
 reader(gpointer arg)
 {
-	uint64_t now = clock_now_ms(), began = clock_now_us();
+	uint64_t now = clock_now_ms(), start_us = clock_now_us();
 	uint64_t *ns = arg;
 
 	for (uint64_t i = 0; i < CHOICES; i++) {
 		rcu_read_lock();
-		choose(rcu_dereference(shared), i, now);
+		choose(rcu_dereference(current_set), i, now);
 		rcu_read_unlock();
 	}
-	*ns = (clock_now_us() - began) * 1000 / CHOICES;
+	*ns = (clock_now_us() - start_us) * 1000 / CHOICES;
 	return (NULL);
 }
 
-/* Replaces the set as fast as the readers let it. */
+/* Thread that replaces the set as fast as grace periods allow. */
 static gpointer
 writer(gpointer arg)
 {
@@ -91,10 +95,10 @@
 	uint64_t *replaced = g_new0(uint64_t, 1);
 
 	while (!atomic_load(&stop)) {
-		struct route_set *old = shared;
+		struct route_set *old = current_set;
 
-		rcu_assign_pointer(shared,
-		    set_make(&route_prefix_affinity, targets));
+		rcu_assign_pointer(current_set,
+		    set_create(&route_prefix_affinity, targets));
 		synchronize_rcu();
 		route_set_free(old);
 		(*replaced)++;
@@ -102,6 +106,7 @@
 	return (replaced);
 }
 
+/* Measures choices by several readers beside the writer. */
 static void
 run_threads(struct target **targets)
 {
@@ -109,7 +114,7 @@
 	uint64_t ns[THREADS], sum = 0;
 	g_autofree uint64_t *replaced = NULL;
 
-	shared = set_make(&route_prefix_affinity, targets);
+	current_set = set_create(&route_prefix_affinity, targets);
 	w = g_thread_new("writer", writer, targets);
 	for (int i = 0; i < THREADS; i++)
 		readers[i] = g_thread_new("reader", reader, &ns[i]);
@@ -119,7 +124,7 @@
 	}
 	atomic_store(&stop, true);
 	replaced = g_thread_join(w);
-	route_set_free(shared);
+	route_set_free(current_set);
 	printf("%d threads under RCU, set replaced %llu times: %llu ns a "
 	       "choice and thread\n",
 	    THREADS, (unsigned long long)*replaced,
@@ -131,7 +136,7 @@
 {
 	struct target *targets[REPLICAS];
 	uint64_t now = clock_now_ms();
-	double base;
+	double baseline_ns;
 
 	for (int i = 0; i < REPLICAS; i++) {
 		targets[i] =
@@ -139,13 +144,13 @@
 		target_update_evidence(targets[i], now, true, 3600000);
 		target_update_load(targets[i], now, (uint32_t)i % 7);
 	}
-	base = cost_ns(&route_round_robin, targets);
+	baseline_ns = measure_choice_ns(&route_round_robin, targets);
 	printf("one choice among %d replicas\n", REPLICAS);
 	for (size_t i = 0; route_policy_at(i) != NULL; i++) {
-		double ns = cost_ns(route_policy_at(i), targets);
+		double ns = measure_choice_ns(route_policy_at(i), targets);
 
 		printf("  %-16s %6.0f ns, %.2f of round robin\n",
-		    route_policy_at(i)->name, ns, ns / base);
+		    route_policy_at(i)->name, ns, ns / baseline_ns);
 	}
 	run_threads(targets);
 	for (int i = 0; i < REPLICAS; i++)
@@ -155,6 +160,6 @@
 
 const struct bench_entry bench_choice_entry = {
 	.name = "choice",
-	.help = "cost of one routing choice, alone and under RCU",
+	.help = "time of one routing choice, alone and under RCU",
 	.exec = bench_choice_exec,
 };
--- a/src/bench-fleet.c
+++ b/src/bench-fleet.c
@@ -1,4 +1,7 @@
-/* Bench: what daemons know of each other, by the size of the fleet. */
+/*
+ * Benchmark fleet: what daemons know of each other and the datagrams that this
+ * takes, by the size of the fleet.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <syslog.h>
@@ -7,35 +10,36 @@
 #include "event-log.h"
 #include "fleet-model.h"
 
-/* Until all agree, and the time over which datagrams are counted. */
+/* Time until all daemons agree, and time over which datagrams are counted. */
 #define SETTLE_MS 3000
-#define COUNT_MS 5000
-/* Requests that each daemon has under way: three a second for 1.5 s. */
-#define WORK_EACH 5
+#define MEASURE_MS 5000
+/* Requests in progress at each daemon: three a second of 1.5 s each. */
+#define REQUESTS_PER_DAEMON 5
 
-/* Prints one row of the table. */
+/* Runs a fleet of the given size and prints its row. */
 static void
 print_row(unsigned daemons, unsigned domains, unsigned endpoints)
 {
 	struct fleet_model *model =
 	    fleet_model_new(daemons, domains, endpoints, 1);
-	struct model_stats s;
+	struct model_stats stats;
 
 	fleet_model_run(model, SETTLE_MS);
-	fleet_model_set_load(model, WORK_EACH);
+	fleet_model_set_load(model, REQUESTS_PER_DAEMON);
 	fleet_model_reset_counts(model);
-	fleet_model_run(model, COUNT_MS);
-	fleet_model_measure(model, &s);
+	fleet_model_run(model, MEASURE_MS);
+	fleet_model_measure(model, &stats);
 	printf("%7u %7u %9u %6u %6u-%u %6.1f %8.1f %9.1f %9.0f %9.0f %6u\n",
-	    daemons, domains, endpoints, s.relays, s.alive_least, s.alive_most,
-	    s.sent_s, s.sent_max_s, s.received_s, s.received_bytes_s,
-	    s.sent_bytes_max_s, s.relay_changes);
+	    daemons, domains, endpoints, stats.relays, stats.alive_least,
+	    stats.alive_most, stats.sent_s, stats.sent_max_s, stats.received_s,
+	    stats.received_bytes_s, stats.sent_bytes_max_s,
+	    stats.relay_changes);
 	fleet_model_free(model);
 }
 
-/* bench fleet [DAEMONS DOMAINS ENDPOINTS]: datagrams and bytes a second. */
+/* bench fleet [DAEMONS DOMAINS ENDPOINTS]: datagrams and bytes per second. */
 static int
-exec_fleet(int argc, const char **argv)
+bench_fleet_exec(int argc, const char **argv)
 {
 	static const unsigned sizes[][3] = { { 7, 3, 8 }, { 30, 5, 20 },
 		{ 100, 5, 40 }, { 300, 5, 86 }, { 400, 11, 375 } };
@@ -55,6 +59,6 @@
 
 const struct bench_entry bench_fleet_entry = {
 	.name = "fleet",
-	.help = "[daemons domains endpoints]: what daemons tell each other",
-	.exec = exec_fleet,
+	.help = "[daemons domains endpoints]: datagrams between daemons",
+	.exec = bench_fleet_exec,
 };
--- a/src/bench-limits.c
+++ b/src/bench-limits.c
@@ -1,4 +1,4 @@
-/* Bench: ways to share an endpoint's limit among daemons. */
+/* Benchmark limits: schemes to share an endpoint's limit among daemons. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,55 +10,62 @@
 #include "event-log.h"
 #include "limit-model.h"
 
-/* Until all daemons agree, and the time over which requests are counted. */
+/* Time until all daemons agree, and time over which requests are counted. */
 #define SETTLE_MS 6000
-#define COUNT_MS 30000
-/* Daemons of each failure domain. */
-#define CELL 36
-/* Requests a second that each daemon has for the endpoint: the usual ones of a
- * large fleet, or so many that all together have a multiple of the limit. */
-#define DEMAND_USUAL 2.0
-#define DEMAND_TIMES 4.0
-/* What limits cost is counted for so long, with endpoints that name this. */
-#define COST_S 5
-#define COST_LIMIT 5.0
+#define MEASURE_MS 30000
+/* Maximum number of daemons in a failure domain. */
+#define DAEMONS_PER_DOMAIN 36
+/*
+ * Requests a second of each busy daemon for the endpoint: at least the usual
+ * rate in a large fleet, and at least so many that all daemons together have
+ * this multiple of the limit.
+ */
+#define DEMAND_MIN_PER_S 2.0
+#define DEMAND_FACTOR 4.0
+/* Duration of the measurement of costs, and the limit of endpoints in it. */
+#define COST_RUN_S 5
+#define COST_LIMIT_PER_S 5.0
 
-static const struct limit_scheme *const ways[] = { &limit_scheme_equal,
+static const struct limit_scheme *const schemes[] = { &limit_scheme_equal,
 	&limit_scheme_demand, &limit_scheme_owner, &limit_scheme_users };
 
-/* Prints what a way gives. */
+/*
+ * Prints the requests beyond what the limit allows, and the part of it that is
+ * used, with a scheme. Every busy-th daemon has requests.
+ */
 static void
-print_way(const struct limit_scheme *way, unsigned daemons, unsigned busy,
+print_scheme(const struct limit_scheme *scheme, unsigned daemons, unsigned busy,
     double per_s)
 {
-	unsigned domains = MAX(3, (daemons + CELL - 1) / CELL);
+	unsigned domains =
+	    MAX(3, (daemons + DAEMONS_PER_DOMAIN - 1) / DAEMONS_PER_DOMAIN);
 	struct fleet_model *fleet = fleet_model_new(daemons, domains, 1, 1);
 	double demand =
-	    fmax(DEMAND_USUAL, DEMAND_TIMES * per_s * busy / daemons);
-	struct limit_model *m = limit_model_new(fleet, way, demand, busy);
+	    fmax(DEMAND_MIN_PER_S, DEMAND_FACTOR * per_s * busy / daemons);
+	struct limit_model *m = limit_model_new(fleet, scheme, demand, busy);
 
 	fleet_model_run(fleet, SETTLE_MS);
 	limit_model_set_limit(m, per_s);
-	limit_model_run(m, COUNT_MS);
-	printf("  %8s %5u %5.2f", way->name, m->n_over, limit_model_used(m));
+	limit_model_run(m, MEASURE_MS);
+	printf("  %8s %5u %5.2f", scheme->name, m->n_over, limit_model_used(m));
 	limit_model_free(m);
 	fleet_model_free(fleet);
 }
 
+/* Prints one row, with all schemes. */
 static void
 print_row(unsigned daemons, unsigned busy, double per_s)
 {
 	printf("%7u %5u %5.1f", daemons, busy, per_s);
-	for (size_t i = 0; i < G_N_ELEMENTS(ways); i++)
-		print_way(ways[i], daemons, busy, per_s);
+	for (size_t i = 0; i < G_N_ELEMENTS(schemes); i++)
+		print_scheme(schemes[i], daemons, busy, per_s);
 	printf("\n");
 	fflush(stdout);
 }
 
-/* Names limits of some endpoints, each to the daemon that has it this second.
- */
+/* Sets limits of some endpoints; each tells another daemon every second. */
 static void
-name_some(struct fleet_model *fleet, unsigned limited, unsigned second)
+set_limits(struct fleet_model *fleet, unsigned limited, unsigned second)
 {
 	for (unsigned i = 0; i < limited; i++) {
 		struct model_daemon *d =
@@ -67,39 +74,40 @@
 		struct endpoint *ep = fleet_find(&d->registry.fleet, id);
 
 		ep->limit.heard_ms = fleet->now_ms;
-		if (endpoint_limit_set(&ep->limit, COST_LIMIT, fleet->now_ms))
+		if (endpoint_limit_set(&ep->limit, COST_LIMIT_PER_S,
+			fleet->now_ms))
 			mesh_limit_changed(&d->mesh, ep);
 	}
 }
 
-/* Prints what limits cost where so many endpoints name one. */
+/* Prints traffic and CPU time with that many endpoints that have a limit. */
 static void
 print_cost(unsigned daemons, unsigned domains, unsigned endpoints,
     unsigned limited)
 {
 	struct fleet_model *fleet =
 	    fleet_model_new(daemons, domains, endpoints, 1);
-	struct model_stats sight;
-	clock_t began;
+	struct model_stats stats;
+	clock_t start;
 
 	fleet_model_run(fleet, SETTLE_MS);
-	name_some(fleet, limited, 0);
+	set_limits(fleet, limited, 0);
 	fleet_model_run(fleet, SETTLE_MS);
 	fleet_model_reset_counts(fleet);
-	began = clock();
-	for (unsigned s = 0; s < COST_S; s++) {
-		name_some(fleet, limited, s);
+	start = clock();
+	for (unsigned s = 0; s < COST_RUN_S; s++) {
+		set_limits(fleet, limited, s);
 		fleet_model_run(fleet, 1000);
 	}
-	fleet_model_measure(fleet, &sight);
+	fleet_model_measure(fleet, &stats);
 	printf("%7u %9u %7u %9.0f %9.0f %9.3f\n", daemons, endpoints, limited,
-	    sight.received_bytes_s, sight.sent_bytes_max_s,
-	    1000.0 * (double)(clock() - began) / CLOCKS_PER_SEC /
-		(daemons * COST_S));
+	    stats.received_bytes_s, stats.sent_bytes_max_s,
+	    1000.0 * (double)(clock() - start) / CLOCKS_PER_SEC /
+		(daemons * COST_RUN_S));
 	fleet_model_free(fleet);
 }
 
-/* bench limits cost: bytes and processor time of telling of limits */
+/* bench limits cost: bytes and CPU time spent on the exchange of limits. */
 static void
 print_costs(void)
 {
@@ -112,9 +120,10 @@
 		print_cost(9, 3, 18, MIN(limited[i], 18));
 }
 
-/* bench limits [DAEMONS]: requests over the allowance, part that is used */
+/* bench limits [DAEMONS]: requests beyond the limit, part of it that is used.
+ */
 static int
-exec_limits(int argc, const char **argv)
+bench_limits_exec(int argc, const char **argv)
 {
 	static const unsigned sizes[] = { 9, 30, 100, 300, 400 };
 	static const double limits[] = { 0.5, 1.3, 5, 20 };
@@ -138,6 +147,6 @@
 
 const struct bench_entry bench_limits_entry = {
 	.name = "limits",
-	.help = "[daemons | cost]: ways to share an endpoint's limit",
-	.exec = exec_limits,
+	.help = "[daemons | cost]: schemes to share an endpoint's limit",
+	.exec = bench_limits_exec,
 };
--- a/src/bench-placement.c
+++ b/src/bench-placement.c
@@ -1,7 +1,7 @@
 /*
- * bench placement TRACE...: replays failure traces through the placement
- * policies in virtual time, and counts group downtime and stranded
- * accelerators for each.
+ * Benchmark placement TRACE...: replays failure traces through the placement
+ * policies in virtual time and measures group downtime and stranded
+ * accelerators for each policy.
  */
 #include <stdio.h>
 #include <string.h>
@@ -12,17 +12,26 @@
 #include "place.h"
 
 #define TICK_MS 500
+/* A host that is silent for this long is not alive any more. */
 #define DEAD_MS 5000
+/* Older evidence about a host has expired after this. */
 #define EVIDENCE_MS 2500
-/* A host that keeps its shard only sets its group up anew. */
+/* Time to set up a group anew for a host that still has its shard. */
 #define REINIT_MS 5000
+/* Accelerators of each host. */
 #define ACCELERATORS 2
-#define LEFT_MS 3600000
+/* Time for which a leaving host counts as lost already. */
+#define LEAVING_LOST_MS 3600000
 #define HOSTS_MAX 64
-#define CARRERA_WEIGHT 0.8
-#define NITRA_WEIGHT 0.2
+/* Weights of downtime against stranded time in the two columns of scores. */
+#define DOWNTIME_WEIGHT_CARRERA 0.8
+#define DOWNTIME_WEIGHT_NITRA 0.2
 
-/* A host in the replay. */
+/*
+ * A host in the replay. shard is the rank whose weights it holds, group the
+ * index of its group or -1, last_busy_ms the time at which it last came back
+ * without memory or left a group.
+ */
 struct host_sim {
 	bool up;
 	bool leaving;
@@ -33,16 +42,17 @@
 	bool ready;
 	bool loading;
 	uint64_t load_end_ms;
-	uint64_t busy_ms;
+	uint64_t last_busy_ms;
 };
 
-/* A group in the replay; a free slot has no name. */
+/* A group in the replay; an entry that is not active is free. */
 struct group_sim {
-	bool live;
+	bool active;
 	int fabric;
 	char name[16];
 };
 
+/* The replay of one trace with one policy, and what it measures. */
 struct replay {
 	const struct trace *trace;
 	const struct place_policy *policy;
@@ -57,8 +67,9 @@
 	unsigned loads;
 };
 
+/* Whether all hosts of a group are up and ready. */
 static bool
-group_whole(const struct replay *r, int g)
+group_intact(const struct replay *r, int g)
 {
 	for (int i = 0; i < r->trace->n_hosts; i++) {
 		const struct host_sim *h = &r->hosts[i];
@@ -69,9 +80,9 @@
 	return (true);
 }
 
-/* What a loss does to the group: the survivors set it up anew later. */
+/* Marks hosts of a group as not ready; the survivors set it up anew later. */
 static void
-group_disturb(struct replay *r, int g)
+group_mark_unready(struct replay *r, int g)
 {
 	for (int i = 0; g >= 0 && i < r->trace->n_hosts; i++) {
 		if (r->hosts[i].group == g)
@@ -94,8 +105,8 @@
 		h->up = true;
 		h->leaving = false;
 		h->shard = PLACE_NO_SHARD;
-		h->busy_ms = r->now;
-		group_disturb(r, h->group);
+		h->last_busy_ms = r->now;
+		group_mark_unready(r, h->group);
 		break;
 	case TRACE_RESUME:
 		h->up = true;
@@ -106,9 +117,9 @@
 	}
 }
 
-/* Loads that run or wait for the weight store. */
+/* Returns the number of loads that run or wait for the weight store. */
 static int
-loads_due(const struct replay *r)
+count_pending_loads(const struct replay *r)
 {
 	int n = 0;
 
@@ -120,9 +131,9 @@
 	return (n);
 }
 
-/* Loads that a group still has to begin. */
+/* Returns the number of loads that a group needs before it is ready. */
 static int
-repair_loads_left(const struct replay *r, int g)
+group_loads_left(const struct replay *r, int g)
 {
 	int n = 0;
 
@@ -134,13 +145,14 @@
 	return (n);
 }
 
-/* Whether a host of a group has yet to begin to load or to set up. */
+/* Whether a host in a group has not started to load its shard or set up. */
 static bool
-load_due(const struct host_sim *h)
+load_not_started(const struct host_sim *h)
 {
 	return (h->group >= 0 && h->up && !h->ready && !h->loading);
 }
 
+/* Starts the load of a shard, or the set-up of a host that has it. */
 static void
 load_start(struct replay *r, struct host_sim *h)
 {
@@ -151,9 +163,12 @@
 	h->load_end_ms = r->now + (keeps ? REINIT_MS : r->trace->load_ms);
 }
 
-/* The host whose load ends most downtime: of the group with the fewest left. */
+/*
+ * Returns the host to load next, -1 for none: one of the group with the fewest
+ * loads left, as that ends most downtime.
+ */
 static int
-next_load(const struct replay *r)
+next_load_host(const struct replay *r)
 {
 	int best = -1, best_left = 0;
 
@@ -161,9 +176,9 @@
 		const struct host_sim *h = &r->hosts[i];
 		int left;
 
-		if (!load_due(h) || h->shard == h->rank)
+		if (!load_not_started(h) || h->shard == h->rank)
 			continue;
-		left = repair_loads_left(r, h->group);
+		left = group_loads_left(r, h->group);
 		if (best < 0 || left < best_left) {
 			best = i;
 			best_left = left;
@@ -172,7 +187,7 @@
 	return (best);
 }
 
-/* Starts and ends loads; the weight store serves a few at once. */
+/* Starts and ends loads; the weight store serves a limited number at once. */
 static void
 step_loads(struct replay *r)
 {
@@ -187,36 +202,38 @@
 			h->shard = h->rank;
 		}
 		running += h->loading && h->shard != h->rank;
-		if (load_due(h) && h->shard == h->rank)
+		if (load_not_started(h) && h->shard == h->rank)
 			load_start(r, h);
 	}
-	while (running < r->trace->parallel && (i = next_load(r)) >= 0) {
+	while (running < r->trace->parallel && (i = next_load_host(r)) >= 0) {
 		load_start(r, &r->hosts[i]);
 		running++;
 	}
 }
 
 static void
-fill_host(const struct replay *r, int i, const int *index,
+view_fill_host(const struct replay *r, int i, const int *view_index,
     struct place_host *out)
 {
 	const struct host_sim *h = &r->hosts[i];
-	uint64_t silent = h->up ? 0 : r->now - h->down_ms;
+	uint64_t silent_ms = h->up ? 0 : r->now - h->down_ms;
 
 	out->name = "";
 	out->fabric = r->trace->fabric[i];
-	out->group = h->group >= 0 ? index[h->group] : PLACE_NO_GROUP;
-	out->alive = silent < DEAD_MS && !h->leaving;
-	out->lost_ms = h->leaving ? LEFT_MS : out->alive ? 0 : silent;
+	out->group = h->group >= 0 ? view_index[h->group] : PLACE_NO_GROUP;
+	out->alive = silent_ms < DEAD_MS && !h->leaving;
+	out->lost_ms = h->leaving ? LEAVING_LOST_MS :
+	    out->alive		  ? 0 :
+				    silent_ms;
 	out->reusable = out->alive && h->up && h->group < 0 &&
-	    r->now >= h->busy_ms + EVIDENCE_MS;
+	    r->now >= h->last_busy_ms + EVIDENCE_MS;
 	out->shard = h->shard;
 }
 
 static void
-dissolve(struct replay *r, int g)
+group_dissolve(struct replay *r, int g)
 {
-	r->groups[g].live = false;
+	r->groups[g].active = false;
 	for (int i = 0; i < r->trace->n_hosts; i++) {
 		struct host_sim *h = &r->hosts[i];
 
@@ -225,18 +242,18 @@
 		h->group = -1;
 		h->ready = false;
 		h->loading = false;
-		h->busy_ms = r->now;
+		h->last_busy_ms = r->now;
 	}
 }
 
 static void
-form(struct replay *r, const GArray *ranks)
+group_form(struct replay *r, const GArray *ranks)
 {
 	int g = 0;
 
-	while (r->groups[g].live)
+	while (r->groups[g].active)
 		g++;
-	r->groups[g].live = true;
+	r->groups[g].active = true;
 	for (guint k = 0; k < ranks->len; k++) {
 		int i = g_array_index(ranks, int, k);
 
@@ -246,27 +263,27 @@
 	}
 }
 
-/* Makes the policy's view, asks it, and carries its actions out. */
+/* Builds the policy's view, plans, and carries out the actions. */
 static void
 step_policy(struct replay *r)
 {
 	struct place_host hosts[HOSTS_MAX] = { 0 };
 	struct place_group groups[HOSTS_MAX] = { 0 };
-	int index[HOSTS_MAX] = { 0 }, back[HOSTS_MAX] = { 0 };
+	int view_index[HOSTS_MAX] = { 0 }, sim_index[HOSTS_MAX] = { 0 };
 	struct place_view view = { 0 };
 	g_autoptr(GArray) actions = NULL;
 
 	for (int g = 0; g < r->n_groups; g++) {
-		if (!r->groups[g].live)
+		if (!r->groups[g].active)
 			continue;
-		index[g] = view.n_groups;
-		back[view.n_groups] = g;
+		view_index[g] = view.n_groups;
+		sim_index[view.n_groups] = g;
 		groups[view.n_groups].name = r->groups[g].name;
 		groups[view.n_groups].fabric = r->groups[g].fabric;
-		groups[view.n_groups++].intact = group_whole(r, g);
+		groups[view.n_groups++].intact = group_intact(r, g);
 	}
 	for (int i = 0; i < r->trace->n_hosts; i++)
-		fill_host(r, i, index, &hosts[i]);
+		view_fill_host(r, i, view_index, &hosts[i]);
 	view.hosts = hosts;
 	view.n_hosts = r->trace->n_hosts;
 	view.groups = groups;
@@ -276,25 +293,25 @@
 	view.spares = 1;
 	view.downtime_weight = r->weight;
 	view.load_ms = r->trace->load_ms;
-	view.loads_free = r->trace->parallel - loads_due(r);
+	view.loads_free = r->trace->parallel - count_pending_loads(r);
 	actions = place_plan(r->policy, &view);
 	for (guint i = 0; i < actions->len; i++) {
 		struct place_action *a =
 		    &g_array_index(actions, struct place_action, i);
 
 		if (a->kind == PLACE_DISSOLVE)
-			dissolve(r, back[a->group]);
+			group_dissolve(r, sim_index[a->group]);
 	}
 	for (guint i = 0; i < actions->len; i++) {
 		struct place_action *a =
 		    &g_array_index(actions, struct place_action, i);
 
 		if (a->kind == PLACE_FORM)
-			form(r, a->hosts);
+			group_form(r, a->hosts);
 	}
 }
 
-/* Replicas that the hosts which are up could hold at best. */
+/* Returns the maximum number of replicas that hosts which are up can form. */
 static int
 replicas_possible(const struct replay *r)
 {
@@ -310,35 +327,35 @@
 	return (n);
 }
 
-/* Adds the time of one tick to the measures. */
+/* Adds one tick to downtime, unavoidable downtime and stranded time. */
 static void
-count(struct replay *r)
+measure_tick(struct replay *r)
 {
-	int whole = 0, held = 0;
+	int intact = 0, held = 0;
 
 	for (int g = 0; g < r->n_groups; g++)
-		whole += r->groups[g].live && group_whole(r, g);
+		intact += r->groups[g].active && group_intact(r, g);
 	for (int i = 0; i < r->trace->n_hosts; i++) {
 		const struct host_sim *h = &r->hosts[i];
 
 		if (!h->up)
 			continue;
-		if (h->group >= 0 ? !group_whole(r, h->group) :
-				    r->now < h->busy_ms + EVIDENCE_MS)
+		if (h->group >= 0 ? !group_intact(r, h->group) :
+				    r->now < h->last_busy_ms + EVIDENCE_MS)
 			held++;
 	}
 	r->unavoidable_s +=
 	    MAX(r->trace->wanted - replicas_possible(r), 0) * TICK_MS / 1000.0;
-	r->down_s += MAX(r->trace->wanted - whole, 0) * TICK_MS / 1000.0;
+	r->down_s += MAX(r->trace->wanted - intact, 0) * TICK_MS / 1000.0;
 	r->stranded_s += held * ACCELERATORS * TICK_MS / 1000.0;
 }
 
-/* Replays a trace; the first groups are whole before counting begins. */
+/* Replays a trace after a warm-up in which the first groups become intact. */
 static void
-run(struct replay *r)
+replay_run(struct replay *r)
 {
 	const struct trace *t = r->trace;
-	uint64_t warm = t->load_ms * (uint64_t)t->n_hosts + 60000;
+	uint64_t warmup_ms = t->load_ms * (uint64_t)t->n_hosts + 60000;
 	guint next = 0;
 
 	r->hosts = g_new0(struct host_sim, t->n_hosts);
@@ -349,37 +366,42 @@
 		r->hosts[i].group = -1;
 		r->hosts[i].shard = PLACE_NO_SHARD;
 	}
-	for (r->now = 10000; r->now < warm + t->end_ms; r->now += TICK_MS) {
+	for (r->now = 10000; r->now < warmup_ms + t->end_ms;
+	     r->now += TICK_MS) {
 		while (next < t->events->len &&
 		    g_array_index(t->events, struct trace_event, next).at_ms +
-			    warm <=
+			    warmup_ms <=
 			r->now)
 			apply_event(r,
 			    &g_array_index(t->events, struct trace_event,
 				next++));
 		step_policy(r);
 		step_loads(r);
-		if (r->now >= warm)
-			count(r);
+		if (r->now >= warmup_ms)
+			measure_tick(r);
 	}
 	g_free(r->hosts);
 	g_free(r->groups);
 }
 
-/* Avoidable downtime and stranded time as one figure, in replica-seconds. */
+/* Returns avoidable downtime and stranded time as one figure, in
+ * replica-seconds. */
 static double
-score(const struct replay *r, double weight)
+replay_score(const struct replay *r, double weight)
 {
 	return (weight * (r->down_s - r->unavoidable_s) +
 	    (1 - weight) * r->stranded_s / (r->trace->size * ACCELERATORS));
 }
 
+/* Sums of the scores over all traces, by policy and downtime weight. */
 static double totals[5][2];
 
+/* Replays a trace with a policy at both weights and prints its row. */
 static void
 run_policy(const struct trace *trace, const char *name, int row)
 {
-	const double weights[] = { CARRERA_WEIGHT, NITRA_WEIGHT };
+	const double weights[] = { DOWNTIME_WEIGHT_CARRERA,
+		DOWNTIME_WEIGHT_NITRA };
 
 	printf("  %-10s", name);
 	for (int k = 0; k < 2; k++) {
@@ -387,12 +409,12 @@
 			.policy = place_policy_find(name),
 			.weight = weights[k] };
 
-		run(&r);
+		replay_run(&r);
 		if (k == 0 || strcmp(name, "weighted") == 0)
 			printf(" %9.0f %10.0f %6u", r.down_s, r.stranded_s,
 			    r.loads);
-		totals[row][k] += score(&r, weights[k]);
-		printf(" %9.0f", score(&r, weights[k]));
+		totals[row][k] += replay_score(&r, weights[k]);
+		printf(" %9.0f", replay_score(&r, weights[k]));
 	}
 	putchar('\n');
 }
@@ -406,7 +428,7 @@
 	printf("downtime: seconds x replicas short of the wanted count; "
 	       "stranded: accelerator-seconds;\nloads: shards from the weight "
 	       "store; score: replica-seconds at downtime weight %g and %g\n",
-	    CARRERA_WEIGHT, NITRA_WEIGHT);
+	    DOWNTIME_WEIGHT_CARRERA, DOWNTIME_WEIGHT_NITRA);
 	for (int i = 0; i < argc; i++) {
 		CLEANUP(trace_clear) struct trace trace;
 		g_autoptr(GError) error = NULL;
--- a/src/bench-poison.c
+++ b/src/bench-poison.c
@@ -1,4 +1,4 @@
-/* Bench: ways to bound what work does that ends endpoints. */
+/* Benchmark poison: schemes to bound the crashes that requests cause. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <syslog.h>
@@ -7,51 +7,56 @@
 #include "event-log.h"
 #include "poison-model.h"
 
-/* Until all daemons agree, and how long the work comes. */
+/* Time until all daemons agree, and time over which attempts arrive. */
 #define SETTLE_MS 6000
-#define COME_MS 20000
-/* Daemons of each failure domain. */
-#define CELL 36
-/* Endpoints that daemons have work at. */
+#define ATTEMPTS_MS 20000
+/* Maximum number of daemons in a failure domain. */
+#define DAEMONS_PER_DOMAIN 36
+/* Endpoints that daemons send requests to. */
 #define ENDPOINTS 18
 
-static const struct poison_scheme *const ways[] = { &poison_scheme_alone,
+static const struct poison_scheme *const schemes[] = { &poison_scheme_alone,
 	&poison_scheme_two, &poison_scheme_once, &poison_scheme_told };
 
-/* Prints what a way gives. */
+/*
+ * Prints, with a scheme, crashes per request, late sends, the time of the last
+ * crash, other requests refused, and traffic.
+ */
 static void
-print_way(const struct poison_scheme *way, unsigned daemons, double per_s,
-    unsigned works)
+print_scheme(const struct poison_scheme *scheme, unsigned daemons, double per_s,
+    unsigned requests)
 {
-	unsigned domains = MAX(3, (daemons + CELL - 1) / CELL);
+	unsigned domains =
+	    MAX(3, (daemons + DAEMONS_PER_DOMAIN - 1) / DAEMONS_PER_DOMAIN);
 	struct fleet_model *fleet =
 	    fleet_model_new(daemons, domains, ENDPOINTS, 1);
-	struct poison_model *m = poison_model_new(fleet, way, per_s, works);
-	struct model_stats sight;
-	uint64_t began;
+	struct poison_model *m =
+	    poison_model_new(fleet, scheme, per_s, requests);
+	struct model_stats stats;
+	uint64_t start_ms;
 
 	fleet_model_run(fleet, SETTLE_MS);
 	fleet_model_set_load(fleet, 1);
 	fleet_model_reset_counts(fleet);
-	began = fleet->now_ms;
-	poison_model_run(m, COME_MS);
-	fleet_model_measure(fleet, &sight);
-	printf("  %5s %6.1f %4u %6.1f %4u %6.1f", way->name,
-	    (double)m->n_crashes / works, poison_model_late_max(m),
-	    (double)(m->last_crash_ms - began) / 1000, poison_model_refused(m),
-	    sight.received_bytes_s / 1000);
+	start_ms = fleet->now_ms;
+	poison_model_run(m, ATTEMPTS_MS);
+	fleet_model_measure(fleet, &stats);
+	printf("  %5s %6.1f %4u %6.1f %4u %6.1f", scheme->name,
+	    (double)m->n_crashes / requests, poison_model_late_max(m),
+	    (double)(m->last_crash_ms - start_ms) / 1000,
+	    poison_model_refused(m), stats.received_bytes_s / 1000);
 	poison_model_free(m);
 	fleet_model_free(fleet);
 }
 
-/* bench poison [DAEMONS]: endpoints lost to such work, and who is refused */
+/* bench poison [DAEMONS]: endpoints lost, and other requests refused. */
 static int
-exec_poison(int argc, const char **argv)
+bench_poison_exec(int argc, const char **argv)
 {
 	static const unsigned sizes[] = { 9, 30, 100, 300, 400 };
 	static const struct {
 		double per_s;
-		unsigned works;
+		unsigned requests;
 	} rows[] = { { 1, 1 }, { 5, 1 }, { 20, 1 }, { 1, 20 } };
 
 	event_log_open("banklift-bench", LOG_ERR);
@@ -62,10 +67,10 @@
 			continue;
 		for (size_t k = 0; k < G_N_ELEMENTS(rows); k++) {
 			printf("%4u %3.0f %3u", sizes[i], rows[k].per_s,
-			    rows[k].works);
-			for (size_t w = 0; w < G_N_ELEMENTS(ways); w++)
-				print_way(ways[w], sizes[i], rows[k].per_s,
-				    rows[k].works);
+			    rows[k].requests);
+			for (size_t w = 0; w < G_N_ELEMENTS(schemes); w++)
+				print_scheme(schemes[w], sizes[i],
+				    rows[k].per_s, rows[k].requests);
 			printf("\n");
 			fflush(stdout);
 		}
@@ -75,6 +80,6 @@
 
 const struct bench_entry bench_poison_entry = {
 	.name = "poison",
-	.help = "[daemons]: ways to bound work that ends endpoints",
-	.exec = exec_poison,
+	.help = "[daemons]: schemes to bound crashes caused by requests",
+	.exec = bench_poison_exec,
 };
--- a/src/bench-slopes.c
+++ b/src/bench-slopes.c
@@ -1,6 +1,7 @@
 /*
- * bench slopes: what one more record, resource, group, claim or line of news
- * costs, in bytes and time. docs/CAPACITY.md is worked out from these.
+ * Benchmark slopes: the marginal cost, in bytes and time, of one more record,
+ * resource, group, claim or entry of a gossip message. docs/CAPACITY.md is
+ * derived from these figures.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -20,6 +21,7 @@
 #define CLAIMS 200000
 #define TOKEN_BYTES 32
 
+/* Returns the bytes allocated on the heap. */
 static size_t
 heap_bytes(void)
 {
@@ -29,12 +31,13 @@
 }
 
 static void
-row(const char *what, double us, double memory, double wire)
+print_row(const char *what, double us, double memory, double wire)
 {
 	printf("  %-34s %8.2f us %8.0f B kept %8.0f B sent\n", what, us, memory,
 	    wire);
 }
 
+/* Makes the i-th change, to one of n customers in turn. */
 static json_t *
 change_record(int i, int n)
 {
@@ -50,6 +53,7 @@
 	    "burst", 20));
 }
 
+/* Makes the record that forms a group. */
 static json_t *
 form_record(int g, const char *domain)
 {
@@ -68,7 +72,7 @@
 	    "judges", "fabric", "fabric-1", "hosts", hosts));
 }
 
-/* Replays a record that comes as text, as from the log; returns its length. */
+/* Replays a record parsed from text, as from the log; returns its length. */
 static size_t
 replay(struct state *state, json_t *record)
 {
@@ -84,14 +88,15 @@
 slope_changes(struct state *state)
 {
 	size_t before = heap_bytes(), wire = 0, kept = 0;
-	uint64_t began = clock_now_us();
+	uint64_t start_us = clock_now_us();
 
 	for (int i = 0; i < CHANGES; i++) {
 		wire += replay(state, change_record(i, CUSTOMERS));
 		if (i == CUSTOMERS - 1)
 			kept = heap_bytes() - before;
 	}
-	row("change of a resource", (double)(clock_now_us() - began) / CHANGES,
+	print_row("change of a resource",
+	    (double)(clock_now_us() - start_us) / CHANGES,
 	    (double)kept / CUSTOMERS, (double)wire / CHANGES);
 }
 
@@ -99,30 +104,31 @@
 slope_groups(struct state *state)
 {
 	size_t before, wire = 0;
-	uint64_t began;
+	uint64_t start_us;
 
 	replay(state,
 	    json_pack("{s:s, s:s, s:s, s:i}", "kind", "lease", "domain",
 		"mvd-centro", "holder", "daemon-1#0", "base", 0));
 	before = heap_bytes();
-	began = clock_now_us();
+	start_us = clock_now_us();
 	for (int g = 0; g < GROUPS; g++)
 		wire += replay(state, form_record(g, "mvd-centro"));
-	row("group of 4 hosts", (double)(clock_now_us() - began) / GROUPS,
+	print_row("group of 4 hosts",
+	    (double)(clock_now_us() - start_us) / GROUPS,
 	    (double)(heap_bytes() - before) / GROUPS, (double)wire / GROUPS);
 }
 
 static void
 slope_dump(struct state *state)
 {
-	uint64_t began = clock_now_us();
+	uint64_t start_us = clock_now_us();
 	json_t *dump = state_dump(state);
 	char *text = json_dumps(dump, JSON_COMPACT);
 	size_t items = g_hash_table_size(state->resources) +
 	    g_hash_table_size(state->groups);
 
-	row("snapshot, each resource or group",
-	    (double)(clock_now_us() - began) / (double)items, 0,
+	print_row("snapshot, each resource or group",
+	    (double)(clock_now_us() - start_us) / (double)items, 0,
 	    (double)strlen(text) / (double)items);
 	free(text);
 	json_decref(dump);
@@ -134,19 +140,19 @@
 	struct view_tables tables;
 	struct inventory inv;
 	size_t before = heap_bytes();
-	uint64_t began;
+	uint64_t start_us;
 	struct view *view;
 
 	view_tables_init(&tables);
 	inventory_init(&inv);
 	view = view_build(&tables, state, &inv, "mvd-centro", 9);
-	row("customer in the view, with counts", 0,
+	print_row("customer in the view, with counts", 0,
 	    (double)(heap_bytes() - before) / CUSTOMERS, 0);
 	view_free(view);
-	began = clock_now_us();
+	start_us = clock_now_us();
 	view = view_build(&tables, state, &inv, "mvd-centro", 9);
-	row("view built anew, each resource",
-	    (double)(clock_now_us() - began) / CUSTOMERS, 0, 0);
+	print_row("view built anew, each resource",
+	    (double)(clock_now_us() - start_us) / CUSTOMERS, 0, 0);
 	view_free(view);
 	inventory_destroy(&inv);
 	view_tables_destroy(&tables);
@@ -157,11 +163,11 @@
 {
 	struct claim_index index;
 	size_t before, wire = 0;
-	uint64_t began;
+	uint64_t start_us;
 
 	claim_index_init(&index);
 	before = heap_bytes();
-	began = clock_now_us();
+	start_us = clock_now_us();
 	for (int i = 0; i < CLAIMS; i++) {
 		g_autofree char *id =
 		    g_strdup_printf("venue-%d/req-%08d", i % 10, i);
@@ -178,27 +184,27 @@
 		parsed = json_loads(text, 0, NULL);
 		claim_index_apply(&index, index.next, parsed);
 	}
-	row("claim of an id, one a record",
-	    (double)(clock_now_us() - began) / CLAIMS,
+	print_row("claim of an id, one a record",
+	    (double)(clock_now_us() - start_us) / CLAIMS,
 	    (double)(heap_bytes() - before) / CLAIMS, (double)wire / CLAIMS);
 	claim_index_destroy(&index);
 }
 
 static void
-slope_news(void)
+slope_gossip_entries(void)
 {
 	peer_member member = { .name = "daemon-01-01", .domain = "mvd-centro" };
 	peer_target target = { 0 };
 	peer_host host = { 0 };
 	peer_life life = { 0 };
 
-	row("news of a member", 0, 0,
+	print_row("news of a member", 0, 0,
 	    (double)xdr_sizeof((xdrproc_t)xdr_peer_member, &member));
-	row("news of a life", 0, 0,
+	print_row("news of a life", 0, 0,
 	    (double)xdr_sizeof((xdrproc_t)xdr_peer_life, &life));
-	row("news of a target", 0, 0,
+	print_row("news of a target", 0, 0,
 	    (double)xdr_sizeof((xdrproc_t)xdr_peer_target, &target));
-	row("news of a host", 0, 0,
+	print_row("news of a host", 0, 0,
 	    (double)xdr_sizeof((xdrproc_t)xdr_peer_host, &host));
 }
 
@@ -213,13 +219,13 @@
 	slope_dump(state);
 	slope_view(state);
 	slope_claims();
-	slope_news();
+	slope_gossip_entries();
 	state_free(state);
 	return (0);
 }
 
 const struct bench_entry bench_slopes_entry = {
 	.name = "slopes",
-	.help = "bytes and time of one more record, claim or line of news",
+	.help = "bytes and time of one more record, claim or gossip entry",
 	.exec = bench_slopes_exec,
 };
--- a/src/bench-trace.c
+++ b/src/bench-trace.c
@@ -1,7 +1,8 @@
 /*
- * Failure traces. A trace is a text: "fabric N" lines give fabric domains and
- * their hosts, "size", "wanted", "load_ms", "parallel" and "end_ms" the rest,
- * and "at MS KIND HOST" lines the events, by time.
+ * Reads failure traces from text files. A line "fabric N" adds a fabric domain
+ * with N hosts; "size", "wanted", "load_ms", "parallel" and "end_ms" set the
+ * fields of struct trace; "at MS KIND HOST" lines are the events, sorted by
+ * time.
  */
 #include <stdio.h>
 #include <string.h>
@@ -9,6 +10,7 @@
 #include "bench-trace.h"
 #include "error.h"
 
+/* Reads a line "at MS KIND HOST"; false if it is malformed. */
 static bool
 read_event(struct trace *t, const char *line)
 {
@@ -30,6 +32,7 @@
 	return (false);
 }
 
+/* Adds a fabric domain with that many hosts. */
 static void
 add_fabric(struct trace *t, int hosts)
 {
@@ -39,6 +42,7 @@
 	t->n_fabrics++;
 }
 
+/* Reads any line; false if it is malformed. */
 static bool
 read_line(struct trace *t, const char *line)
 {
@@ -69,10 +73,10 @@
 }
 
 /**
- * trace_read() - read a trace.
- * @t: filled in; free with trace_clear()
- * @path: its file
- * @error: ERROR_NOT_FOUND or ERROR_BAD_FIELD with the line
+ * trace_read() - read a trace from a file.
+ * @t: filled in, also on failure; free with trace_clear()
+ * @path: path of the file
+ * @error: ERROR_NOT_FOUND, or ERROR_BAD_FIELD with the malformed line
  */
 bool
 trace_read(struct trace *t, const char *path, GError **error)
@@ -98,7 +102,7 @@
 }
 
 /**
- * trace_clear() - free a trace.
+ * trace_clear() - free what a trace holds.
  * @t: the trace
  */
 void
--- a/src/bench-trace.h
+++ b/src/bench-trace.h
@@ -1,4 +1,4 @@
-/* Failure traces: what happened to the hosts of one failure domain. */
+/* Failure traces: what happens to the hosts of one failure domain over time. */
 #ifndef BL_BENCH_TRACE_H
 #define BL_BENCH_TRACE_H
 
@@ -6,17 +6,18 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/* What happens to a host. */
 enum trace_kind {
-	TRACE_DOWN,   /* stops answering */
-	TRACE_UP,     /* answers again; its memory is lost */
-	TRACE_RESUME, /* answers again; its memory is kept */
-	TRACE_LEAVE,  /* says that it will go */
+	TRACE_DOWN,   /* stops responding */
+	TRACE_UP,     /* responds again; its memory is lost */
+	TRACE_RESUME, /* responds again; its memory is kept */
+	TRACE_LEAVE,  /* announces that it will leave */
 };
 
 /**
- * struct trace_event - one event.
- * @at_ms: time from the start
- * @kind: what happened
+ * struct trace_event - one event of a host.
+ * @at_ms: time since the start of the trace, in ms
+ * @kind: what happens
  * @host: index of the host
  */
 struct trace_event {
@@ -26,16 +27,16 @@
 };
 
 /**
- * struct trace - one recorded trace.
- * @n_hosts: hosts
- * @fabric: fabric domain of each host
- * @n_fabrics: fabric domains
- * @size: hosts of a replica
- * @wanted: replicas that the operator asks for
- * @load_ms: time to load one shard when it loads alone
+ * struct trace - one failure trace.
+ * @n_hosts: number of hosts
+ * @fabric: number of the fabric domain of each host
+ * @n_fabrics: number of fabric domains
+ * @size: hosts per replica
+ * @wanted: number of replicas there should be
+ * @load_ms: time to load one shard when it loads alone, in ms
  * @parallel: loads that the weight store serves at once
- * @end_ms: end of the trace
- * @events: array of struct trace_event by time
+ * @end_ms: duration of the trace, in ms
+ * @events: array of struct trace_event, sorted by time
  */
 struct trace {
 	int n_hosts;
--- a/src/bench.h
+++ b/src/bench.h
@@ -1,12 +1,12 @@
-/* The benches: a table entry and a file for each. */
+/* The benchmarks of banklift-bench; each has a file with its table entry. */
 #ifndef BL_BENCH_H
 #define BL_BENCH_H
 
 /**
- * struct bench_entry - one bench.
- * @name: its name
- * @help: one line
- * @exec: runs it with the arguments after its name; returns an exit code
+ * struct bench_entry - one benchmark.
+ * @name: name on the command line
+ * @help: one-line description
+ * @exec: runs it with the arguments after its name; returns the exit code
  */
 struct bench_entry {
 	const char *name;
