--- a/src/bench-placement.c
+++ b/src/bench-placement.c
@@ -156,11 +156,11 @@
 static void
 load_start(struct replay *r, struct host_sim *h)
 {
-	bool keeps = h->shard == h->rank;
+	bool has_shard = h->shard == h->rank;
 
-	r->loads += !keeps;
+	r->loads += !has_shard;
 	h->loading = true;
-	h->load_end_ms = r->now + (keeps ? REINIT_MS : r->trace->load_ms);
+	h->load_end_ms = r->now + (has_shard ? REINIT_MS : r->trace->load_ms);
 }
 
 /*
@@ -331,7 +331,7 @@
 static void
 measure_tick(struct replay *r)
 {
-	int intact = 0, held = 0;
+	int intact = 0, stranded_hosts = 0;
 
 	for (int g = 0; g < r->n_groups; g++)
 		intact += r->groups[g].active && group_intact(r, g);
@@ -342,12 +342,12 @@
 			continue;
 		if (h->group >= 0 ? !group_intact(r, h->group) :
 				    r->now < h->last_busy_ms + EVIDENCE_MS)
-			held++;
+			stranded_hosts++;
 	}
 	r->unavoidable_s +=
 	    MAX(r->trace->wanted - replicas_possible(r), 0) * TICK_MS / 1000.0;
 	r->down_s += MAX(r->trace->wanted - intact, 0) * TICK_MS / 1000.0;
-	r->stranded_s += held * ACCELERATORS * TICK_MS / 1000.0;
+	r->stranded_s += stranded_hosts * ACCELERATORS * TICK_MS / 1000.0;
 }
 
 /* Replays a trace after a warm-up in which the first groups become intact. */
--- a/src/bench-slopes.c
+++ b/src/bench-slopes.c
@@ -87,17 +87,17 @@
 static void
 slope_changes(struct state *state)
 {
-	size_t before = heap_bytes(), wire = 0, kept = 0;
+	size_t before = heap_bytes(), wire = 0, heap_used = 0;
 	uint64_t start_us = clock_now_us();
 
 	for (int i = 0; i < CHANGES; i++) {
 		wire += replay(state, change_record(i, CUSTOMERS));
 		if (i == CUSTOMERS - 1)
-			kept = heap_bytes() - before;
+			heap_used = heap_bytes() - before;
 	}
 	print_row("change of a resource",
 	    (double)(clock_now_us() - start_us) / CHANGES,
-	    (double)kept / CUSTOMERS, (double)wire / CHANGES);
+	    (double)heap_used / CUSTOMERS, (double)wire / CHANGES);
 }
 
 static void
--- a/src/cmd-account.c
+++ b/src/cmd-account.c
@@ -13,10 +13,11 @@
 #define ACCOUNT_INTERVAL_MS 2000
 
 /**
- * struct account_span - outcomes of the requests that ended in one interval.
+ * struct account_interval - outcomes of the requests that ended in one
+ * interval.
  * @answered: requests with a complete response
- * @moved: of these, the ones that were sent more than once
- * @ends: counts of the other requests by "outcome:reason"
+ * @retried: of these, the ones that were sent more than once
+ * @failures: counts of the other requests by "outcome:reason"
  * @first: times to the first event of responses, of struct first_event
  */
 struct account_interval {
