--- a/src/cmd-apply.c
+++ b/src/cmd-apply.c
@@ -11,7 +11,7 @@
 static enum cmd_exit
 apply_resource(const struct cmd_context *ctx, json_t *item)
 {
-	CLEANUP(http_reply_clear) struct http_reply response = { 0 };
+	CLEANUP(http_response_clear) struct http_response response = { 0 };
 	g_autofree char *path = NULL;
 	json_auto_t *body = NULL;
 	const char *type, *name;
--- a/src/cmd-call.c
+++ b/src/cmd-call.c
@@ -12,7 +12,7 @@
  * Return: the exit code for the type of the error.
  */
 enum cmd_exit
-cmd_report_error(const struct http_reply *response)
+cmd_report_error(const struct http_response *response)
 {
 	const char *type = "unknown", *message = "";
 
@@ -34,14 +34,14 @@
  * @method: HTTP method
  * @path: path in the operators' interface
  * @body: JSON body, or NULL
- * @response: filled in; free with http_reply_clear()
+ * @response: filled in; free with http_response_clear()
  *
  * Return: CMD_OK if the status is 200; otherwise the error is printed and its
  * exit code returned.
  */
 enum cmd_exit
 cmd_call(const struct cmd_context *ctx, const char *method, const char *path,
-    json_t *body, struct http_reply *response)
+    json_t *body, struct http_response *response)
 {
 	g_autofree char *url = g_strconcat(ctx->urls[0], path, NULL);
 	g_autoptr(GError) error = NULL;
--- a/src/cmd-wait.c
+++ b/src/cmd-wait.c
@@ -13,7 +13,7 @@
 static long long
 version_in_force(const struct cmd_context *ctx, const char *base)
 {
-	CLEANUP(http_reply_clear) struct http_reply response = { 0 };
+	CLEANUP(http_response_clear) struct http_response response = { 0 };
 	g_autofree char *url = g_strconcat(base, "/status", NULL);
 
 	if (!http_client_send("GET", url, NULL, ctx->token, 1000, &response,
--- a/src/edge-quarantine.c
+++ b/src/edge-quarantine.c
@@ -132,12 +132,12 @@
 }
 
 /**
- * edge_quarantine_look() - write the records that are due, remove those of work
- * that was cleared.
+ * edge_quarantine_update() - write the records that are due, remove those of
+ * work that was cleared.
  * @e: the daemon
  */
 void
-edge_quarantine_look(struct edge *e)
+edge_quarantine_update(struct edge *e)
 {
 	uint64_t now = clock_loop_ms(e->loop);
 	struct poison_request *w;
@@ -177,14 +177,14 @@
 }
 
 /**
- * edge_quarantine_record() - take in a record of quarantined work.
+ * edge_quarantine_apply() - take in a record of quarantined work.
  * @e: the daemon
  * @record: a record of the daemons' topic
  *
  * Return: false where it is of something else.
  */
 bool
-edge_quarantine_record(struct edge *e, const struct store_record *record)
+edge_quarantine_apply(struct edge *e, const struct store_record *record)
 {
 	json_auto_t *root = NULL;
 	const json_t *ends;
--- a/src/order-ops.h
+++ b/src/order-ops.h
@@ -5,7 +5,7 @@
 #include <glib.h>
 #include <stdint.h>
 
-#include "net-client.h"
+#include "net-conn.h"
 
 /**
  * enum order_kind - what an endpoint is told to do.
--- a/src/prober.c
+++ b/src/prober.c
@@ -92,7 +92,7 @@
 
 /* Takes one answer; returns whether the host began or ceased to leave. */
 static bool
-take_answer(struct host *host, const struct http_task *task)
+take_answer(struct host *host, const struct http_call *task)
 {
 	struct evidence *ev = &host->evidence;
 	bool leaving = host_leaving(host);
@@ -144,8 +144,8 @@
 static void
 probe_round(struct server *server, struct http_batch *batch)
 {
-	struct http_task_list *tasks;
-	struct http_task *task;
+	struct http_call_list *tasks;
+	struct http_call *task;
 	bool moved = false;
 
 	batch_fill(server, batch, clock_now_ms());
--- a/src/target-feedback.c
+++ b/src/target-feedback.c
@@ -20,7 +20,8 @@
 target_ask_rest(struct target *target, const char *seconds, uint64_t now)
 {
 	uint64_t ms =
-	    endpoint_backoff_normalize(net_head_decimal(seconds) * MS_PER_S,
+	    endpoint_backoff_normalize(net_head_parse_decimal(seconds) *
+		    MS_PER_S,
 		CLOSED_MAX_MS);
 	uint64_t until = atomic_load(&target->backoff_until_ms);
 
@@ -60,7 +61,8 @@
 	limit_known(target, &known);
 	if (per_s != NULL)
 		news = endpoint_limit_set(&known,
-		    endpoint_limit_normalize(net_head_decimal(per_s), &known),
+		    endpoint_limit_normalize(net_head_parse_decimal(per_s),
+			&known),
 		    now);
 	else
 		news = endpoint_limit_superseded(&known, sent_ms) &&
