--- a/src/edge-announce.c
+++ b/src/edge-announce.c
@@ -55,7 +55,7 @@
 }
 
 static void
-on_announced(void *arg, const struct store_answer *answer)
+on_announced(void *arg, const struct store_response *answer)
 {
 	struct edge *e = arg;
 	const struct mesh *mesh = &e->mesh;
--- a/src/edge-quarantine.c
+++ b/src/edge-quarantine.c
@@ -48,7 +48,7 @@
 }
 
 static void
-on_recorded(void *arg, const struct store_answer *answer)
+on_recorded(void *arg, const struct store_response *answer)
 {
 	g_autofree struct quarantine_append *append = arg;
 	struct edge *e = append->edge;
@@ -89,7 +89,7 @@
 	g_array_append_val(records, record);
 	if (!e->store->ops->append(e->store, TOPIC_DAEMONS, records, -1, done,
 		arg)) {
-		const struct store_answer none = { .result = STORE_REFUSED };
+		const struct store_response none = { .result = STORE_REFUSED };
 
 		done(arg, &none);
 	}
@@ -112,7 +112,7 @@
 }
 
 static void
-on_removed(void *arg, const struct store_answer *answer)
+on_removed(void *arg, const struct store_response *answer)
 {
 	event_log(LOG_INFO, "quarantine_removed", "result=%s",
 	    store_result_name(answer->result));
--- a/src/operator-status.c
+++ b/src/operator-status.c
@@ -23,9 +23,9 @@
 	TAILQ_FOREACH(m, &ms->others, entry)
 		json_array_append_new(out,
 		    json_pack("{s:s, s:s, s:b, s:b, s:I, s:I}", "name", m->name,
-			"domain", m->domain, "live", member_live(ms, m, now),
+			"domain", m->domain, "live", member_alive(ms, m, now),
 			"leaving", m->leaving, "applied",
-			(json_int_t)m->applied, "age_ms",
+			(json_int_t)m->next_offset, "age_ms",
 			(json_int_t)(now - MIN(now, m->seen_ms))));
 	g_mutex_unlock(&ms->lock);
 	return (out);
--- a/src/prober.c
+++ b/src/prober.c
@@ -34,7 +34,7 @@
 	if (lease == NULL)
 		return (0);
 	name = g_strndup(lease->holder, strcspn(lease->holder, "#"));
-	return (member_key(name));
+	return (member_name_hash(name));
 }
 
 /* What a host is shared out by: its group's epoch, or itself. */
