--- a/src/call-end.c
+++ b/src/call-end.c
@@ -14,11 +14,11 @@
 	struct call_verdict v = { CALL_RETRY, OUTCOME_NOT_RUN,
 		ERROR_NO_ENDPOINT };
 
-	if (end->given) {
+	if (end->delivered) {
 		v.action = end->resumable ? CALL_RESUME : CALL_FAIL;
 		v.outcome = OUTCOME_UNKNOWN;
 		v.error = ERROR_STREAM_BROKEN;
-	} else if (end->deadline) {
+	} else if (end->expired) {
 		v.action = CALL_FAIL;
 		v.error = ERROR_DEADLINE;
 	}
@@ -32,11 +32,11 @@
 	struct call_verdict v = { CALL_RETRY, OUTCOME_UNKNOWN,
 		ERROR_ENDPOINT_FAILED };
 
-	if (end->given) {
+	if (end->delivered) {
 		v.error = ERROR_STREAM_BROKEN;
 		v.action = end->resumable ? CALL_RESUME : CALL_FAIL;
 	}
-	if (end->deadline) {
+	if (end->expired) {
 		v.error = ERROR_DEADLINE;
 		v.action = CALL_FAIL;
 	}
@@ -61,9 +61,9 @@
 		return (verdict_not_run(end));
 	if (end->phase == CALL_COMPLETE && end->not_started)
 		return (verdict_not_run(end));
-	if (end->phase != CALL_COMPLETE || end->garbage)
+	if (end->phase != CALL_COMPLETE || end->malformed)
 		return (verdict_may_have_run(end));
-	if (end->idempotent && status_transient(end->status) && !end->deadline)
+	if (end->idempotent && status_transient(end->status) && !end->expired)
 		return (verdict_may_have_run(end));
 	return (pass);
 }
--- a/src/call-end.h
+++ b/src/call-end.h
@@ -10,13 +10,13 @@
  * enum call_phase - how far a call had come when it ended.
  * @CALL_CONNECTING: not connected, so nothing was sent
  * @CALL_SENT: something of the request may have been sent
- * @CALL_ANSWERING: the head of the answer was received
+ * @CALL_RESPONDING: the head of the answer was received
  * @CALL_COMPLETE: the whole answer was received
  */
 enum call_phase {
 	CALL_CONNECTING,
 	CALL_SENT,
-	CALL_ANSWERING,
+	CALL_RESPONDING,
 	CALL_COMPLETE,
 };
 
@@ -25,20 +25,20 @@
  * @phase: how far the call had come
  * @status: HTTP status, when the head was received
  * @not_started: the endpoint said that it did not start the request
- * @garbage: the answer breaks the protocol
- * @deadline: the request's deadline has passed
+ * @malformed: the answer breaks the protocol
+ * @expired: the request's deadline has passed
  * @idempotent: the request may run more than once
- * @given: part of the answer was given to the caller already
+ * @delivered: part of the answer was given to the caller already
  * @resumable: the endpoint's resume guarantees the same text
  */
 struct call_end {
 	enum call_phase phase;
 	int status;
 	bool not_started;
-	bool garbage;
-	bool deadline;
+	bool malformed;
+	bool expired;
 	bool idempotent;
-	bool given;
+	bool delivered;
 	bool resumable;
 };
 
--- a/src/call.c
+++ b/src/call.c
@@ -108,7 +108,7 @@
 }
 
 /**
- * call_start() - begin a call; nothing is sent before call_pump().
+ * call_start() - begin a call; nothing is sent before call_poll().
  * @method: HTTP method
  * @url: the URL
  * @headers: ended by a NULL name
@@ -184,7 +184,7 @@
 }
 
 /**
- * call_pump() - drive the call until something new is there.
+ * call_poll() - drive the call until something new is there.
  * @call: the call
  * @until_ms: monotonic time at which to give up
  *
@@ -192,7 +192,7 @@
  * the body was received, or the call has ended.
  */
 bool
-call_pump(struct call *call, uint64_t until_ms)
+call_poll(struct call *call, uint64_t until_ms)
 {
 	guint before = call->body->len;
 	bool was_answering = call->answering;
@@ -224,11 +224,11 @@
 }
 
 /**
- * call_answering() - whether the head of the answer was received.
+ * call_head_received() - whether the head of the answer was received.
  * @call: the call
  */
 bool
-call_answering(const struct call *call)
+call_head_received(const struct call *call)
 {
 	return (call->answering);
 }
@@ -257,7 +257,7 @@
 	if (call->ended && call->rc == CURLE_OK)
 		return (CALL_COMPLETE);
 	if (call->answering)
-		return (CALL_ANSWERING);
+		return (CALL_RESPONDING);
 	curl_easy_getinfo(call->easy, CURLINFO_REQUEST_SIZE, &sent);
 	return (sent > 0 ? CALL_SENT : CALL_CONNECTING);
 }
@@ -284,11 +284,12 @@
 }
 
 /**
- * call_rest() - the rest that the endpoint asks for, in seconds, or NULL.
+ * call_retry_after() - the rest that the endpoint asks for, in seconds, or
+ * NULL.
  * @call: the call
  */
 const char *
-call_rest(const struct call *call)
+call_retry_after(const struct call *call)
 {
 	if (call->status != HTTP_UNAVAILABLE && call->status != HTTP_TOO_MANY)
 		return (NULL);
--- a/src/call.h
+++ b/src/call.h
@@ -25,13 +25,13 @@
     const void *, size_t, bool);
 void call_free(struct call *);
 void call_cleanup(struct call **);
-bool call_pump(struct call *, uint64_t);
+bool call_poll(struct call *, uint64_t);
 GByteArray *call_body(struct call *);
-bool call_answering(const struct call *);
+bool call_head_received(const struct call *);
 bool call_ended(const struct call *);
 enum call_phase call_phase(const struct call *);
 int call_status(const struct call *);
-const char *call_rest(const struct call *);
+const char *call_retry_after(const struct call *);
 const char *call_limit(const struct call *);
 uint64_t call_started_ms(const struct call *);
 const char *call_header(const struct call *, const char *);
--- a/src/chunk-order.c
+++ b/src/chunk-order.c
@@ -51,14 +51,14 @@
 }
 
 /**
- * chunk_order_end() - take the end mark.
+ * chunk_order_set_end() - take the end mark.
  * @order: the order
  * @count: how many chunks the stream has in all
  *
  * Return: false when more came already.
  */
 bool
-chunk_order_end(struct chunk_order *order, int64_t count)
+chunk_order_set_end(struct chunk_order *order, int64_t count)
 {
 	if (count < order->next || (order->end >= 0 && order->end != count))
 		return (false);
@@ -84,11 +84,12 @@
 }
 
 /**
- * chunk_order_whole() - whether the end mark and all before it were given on.
+ * chunk_order_complete() - whether the end mark and all before it were given
+ * on.
  * @order: the order
  */
 bool
-chunk_order_whole(const struct chunk_order *order)
+chunk_order_complete(const struct chunk_order *order)
 {
 	return (order->end >= 0 && order->next == order->end);
 }
--- a/src/chunk-order.h
+++ b/src/chunk-order.h
@@ -21,8 +21,8 @@
 void chunk_order_init(struct chunk_order *);
 void chunk_order_clear(struct chunk_order *);
 bool chunk_order_add(struct chunk_order *, int64_t, const char *);
-bool chunk_order_end(struct chunk_order *, int64_t);
+bool chunk_order_set_end(struct chunk_order *, int64_t);
 char *chunk_order_take(struct chunk_order *);
-bool chunk_order_whole(const struct chunk_order *);
+bool chunk_order_complete(const struct chunk_order *);
 
 #endif
--- a/src/claims.c
+++ b/src/claims.c
@@ -80,14 +80,14 @@
 }
 
 /**
- * claims_decided() - an operation of this daemon was decided.
+ * claims_note_decision() - an operation of this daemon was decided.
  * @claims: the claims
  * @kind: the operation
  * @token: the attempt
  * @answer: the decision
  */
 void
-claims_decided(struct claims *claims, enum claim_op_kind kind,
+claims_note_decision(struct claims *claims, enum claim_op_kind kind,
     const char *token, const struct claim_answer *answer)
 {
 	g_autofree char *key = waiter_key(kind, token);
@@ -112,9 +112,9 @@
 	struct claim_decision decision = { item->kind, item->token, *answer };
 
 	if (item->reply_ip == 0)
-		claims_decided(claims, item->kind, item->token, answer);
+		claims_note_decision(claims, item->kind, item->token, answer);
 	else
-		peer_decided(item->reply_ip, item->reply_port, &decision);
+		peer_send_decision(item->reply_ip, item->reply_port, &decision);
 }
 
 /* The partition of a number; its thread starts at the first use. */
@@ -241,7 +241,7 @@
 	if (peer_claim(owner.ip, owner.port, req, answer, CALL_TIMEOUT_MS))
 		return (true);
 	log_debug("claim_owner_silent", "partition=%u", number);
-	g_array_append_val(excluded, owner.key);
+	g_array_append_val(excluded, owner.name_hash);
 	return (false);
 }
 
@@ -292,7 +292,7 @@
 	if (!claims_send(claims, req, excluded, &answer))
 		return (false);
 	if (answer.verdict != CLAIM_PENDING)
-		claims_decided(claims, (enum claim_op_kind)req->item.op,
+		claims_note_decision(claims, (enum claim_op_kind)req->item.op,
 		    req->item.token, &answer);
 	xdr_free((xdrproc_t)xdr_claim_answer, &answer);
 	return (waiter_wait(claims, waiter, until_ms));
--- a/src/claims.h
+++ b/src/claims.h
@@ -31,7 +31,7 @@
     const char *, int, const char *);
 void claims_serve(struct claims *, const struct claim_request *,
     struct claim_answer *);
-void claims_decided(struct claims *, enum claim_op_kind, const char *,
+void claims_note_decision(struct claims *, enum claim_op_kind, const char *,
     const struct claim_answer *);
 
 #endif
--- a/src/caller-completion.c
+++ b/src/client-api-completion.c
@@ -2,7 +2,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-#include "caller.h"
+#include "client-api.h"
 #include "cleanup.h"
 #include "completion.h"
 #include "http-reply.h"
@@ -224,7 +224,7 @@
 {
 	CLEANUP(failure_clear) struct failure f = { 0 };
 	g_autofree char *text = NULL;
-	enum completion_step step;
+	enum completion_result step;
 	struct stream *s;
 
 	step = completion_next(c, &text, &f);
@@ -258,7 +258,7 @@
 {
 	g_autoptr(GString) answer = g_string_new(NULL);
 	CLEANUP(failure_clear) struct failure f = { 0 };
-	enum completion_step step;
+	enum completion_result step;
 	char *text;
 
 	while ((step = completion_next(c, &text, &f)) == COMPLETION_CHUNK) {
@@ -282,7 +282,7 @@
 	json_auto_t *body = NULL;
 	struct completion *c;
 
-	if (!caller_claim(req, in, res)) {
+	if (!client_api_claim(req, in, res)) {
 		request_free(req);
 		return;
 	}
@@ -306,7 +306,7 @@
 	json_auto_t *body = NULL;
 	struct request *req;
 
-	req = caller_begin(server, in, &f);
+	req = client_api_begin(server, in, &f);
 	if (req == NULL) {
 		http_reply_failure(res, &f, NULL);
 		return (U_CALLBACK_COMPLETE);
@@ -314,8 +314,8 @@
 	u_map_put(res->map_header, "Banklift-Request-Id", req->id);
 	body = json_loadb(in->binary_body, in->binary_body_length, 0, NULL);
 	if (!ask_parse(&ask, body, in, &f) ||
-	    !caller_open(req, ask.model, false, &f) ||
-	    !caller_header_bool(in, "Banklift-Idempotent", true,
+	    !client_api_set_service(req, ask.model, false, &f) ||
+	    !client_api_header_bool(in, "Banklift-Idempotent", true,
 		&req->idempotent, &f) ||
 	    !request_admit(req, &f)) {
 		http_reply_failure(res, &f, req->id);
@@ -328,26 +328,26 @@
 }
 
 /**
- * caller_completion() - handler of POST /v1/completions.
+ * client_api_completion() - handler of POST /v1/completions.
  * @in: the request
  * @res: the answer
  * @arg: the daemon
  */
 int
-caller_completion(const struct _u_request *in, struct _u_response *res,
+client_api_completion(const struct _u_request *in, struct _u_response *res,
     void *arg)
 {
 	return (handle(in, res, arg, false));
 }
 
 /**
- * caller_chat() - handler of POST /v1/chat/completions.
+ * client_api_chat() - handler of POST /v1/chat/completions.
  * @in: the request
  * @res: the answer
  * @arg: the daemon
  */
 int
-caller_chat(const struct _u_request *in, struct _u_response *res, void *arg)
+client_api_chat(const struct _u_request *in, struct _u_response *res, void *arg)
 {
 	return (handle(in, res, arg, true));
 }
--- a/src/caller-service.c
+++ b/src/client-api-service.c
@@ -3,11 +3,11 @@
 #include <urcu-bp.h>
 
 #include "call.h"
-#include "caller.h"
+#include "client-api.h"
 #include "cleanup.h"
 #include "clock.h"
 #include "event-log.h"
-#include "forward.h"
+#include "header-filter.h"
 #include "http-reply.h"
 #include "policy-series.h"
 
@@ -41,7 +41,7 @@
 	view = rcu_dereference(req->server->view);
 	set = g_hash_table_lookup(view->services, req->service);
 	if (set != NULL)
-		yes = route_set_idempotent(set, method);
+		yes = route_set_is_idempotent(set, method);
 	rcu_read_unlock();
 	return (yes);
 }
@@ -60,7 +60,7 @@
 		{ "Banklift-Deadline-Ms", left },
 		{ NULL, NULL },
 	};
-	g_autoptr(GArray) headers = forward_request(in, own);
+	g_autoptr(GArray) headers = header_filter_request(in, own);
 	bool has_body = in->binary_body_length > 0 ||
 	    strcmp(in->http_verb, "POST") == 0 ||
 	    strcmp(in->http_verb, "PUT") == 0;
@@ -85,13 +85,13 @@
 
 	while (!call_ended(call) && !stalled) {
 		stall = clock_now_ms() + (uint64_t)req->server->set.stall_ms;
-		stalled = !call_pump(call, MIN(stall, req->deadline_ms));
+		stalled = !call_poll(call, MIN(stall, req->deadline_ms));
 	}
 	not_started = call_header(call, "not-started");
 	end.phase = call_phase(call);
 	end.status = call_status(call);
 	end.not_started = not_started != NULL;
-	end.deadline = clock_now_ms() >= req->deadline_ms;
+	end.expired = clock_now_ms() >= req->deadline_ms;
 	end.idempotent = req->idempotent;
 	return (end);
 }
@@ -106,7 +106,7 @@
 
 	ulfius_set_binary_body_response(res, (unsigned)status,
 	    (const char *)body->data, body->len);
-	forward_answer(call, res);
+	header_filter_response(call, res);
 	u_map_put(res->map_header, "Banklift-Outcome",
 	    outcome_name(OUTCOME_WHOLE));
 	if (body->len > 0)
@@ -147,11 +147,11 @@
 	*end = drive(req, call);
 	atomic_fetch_sub(&target->inflight, 1);
 	if (answer_whole(end))
-		target_latency(target, call_first_byte_us(call),
+		target_note_success(target, call_first_byte_us(call),
 		    clock_now_ms());
 	else
-		target_failed(target, clock_now_ms());
-	target_heard(target, call);
+		target_note_failure(target, clock_now_ms());
+	target_apply_feedback(target, call);
 	return (call);
 }
 
@@ -163,7 +163,7 @@
 	CLEANUP(call_cleanup) struct call *call = NULL;
 	struct call_verdict v = { CALL_FAIL, OUTCOME_NOT_RUN,
 		ERROR_NO_ENDPOINT };
-	struct target *target = request_target(req);
+	struct target *target = request_next_target(req);
 	struct call_end end = { 0 };
 
 	while (target != NULL) {
@@ -176,7 +176,7 @@
 			req->may_have_run = true;
 		if (v.action != CALL_RETRY || !request_retry_allowed(req))
 			break;
-		target = request_target(req);
+		target = request_next_target(req);
 	}
 	if (v.error == ERROR_NO_ENDPOINT && request_expired(req))
 		v.error = ERROR_DEADLINE;
@@ -188,39 +188,40 @@
 }
 
 /**
- * caller_service() - handler of /s/NAME/...
+ * client_api_service() - handler of /s/NAME/...
  * @in: the request
  * @res: the answer
  * @arg: the daemon
  */
 int
-caller_service(const struct _u_request *in, struct _u_response *res, void *arg)
+client_api_service(const struct _u_request *in, struct _u_response *res,
+    void *arg)
 {
 	CLEANUP(failure_clear) struct failure f = { 0 };
 	CLEANUP(request_cleanup) struct request *req = NULL;
 	g_autofree char *name = NULL, *rest = NULL;
 	bool by_method;
 
-	req = caller_begin(arg, in, &f);
+	req = client_api_begin(arg, in, &f);
 	if (req == NULL) {
 		http_reply_failure(res, &f, NULL);
 		return (U_CALLBACK_COMPLETE);
 	}
 	u_map_put(res->map_header, "Banklift-Request-Id", req->id);
 	if (!split_path(in, &name, &rest) ||
-	    !caller_open(req, name, true, &f)) {
+	    !client_api_set_service(req, name, true, &f)) {
 		http_reply_failure(res, &f, req->id);
 		request_end(req, OUTCOME_NOT_RUN, (int)res->status, NULL);
 		return (U_CALLBACK_COMPLETE);
 	}
 	by_method = method_idempotent(req, in->http_verb);
-	if (!caller_header_bool(in, "Banklift-Idempotent", by_method,
+	if (!client_api_header_bool(in, "Banklift-Idempotent", by_method,
 		&req->idempotent, &f)) {
 		http_reply_failure(res, &f, req->id);
 		request_end(req, OUTCOME_NOT_RUN, (int)res->status, NULL);
 		return (U_CALLBACK_COMPLETE);
 	}
-	if (caller_claim(req, in, res))
+	if (client_api_claim(req, in, res))
 		dispatch(req, in, rest, res);
 	return (U_CALLBACK_COMPLETE);
 }
--- a/src/caller.c
+++ b/src/client-api.c
@@ -6,7 +6,7 @@
 #include <urcu-bp.h>
 #include <xxhash.h>
 
-#include "caller.h"
+#include "client-api.h"
 #include "cleanup.h"
 #include "clock.h"
 #include "event-log.h"
@@ -86,7 +86,7 @@
 }
 
 /**
- * caller_header_bool() - read a header that says yes or no.
+ * client_api_header_bool() - read a header that says yes or no.
  * @in: the request
  * @name: the header
  * @fallback: value when it is absent
@@ -94,8 +94,8 @@
  * @f: set when it is neither
  */
 bool
-caller_header_bool(const struct _u_request *in, const char *name, bool fallback,
-    bool *value, struct failure *f)
+client_api_header_bool(const struct _u_request *in, const char *name,
+    bool fallback, bool *value, struct failure *f)
 {
 	const char *text = u_map_get_case(in->map_header, name);
 
@@ -130,7 +130,7 @@
 }
 
 /**
- * caller_begin() - authenticate, read the common headers, apply the limits.
+ * client_api_begin() - authenticate, read the common headers, apply the limits.
  * @server: this daemon
  * @in: the request as received
  * @f: set when it is refused
@@ -138,7 +138,7 @@
  * Return: the request, or NULL.
  */
 struct request *
-caller_begin(struct server *server, const struct _u_request *in,
+client_api_begin(struct server *server, const struct _u_request *in,
     struct failure *f)
 {
 	struct customer *customer;
@@ -170,21 +170,21 @@
 }
 
 /**
- * caller_open() - name the deployment or service of a request.
+ * client_api_set_service() - name the deployment or service of a request.
  * @req: the request
  * @service: its name
  * @is_service: a plain service rather than a deployment
  * @f: set when there is no such thing
  */
 bool
-caller_open(struct request *req, const char *service, bool is_service,
-    struct failure *f)
+client_api_set_service(struct request *req, const char *service,
+    bool is_service, struct failure *f)
 {
 	bool leaving;
 
 	req->service = g_strdup(service);
 	req->is_service = is_service;
-	if (request_known(req, &leaving))
+	if (request_service_declared(req, &leaving))
 		return (true);
 	failure_set(f, ERROR_NOT_FOUND, OUTCOME_NOT_RUN, 0,
 	    is_service ? "no such service" : "no such deployment");
@@ -244,7 +244,7 @@
 }
 
 /**
- * caller_claim() - claim the id of a non-idempotent request.
+ * client_api_claim() - claim the id of a non-idempotent request.
  * @req: the request
  * @in: the request as received
  * @res: answered when it must not run here
@@ -252,7 +252,7 @@
  * Return: whether it may be dispatched.
  */
 bool
-caller_claim(struct request *req, const struct _u_request *in,
+client_api_claim(struct request *req, const struct _u_request *in,
     struct _u_response *res)
 {
 	struct claim_result result = { 0 };
--- a/src/completion.c
+++ b/src/completion.c
@@ -127,7 +127,7 @@
 		return (chunk_order_add(&c->order, index, text));
 	if (json_unpack(event, "{s:b, s:I}", "end", &end, "tokens", &tokens) ==
 	    0)
-		return (chunk_order_end(&c->order, tokens));
+		return (chunk_order_set_end(&c->order, tokens));
 	return (false);
 }
 
@@ -173,23 +173,23 @@
 		.phase = call_phase(c->call),
 		.status = call_status(c->call),
 		.not_started = not_started != NULL,
-		.garbage = c->garbage,
-		.deadline = clock_now_ms() >= c->req->deadline_ms,
+		.malformed = c->garbage,
+		.expired = clock_now_ms() >= c->req->deadline_ms,
 		.idempotent = c->req->idempotent,
-		.given = c->given > 0,
+		.delivered = c->given > 0,
 		.resumable = c->resumable,
 	};
 
 	/* A stream that closed before its end mark is not whole. */
 	if (end.phase == CALL_COMPLETE && end.status == 200)
-		end.garbage = true;
+		end.malformed = true;
 	if (stalled && end.phase == CALL_COMPLETE)
-		end.phase = CALL_ANSWERING;
+		end.phase = CALL_RESPONDING;
 	return (end);
 }
 
 /* Fails with what the last call taught, and what earlier ones left open. */
-static enum completion_step
+static enum completion_result
 fail(struct completion *c, struct failure *f, enum error_code error,
     enum outcome outcome, const char *why)
 {
@@ -205,7 +205,7 @@
 static bool
 open_next(struct completion *c)
 {
-	struct target *target = request_target(c->req);
+	struct target *target = request_next_target(c->req);
 
 	if (target == NULL)
 		return (false);
@@ -222,9 +222,9 @@
 
 	log_debug("call_end", "target=%s phase=%d status=%d action=%d",
 	    c->target->name, (int)end.phase, end.status, (int)v.action);
-	target_heard(c->target, c->call);
+	target_apply_feedback(c->target, c->call);
 	call_close(c);
-	target_failed(c->target, clock_now_ms());
+	target_note_failure(c->target, clock_now_ms());
 	if (v.outcome == OUTCOME_UNKNOWN)
 		c->req->may_have_run = true;
 	if (v.action == CALL_PASS) {
@@ -252,20 +252,21 @@
 	*stalled = false;
 	if (call_ended(c->call))
 		return (false);
-	if (!call_pump(c->call, until)) {
+	if (!call_poll(c->call, until)) {
 		*stalled = true;
 		return (false);
 	}
-	if (call_answering(c->call) && call_status(c->call) == 200)
+	if (call_head_received(c->call) && call_status(c->call) == 200)
 		take_events(c);
 	return (!c->garbage);
 }
 
-static enum completion_step
+static enum completion_result
 finish(struct completion *c)
 {
-	target_latency(c->target, call_first_byte_us(c->call), clock_now_ms());
-	target_heard(c->target, c->call);
+	target_note_success(c->target, call_first_byte_us(c->call),
+	    clock_now_ms());
+	target_apply_feedback(c->target, c->call);
 	call_close(c);
 	request_end(c->req, OUTCOME_WHOLE, 200, NULL);
 	return (COMPLETION_END);
@@ -277,7 +278,7 @@
  * @text: set to the chunk; free with g_free()
  * @f: set when it failed
  */
-enum completion_step
+enum completion_result
 completion_next(struct completion *c, char **text, struct failure *f)
 {
 	bool stalled;
@@ -296,7 +297,7 @@
 			count_chunk(c);
 			return (COMPLETION_CHUNK);
 		}
-		if (chunk_order_whole(&c->order))
+		if (chunk_order_complete(&c->order))
 			return (finish(c));
 		if (!drive(c, &stalled) && !go_on(c, stalled, f))
 			return (COMPLETION_FAILED);
--- a/src/completion.h
+++ b/src/completion.h
@@ -7,12 +7,12 @@
 #include "request.h"
 
 /**
- * enum completion_step - what completion_next() came to.
+ * enum completion_result - what completion_next() came to.
  * @COMPLETION_CHUNK: the next chunk of the answer
  * @COMPLETION_END: the answer is whole
  * @COMPLETION_FAILED: nothing more will come
  */
-enum completion_step {
+enum completion_result {
 	COMPLETION_CHUNK,
 	COMPLETION_END,
 	COMPLETION_FAILED,
@@ -22,7 +22,7 @@
 
 struct completion *completion_create(struct request *, json_t *);
 void completion_free(struct completion *);
-enum completion_step completion_next(struct completion *, char **,
+enum completion_result completion_next(struct completion *, char **,
     struct failure *);
 
 #endif
--- a/src/fwd-conn.c
+++ b/src/fwd-conn.c
@@ -200,14 +200,14 @@
 static void
 caller_run(struct fwd_conn *c)
 {
-	while (c->exchange == NULL && !c->stream.closing && !c->stream.finish &&
-	    c->pipelined->len > 0) {
+	while (c->exchange == NULL && !c->stream.closing &&
+	    !c->stream.write_shutdown && c->pipelined->len > 0) {
 		g_autoptr(GString) bytes = g_steal_pointer(&c->pipelined);
 		size_t used;
 
 		c->pipelined = g_string_new(NULL);
 		used = caller_parse(c, bytes->str, bytes->len);
-		if (c->stream.closing || c->stream.finish)
+		if (c->stream.closing || c->stream.write_shutdown)
 			return;
 		g_string_append_len(c->pipelined, bytes->str + used,
 		    (gssize)(bytes->len - used));
@@ -221,12 +221,12 @@
 {
 	struct fwd_conn *c = stream->owner;
 
-	if (c->stream.finish)
+	if (c->stream.write_shutdown)
 		return;
 	if (c->exchange == NULL && c->pipelined->len == 0) {
 		size_t used = caller_parse(c, at, length);
 
-		if (c->stream.closing || c->stream.finish)
+		if (c->stream.closing || c->stream.write_shutdown)
 			return;
 		at += used;
 		length -= used;
@@ -236,7 +236,7 @@
 		caller_start(c);
 	caller_run(c);
 	if (c->pipelined != NULL && c->pipelined->len > HELD_BYTES)
-		net_stream_read(stream, false);
+		net_stream_set_reading(stream, false);
 }
 
 static void
@@ -332,10 +332,10 @@
 	c->since_ms = clock_loop_ms(c->fwd->loop);
 	fwd_conn_flush(c);
 	if (!c->keep_alive) {
-		net_stream_finish(&c->stream);
+		net_stream_shutdown(&c->stream);
 		return;
 	}
-	net_stream_read(&c->stream, true);
+	net_stream_set_reading(&c->stream, true);
 	/* Held bytes are worked on from the loop, not from inside a caller. */
 	if (c->pipelined->len > 0)
 		fwd_schedule_dispatch(c->fwd);
@@ -476,7 +476,7 @@
 
 	if (c->exchange != NULL || c->stream.closing)
 		return;
-	if (c->stream.finish) {
+	if (c->stream.write_shutdown) {
 		if (waited > LINGER_MS)
 			net_stream_close(&c->stream);
 		return;
--- a/src/fwd-response.c
+++ b/src/fwd-response.c
@@ -53,7 +53,7 @@
 	ep->failures = failed ? ep->failures + 1 : 0;
 }
 
-static enum net_verdict
+static enum net_head_action
 answer_head(void *owner, unsigned status, const struct net_head *head)
 {
 	struct fwd_exchange *ex = owner;
@@ -82,7 +82,7 @@
 	ex->streaming = ex->route->retry == RETRY_STREAM &&
 	    status_is_success(status) && ex->has_signature;
 	answer_keep_headers(ex, head);
-	return (NET_TAKE);
+	return (NET_ACCEPT);
 }
 
 /* The first event shows that the prompt was read, and how late it comes. */
@@ -275,27 +275,27 @@
 	struct endpoint *ep = ex->endpoint;
 
 	ex->upstream = NULL;
-	if (why == NET_BROKEN)
+	if (why == NET_CONN_LOST)
 		fwd_poison_observe_crash(ex, false);
 	if (ex->conn == NULL) {
 		fwd_exchange_free(ex);
 		return;
 	}
 	endpoint_judge(ep, true);
-	fwd_exchange_end_send(ex, why != NET_UNREACHED);
-	if (why == NET_UNREACHED) {
+	fwd_exchange_end_send(ex, why != NET_CONNECT_FAILED);
+	if (why == NET_CONNECT_FAILED) {
 		fwd_endpoint_cool_down(ex, REST_UNREACHED_MS, "unreached");
 	} else if (ep->failures >= FAILURES_TO_REST) {
 		fwd_endpoint_cool_down(ex, REST_MS, "failures");
 	}
 	fwd_exchange_release(ex);
 	fwd_exchange_retry(ex,
-	    why == NET_UNREACHED  ? "unreached" :
-		why == NET_BROKEN ? "connection_lost" :
-				    "no_answer_in_protocol");
+	    why == NET_CONNECT_FAILED ? "unreached" :
+		why == NET_CONN_LOST  ? "connection_lost" :
+					"no_answer_in_protocol");
 }
 
-const struct net_client_ops fwd_response_ops = {
+const struct net_conn_ops fwd_response_ops = {
 	.head = answer_head,
 	.body = answer_body,
 	.done = answer_done,
--- a/src/forward.c
+++ b/src/header-filter.c
@@ -4,7 +4,7 @@
  */
 #include <string.h>
 
-#include "forward.h"
+#include "header-filter.h"
 
 /* RFC 9110, 7.6.1, and what the HTTP libraries set themselves. */
 static const char *const kept_back[] = { "authorization", "connection",
@@ -23,14 +23,15 @@
 }
 
 /**
- * forward_request() - headers of the call to the endpoint.
+ * header_filter_request() - headers of the call to the endpoint.
  * @in: the caller's request; the array points into it
  * @own: headers of ours, ended by a NULL name; copied
  *
  * Return: array of struct call_header, ended by a NULL name.
  */
 GArray *
-forward_request(const struct _u_request *in, const struct call_header *own)
+header_filter_request(const struct _u_request *in,
+    const struct call_header *own)
 {
 	GArray *headers = g_array_new(TRUE, TRUE, sizeof(struct call_header));
 	const char **names = u_map_enum_keys(in->map_header);
@@ -57,12 +58,12 @@
 }
 
 /**
- * forward_answer() - give the endpoint's headers to the caller.
+ * header_filter_response() - give the endpoint's headers to the caller.
  * @call: the call
  * @res: the answer
  */
 void
-forward_answer(const struct call *call, struct _u_response *res)
+header_filter_response(const struct call *call, struct _u_response *res)
 {
 	call_each_header(call, pass_header, res);
 }
--- a/src/mesh-config.c
+++ b/src/mesh-config.c
@@ -18,7 +18,7 @@
 #define STORE_AFTER_MS 800
 
 static void
-on_fetched(void *arg, const struct net_answer *answer)
+on_fetched(void *arg, const struct net_response *answer)
 {
 	struct mesh *mesh = arg;
 
--- a/src/mesh-send.c
+++ b/src/mesh-send.c
@@ -407,10 +407,10 @@
 		if (peer->loads->len > 0 &&
 		    mesh->now_ms - peer->loads_ms >= old)
 			mesh_remove_loads(mesh, peer);
-		if (peer->pool.open > 0)
+		if (peer->pool.n_open > 0)
 			net_pool_expire(&peer->pool);
 		if (mesh->now_ms - since >= PEER_FORGET_MS &&
-		    peer->pool.open == 0)
+		    peer->pool.n_open == 0)
 			mesh_peer_free(mesh, peer);
 	}
 }
--- a/src/peer-server.c
+++ b/src/peer-server.c
@@ -12,7 +12,7 @@
 #include "claims.h"
 #include "control-traffic.h"
 #include "error.h"
-#include "peer-news.h"
+#include "peer-gossip.h"
 #include "peer-server.h"
 #include "peer_rpc.h"
 #include "server.h"
@@ -78,8 +78,8 @@
 bool_t
 peer_pull_1_svc(pull_request req, pull_reply *reply, struct svc_req *rqstp)
 {
-	peer_news_introduce(peer_server, &req.from);
-	peer_news_fill(peer_server, reply);
+	peer_gossip_introduce(peer_server, &req.from);
+	peer_gossip_fill(peer_server, reply);
 	return (TRUE);
 }
 
@@ -126,15 +126,15 @@
 bool_t
 peer_decided_1_svc(claim_decision decision, void *result, struct svc_req *rqstp)
 {
-	claims_decided(peer_server->claims, (enum claim_op_kind)decision.op,
-	    decision.token, &decision.answer);
+	claims_note_decision(peer_server->claims,
+	    (enum claim_op_kind)decision.op, decision.token, &decision.answer);
 	return (TRUE);
 }
 
 bool_t
 peer_hosts_1_svc(hosts_reply *reply, struct svc_req *rqstp)
 {
-	peer_news_fill_hosts(peer_server, reply);
+	peer_gossip_fill_hosts(peer_server, reply);
 	return (TRUE);
 }
 
--- a/src/placer-lease.c
+++ b/src/placer-lease.c
@@ -146,7 +146,7 @@
 };
 
 static void
-on_written(void *arg, const struct store_answer *answer)
+on_written(void *arg, const struct store_response *answer)
 {
 	struct placer_append *append = arg;
 	struct placer *k = append->placer;
@@ -156,7 +156,7 @@
 		switch (answer->result) {
 		case STORE_OK:
 			k->end_offset = answer->end;
-			k->verified_ms = answer->asked_ms;
+			k->verified_ms = answer->sent_ms;
 			mark_recorded(k, append->records);
 			placer_schedule_pass(k);
 			break;
@@ -197,14 +197,14 @@
 	k->store_busy = true;
 	if (!k->store->ops->append(k->store, TOPIC_PLACEMENT, append->records,
 		(int64_t)k->end_offset, on_written, append)) {
-		const struct store_answer none = { .result = STORE_REFUSED };
+		const struct store_response none = { .result = STORE_REFUSED };
 
 		on_written(append, &none);
 	}
 }
 
 static void
-on_taken(void *arg, const struct store_answer *answer)
+on_taken(void *arg, const struct store_response *answer)
 {
 	struct placer *k = arg;
 
@@ -218,7 +218,7 @@
 		return;
 	}
 	k->end_offset = answer->end;
-	k->verified_ms = answer->asked_ms;
+	k->verified_ms = answer->sent_ms;
 	k->state = PLACER_HOLDING;
 	k->epochs_issued = 0;
 	k->mesh->self.placer = true;
@@ -280,7 +280,7 @@
 }
 
 static void
-on_read(void *arg, const struct store_answer *answer)
+on_read(void *arg, const struct store_response *answer)
 {
 	struct placer *k = arg;
 
@@ -368,7 +368,7 @@
 }
 
 static void
-on_checked(void *arg, const struct store_answer *answer)
+on_checked(void *arg, const struct store_response *answer)
 {
 	struct placer *k = arg;
 
@@ -376,7 +376,7 @@
 	if (k->state != PLACER_HOLDING)
 		return;
 	if (answer->result == STORE_OK && answer->records->len == 0) {
-		k->verified_ms = answer->asked_ms;
+		k->verified_ms = answer->sent_ms;
 		return;
 	}
 	if (answer->result == STORE_OK || answer->result == STORE_TRIMMED)
--- a/src/placer-stage.c
+++ b/src/placer-stage.c
@@ -126,7 +126,7 @@
 	if (stage == NULL)
 		return;
 	stage->order_pending = false;
-	if (result == ORDER_TAKEN || result == ORDER_UNFIT)
+	if (result == ORDER_ACCEPTED || result == ORDER_BAD_STATE)
 		stage->acknowledged = true;
 	else if (result != ORDER_UNKNOWN)
 		g_hash_table_remove(k->copies, host);
--- a/src/request.c
+++ b/src/request.c
@@ -46,10 +46,11 @@
 	if (!req->counted)
 		request_end(req, OUTCOME_UNKNOWN, 0, NULL);
 	if (req->admission != NULL) {
-		admission_leave(req->admission, clock_now_ms() - req->slot_ms);
+		admission_release(req->admission,
+		    clock_now_ms() - req->slot_ms);
 		admission_unref(req->admission);
 	}
-	limit_done(&req->customer->limit);
+	limit_release(&req->customer->limit);
 	atomic_fetch_sub(&req->server->active, 1);
 	customer_unref(req->customer);
 	g_ptr_array_unref(req->tried);
@@ -83,12 +84,12 @@
 }
 
 /**
- * request_known() - whether its deployment or service is declared.
+ * request_service_declared() - whether its deployment or service is declared.
  * @req: the request
  * @leaving: set to whether this daemon refuses new requests
  */
 bool
-request_known(struct request *req, bool *leaving)
+request_service_declared(struct request *req, bool *leaving)
 {
 	bool known;
 
@@ -130,7 +131,7 @@
 	req->ticket.weight = atomic_load(&req->customer->weight);
 	req->ticket.batch = atomic_load(&req->customer->batch);
 	req->ticket.deadline_ms = req->deadline_ms;
-	if (admission_enter(a, &req->ticket,
+	if (admission_acquire(a, &req->ticket,
 		customer_flow(req->customer, req->service),
 		&retry_ms) == FAIR_GRANTED) {
 		req->admission = a;
@@ -138,7 +139,7 @@
 		return (true);
 	}
 	admission_unref(a);
-	request_refused(req);
+	request_count_refused(req);
 	failure_set(f, ERROR_OVERLOADED, OUTCOME_NOT_RUN, retry_ms + 1,
 	    "the replicas are busy, and the queue is full or too long");
 	return (false);
@@ -209,7 +210,7 @@
 }
 
 /**
- * request_target() - choose the next target.
+ * request_next_target() - choose the next target.
  * @req: the request
  *
  * News of other failure domains come rarely, since they are rarely needed.
@@ -219,7 +220,7 @@
  * there is none or the time is up.
  */
 struct target *
-request_target(struct request *req)
+request_next_target(struct request *req)
 {
 	struct target *target;
 
@@ -242,8 +243,8 @@
 bool
 request_retry_allowed(struct request *req)
 {
-	return (
-	    retry_budget_take(customer_budget(req->customer, req->service)));
+	return (retry_budget_take(
+	    customer_retry_budget(req->customer, req->service)));
 }
 
 static void
@@ -300,8 +301,8 @@
 	count_end(policy_series(req->policy), outcome, us);
 	count_end(class_series(batch), outcome, us);
 	if (outcome == OUTCOME_WHOLE && req->service != NULL)
-		retry_budget_success(
-		    customer_budget(req->customer, req->service));
+		retry_budget_note_success(
+		    customer_retry_budget(req->customer, req->service));
 	end_claim(req, outcome, status, body);
 	event_log(outcome == OUTCOME_UNKNOWN ? LOG_NOTICE : LOG_INFO,
 	    "request_end",
@@ -312,11 +313,11 @@
 }
 
 /**
- * request_refused() - count that a limit refused it.
+ * request_count_refused() - count that a limit refused it.
  * @req: the request
  */
 void
-request_refused(struct request *req)
+request_count_refused(struct request *req)
 {
 	atomic_fetch_add(&req->customer->series.refused, 1);
 }
--- a/src/request.h
+++ b/src/request.h
@@ -78,11 +78,11 @@
 void request_cleanup(struct request **);
 bool request_admit(struct request *, struct failure *);
 bool request_expired(const struct request *);
-struct target *request_target(struct request *);
-bool request_known(struct request *, bool *);
+struct target *request_next_target(struct request *);
+bool request_service_declared(struct request *, bool *);
 bool request_retry_allowed(struct request *);
 void request_end(struct request *, enum outcome, int, const char *);
-void request_refused(struct request *);
+void request_count_refused(struct request *);
 void failure_set(struct failure *, enum error_code, enum outcome, uint64_t,
     const char *, ...) G_GNUC_PRINTF(5, 6);
 void failure_clear(struct failure *);
--- a/tests/fake-points.c
+++ b/tests/fake-points.c
@@ -133,7 +133,7 @@
 		if (get_switch("reset"))
 			net_stream_reset(&c->stream);
 		else
-			net_stream_finish(&c->stream);
+			net_stream_shutdown(&c->stream);
 	} else {
 		conn_reply(c, 200, headers, text, sizeof text - 1);
 	}
--- a/tests/test-calls.c
+++ b/tests/test-calls.c
@@ -25,10 +25,10 @@
 	end.phase = (enum call_phase)script_number(rest, "phase", 0);
 	end.status = (int)script_number(rest, "status", 0);
 	end.not_started = flag(rest, "not_started");
-	end.garbage = flag(rest, "garbage");
-	end.deadline = flag(rest, "deadline");
+	end.malformed = flag(rest, "garbage");
+	end.expired = flag(rest, "deadline");
 	end.idempotent = flag(rest, "idempotent");
-	end.given = flag(rest, "given");
+	end.delivered = flag(rest, "given");
 	end.resumable = flag(rest, "resumable");
 	v = call_end_decide(&end);
 	g_string_append_printf(out, "%s %s %s\n", actions[v.action],
--- a/tests/test-chunks.c
+++ b/tests/test-chunks.c
@@ -27,7 +27,7 @@
 		g_string_append_printf(out, "%s\n", text);
 		g_free(text);
 	}
-	if (chunk_order_whole(&order))
+	if (chunk_order_complete(&order))
 		g_string_append(out, "whole\n");
 }
 
@@ -46,7 +46,7 @@
 static void
 exec_end(const char *rest, GString *out)
 {
-	if (!chunk_order_end(&order, g_ascii_strtoll(rest, NULL, 10)))
+	if (!chunk_order_set_end(&order, g_ascii_strtoll(rest, NULL, 10)))
 		g_string_append(out, "broken\n");
 	print_ready(out);
 }
