--- a/src/cleanup.h
+++ b/src/cleanup.h
@@ -1,4 +1,4 @@
-/* Clean-up attributes for types that GLib and jansson do not cover. */
+/* Clean-up attribute for types that GLib and jansson do not cover. */
 #ifndef BL_CLEANUP_H
 #define BL_CLEANUP_H
 
--- a/src/clock.c
+++ b/src/clock.c
@@ -1,4 +1,6 @@
-/* Time that goes on while a host is suspended; decisions take it as an
+/*
+ * Monotonic clocks that include the time during which the host is suspended.
+ * Functions that make decisions do not read them but take the time as an
  * argument.
  */
 #include <time.h>
@@ -8,9 +10,9 @@
 #define US_PER_S 1000000
 #define NS_PER_US 1000
 #define US_PER_MS 1000
-/* Differences of the two clocks below this are left alone: they are read one
- * after the other. */
-#define SUSPENDED_LEAST_US 20000
+/* The two clocks are read one after the other, so smaller differences between
+ * them are not counted as suspension. */
+#define SUSPENDED_MIN_US 20000
 
 static uint64_t
 clock_read_us(clockid_t id)
@@ -25,8 +27,8 @@
 /**
  * clock_now_us() - microseconds of CLOCK_BOOTTIME.
  *
- * It goes on through a stop of the process and a suspend of the host, which
- * leases and evidence rely on.
+ * The clock keeps running while the process is stopped and while the host is
+ * suspended; leases and evidence rely on this.
  */
 uint64_t
 clock_now_us(void)
@@ -44,28 +46,29 @@
 }
 
 /*
- * How long the host was suspended so far. The first of the two clocks to be
- * read is that which goes on, so a thread that is held up between them sees too
- * little, never too much; what was seen once stands.
+ * Returns how long the host has been suspended so far. CLOCK_BOOTTIME, which
+ * includes suspension, is read first: a thread that is delayed between the two
+ * reads gets too small a value, never too large a one. The value kept per
+ * thread never decreases.
  */
 static uint64_t
 clock_suspended_us(void)
 {
 	static _Thread_local uint64_t suspended_us;
 	uint64_t boot = clock_read_us(CLOCK_BOOTTIME);
-	uint64_t steady = clock_read_us(CLOCK_MONOTONIC);
+	uint64_t monotonic = clock_read_us(CLOCK_MONOTONIC);
 
-	if (boot > steady + suspended_us + SUSPENDED_LEAST_US)
-		suspended_us = boot - steady;
+	if (boot > monotonic + suspended_us + SUSPENDED_MIN_US)
+		suspended_us = boot - monotonic;
 	return (suspended_us);
 }
 
 /**
- * clock_loop_ms() - the time of an event loop's current round, in milliseconds.
+ * clock_loop_ms() - time of an event loop's current iteration, in milliseconds.
  * @loop: the loop
  *
- * A loop's own time stands still while the host is suspended, so it serves to
- * wake only; ages, deadlines and leases are of this time.
+ * The loop's own time stands still while the host is suspended, so it is used
+ * for timers only; ages, deadlines and leases are measured in this time.
  */
 uint64_t
 clock_loop_ms(const uv_loop_t *loop)
--- a/src/clock.h
+++ b/src/clock.h
@@ -1,4 +1,6 @@
-/* Time that goes on while a host is suspended; decisions take it as an
+/*
+ * Monotonic clocks that include the time during which the host is suspended.
+ * Functions that make decisions do not read them but take the time as an
  * argument.
  */
 #ifndef BL_CLOCK_H
--- a/src/control-traffic.c
+++ b/src/control-traffic.c
@@ -1,4 +1,4 @@
-/* What control costs this daemon: calls and bytes by purpose. */
+/* Counts the control traffic of this daemon: calls and bytes by purpose. */
 #include <inttypes.h>
 #include <stdatomic.h>
 
@@ -8,8 +8,8 @@
 
 /**
  * control_traffic_add() - count one call.
- * @kind: its purpose
- * @n: bytes sent and received, without those of TCP, UDP and IP
+ * @kind: purpose of the call
+ * @n: bytes sent and received, without TCP, UDP and IP headers
  */
 void
 control_traffic_add(enum traffic_kind kind, uint64_t n)
@@ -20,7 +20,7 @@
 
 /**
  * control_traffic_print() - append the counts to the metrics page.
- * @out: the page
+ * @out: text of the page
  */
 void
 control_traffic_print(GString *out)
--- a/src/control-traffic.h
+++ b/src/control-traffic.h
@@ -1,4 +1,4 @@
-/* What control costs this daemon: calls and bytes by purpose. */
+/* Counts the control traffic of this daemon: calls and bytes by purpose. */
 #ifndef BL_CONTROL_TRAFFIC_H
 #define BL_CONTROL_TRAFFIC_H
 
@@ -7,7 +7,7 @@
 
 enum traffic_kind {
 	TRAFFIC_PROBE, /* probes of hosts and orders to them */
-	TRAFFIC_PEER,  /* calls between daemons, asked and answered */
+	TRAFFIC_PEER,  /* calls between daemons, sent and served */
 	TRAFFIC_LOG,   /* reads and appends of the log, and the host list */
 	TRAFFIC_KINDS,
 };
--- a/src/controller.c
+++ b/src/controller.c
@@ -1,6 +1,7 @@
 /*
- * Controls the groups of this failure domain while it holds the lease: plans
- * membership, writes it to the log, and gives orders to engines.
+ * Controls the groups of this failure domain while this daemon holds the
+ * domain's lease: plans membership, writes it to the log and sends orders to
+ * engines.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -18,26 +19,28 @@
 #include "usage.h"
 
 #define TICK_MS 200
-/* Orders time out sooner than a successor's wait beyond the holder's stop. */
+/* Shorter than lease-wait-ms less lease-hold-ms (4 s by default): the holder's
+ * last orders time out before a successor may take over. */
 #define ORDER_TIMEOUT_MS 1000
-/* Contenders for a lease that is free wait this much by rank. */
+/* A contender for a free lease waits this long times its rank. */
 #define RANK_DELAY_MS 1000
-/* Time to load one shard, until hosts report their own. */
-#define LOAD_MS_GUESS 30000
+/* Assumed time to load one shard; hosts do not report their own yet. */
+#define LOAD_MS_DEFAULT 30000
 
 struct controller {
 	struct server *server;
 	struct lease_elector elector;
 	struct lease_times times;
 	struct http_batch *orders;
-	uint64_t counted_ms;
+	uint64_t usage_counted_ms;
 };
 
+/* The time until which this daemon holds the lease, for other threads. */
 static _Atomic uint64_t hold_until_ms;
 
 /**
  * controller_holds_lease() - whether this daemon holds its domain's lease now.
- * @server: the daemon
+ * @server: the daemon; not used, a process has one controller
  */
 bool
 controller_holds_lease(struct server *server)
@@ -45,7 +48,7 @@
 	return (clock_now_ms() < atomic_load(&hold_until_ms));
 }
 
-/* Appends a lease record; the time before it counts. */
+/* Appends a lease record. The hold time counts from before the append. */
 static void
 lease_write(struct controller *c, const char *kind, const char *holder,
     uint64_t term)
@@ -64,6 +67,7 @@
 	    offset);
 }
 
+/* Decides what is to be done about the lease; sets *term to its term. */
 static enum lease_step
 lease_step(struct controller *c, uint64_t *term)
 {
@@ -82,9 +86,9 @@
 	return (step);
 }
 
-/* Takes, renews or gives up the lease as is due. */
+/* Takes or renews the lease when due, and gives it up while draining. */
 static void
-lease_keep(struct controller *c)
+lease_maintain(struct controller *c)
 {
 	uint64_t term;
 	enum lease_step step = lease_step(c, &term);
@@ -107,6 +111,7 @@
 	atomic_store(&hold_until_ms, c->elector.hold_until_ms);
 }
 
+/* Fills in the limits for orders that are decided now. */
 static void
 order_limits_now(struct server *server, struct order_limits *lim)
 {
@@ -116,9 +121,9 @@
 	lim->load_parallel = (int)server->set.load_parallel;
 }
 
-/* Plans all changes of membership that are due. */
+/* Plans all membership changes that are due. */
 static GPtrArray *
-plan_all(struct controller *c)
+plan_membership(struct controller *c)
 {
 	struct server *server = c->server;
 	struct plan_input in = {
@@ -127,7 +132,7 @@
 		.times.now = clock_now_ms(),
 		.times.evidence_ms = (uint64_t)server->set.evidence_ms,
 		.times.dead_ms = (uint64_t)server->set.dead_ms,
-		.times.load_ms = LOAD_MS_GUESS,
+		.times.load_ms = LOAD_MS_DEFAULT,
 	};
 	struct order_limits lim;
 	GPtrArray *records;
@@ -143,7 +148,7 @@
 	return (records);
 }
 
-/* Writes the planned changes while the lease is held. */
+/* Writes the planned changes to the log while the lease is held. */
 static void
 write_records(struct controller *c, GPtrArray *records)
 {
@@ -168,13 +173,14 @@
 	}
 }
 
+/* Sends the orders that are due to the hosts, and logs those that fail. */
 static void
-give_orders(struct controller *c)
+send_orders(struct controller *c)
 {
 	struct server *server = c->server;
 	struct order_limits lim;
-	struct http_call_list *tasks;
-	struct http_call *task;
+	struct http_call_list *calls;
+	struct http_call *call;
 
 	g_mutex_lock(&server->config.lock);
 	g_mutex_lock(&server->inv.lock);
@@ -182,22 +188,22 @@
 	orders_fill(c->orders, server->config.state, &server->inv, &lim);
 	g_mutex_unlock(&server->inv.lock);
 	g_mutex_unlock(&server->config.lock);
-	/* The last look at the clock before the orders leave. */
+	/* The lease is checked a last time just before the orders are sent. */
 	if (!lease_elector_holds(&c->elector, clock_now_ms())) {
 		http_batch_reset(c->orders);
 		return;
 	}
-	tasks = http_batch_run(c->orders, ORDER_TIMEOUT_MS);
-	TAILQ_FOREACH(task, tasks, entry) {
-		if (task->status != 200)
+	calls = http_batch_run(c->orders, ORDER_TIMEOUT_MS);
+	TAILQ_FOREACH(call, calls, entry) {
+		if (call->status != 200)
 			event_log(LOG_WARNING, "order_failed",
 			    "host=%s status=%ld",
-			    ((struct host *)task->arg)->name, task->status);
+			    ((struct host *)call->arg)->name, call->status);
 	}
 	http_batch_reset(c->orders);
 }
 
-/* How many failure domains that have a lease come before this one. */
+/* Returns how many failure domains with a lease precede this one by name. */
 static unsigned
 domain_rank(struct controller *c)
 {
@@ -212,11 +218,12 @@
 }
 
 /*
- * A holder writes a snapshot when enough records came since the last. The
- * first failure domain's does so first; the others only if it did not.
+ * Writes a snapshot when enough records were applied since the last one. Each
+ * failure domain waits for a quarter more records than the one before it, so
+ * that a lease holder writes only if those of the preceding domains did not.
  */
 static void
-keep_snapshot(struct controller *c)
+write_snapshot_if_due(struct controller *c)
 {
 	struct config *config = &c->server->config;
 	uint64_t since, due = (uint64_t)c->server->set.snapshot_records;
@@ -229,7 +236,7 @@
 		config_snapshot_write(config, NULL);
 }
 
-/* Counts downtime and stranded time since the last tick that held the lease. */
+/* Counts downtime and stranded time since the last tick with the lease held. */
 static void
 count_usage(struct controller *c)
 {
@@ -241,9 +248,9 @@
 		.evidence_ms = (uint64_t)server->set.dead_ms,
 	};
 
-	if (c->counted_ms != 0)
-		in.elapsed_ms = in.now - c->counted_ms;
-	c->counted_ms = in.now;
+	if (c->usage_counted_ms != 0)
+		in.elapsed_ms = in.now - c->usage_counted_ms;
+	c->usage_counted_ms = in.now;
 	g_mutex_lock(&server->config.lock);
 	g_mutex_lock(&server->inv.lock);
 	in.state = server->config.state;
@@ -252,25 +259,26 @@
 	g_mutex_unlock(&server->config.lock);
 }
 
+/* One round of the controller; without the lease it only tries to get it. */
 static void
 controller_tick(struct controller *c)
 {
 	g_autoptr(GPtrArray) records = NULL;
 
-	lease_keep(c);
+	lease_maintain(c);
 	if (!lease_elector_holds(&c->elector, clock_now_ms())) {
-		c->counted_ms = 0;
+		c->usage_counted_ms = 0;
 		return;
 	}
 	count_usage(c);
-	records = plan_all(c);
+	records = plan_membership(c);
 	write_records(c, records);
-	give_orders(c);
-	keep_snapshot(c);
+	send_orders(c);
+	write_snapshot_if_due(c);
 }
 
 /**
- * controller_run() - the thread that controls.
+ * controller_run() - thread that controls the failure domain.
  * @arg: the daemon
  */
 void *
--- a/src/controller.h
+++ b/src/controller.h
@@ -1,4 +1,4 @@
-/* Controls the groups of this failure domain while it holds the lease. */
+/* Controls the groups of this failure domain while the lease is held. */
 #ifndef BL_CONTROLLER_H
 #define BL_CONTROLLER_H
 
--- a/src/error.c
+++ b/src/error.c
@@ -1,4 +1,4 @@
-/* The table of failures; see error.h. */
+/* Names and HTTP statuses of the errors in error.h. */
 #include <stdarg.h>
 
 #include "error.h"
@@ -32,7 +32,7 @@
 };
 
 /**
- * error_quark() - the GError domain of every banklift error.
+ * error_quark() - GError domain of all banklift errors.
  */
 GQuark
 error_quark(void)
@@ -41,7 +41,7 @@
 }
 
 /**
- * error_name() - the stable name of a code, as shown to callers.
+ * error_name() - stable name of an error code, as shown to clients.
  * @code: an enum error_code
  */
 const char *
@@ -53,7 +53,7 @@
 }
 
 /**
- * error_status() - the HTTP status that carries a code.
+ * error_status() - HTTP status of a response with an error code.
  * @code: an enum error_code
  */
 int
@@ -65,7 +65,7 @@
 }
 
 /**
- * outcome_name() - the name of an outcome, as shown to callers.
+ * outcome_name() - stable name of an outcome, as shown to clients.
  * @outcome: what is known of the request
  */
 const char *
@@ -83,10 +83,10 @@
 }
 
 /**
- * error_set() - set a typed error with a message for people.
- * @error: where to put it, or NULL
- * @code: the type
- * @fmt: the message
+ * error_set() - set an error with a code and a human-readable message.
+ * @error: set to the new error, unless NULL
+ * @code: error code
+ * @fmt: printf format of the message
  */
 void
 error_set(GError **error, enum error_code code, const char *fmt, ...)
--- a/src/error.h
+++ b/src/error.h
@@ -1,4 +1,4 @@
-/* Typed errors: each failure has a code, a name, a status and an outcome. */
+/* Error codes, each with a stable name and an HTTP status, and outcomes. */
 #ifndef BL_ERROR_H
 #define BL_ERROR_H
 
@@ -6,7 +6,7 @@
 
 /**
  * enum outcome - what is known of a request when its call ends.
- * @OUTCOME_WHOLE: the caller has the whole answer
+ * @OUTCOME_WHOLE: the client received the complete response
  * @OUTCOME_NOT_RUN: the request did not run at any endpoint
  * @OUTCOME_UNKNOWN: the request may have run
  */
@@ -17,9 +17,9 @@
 };
 
 /**
- * enum error_code - every failure that a caller or an operator can see.
+ * enum error_code - every failure that a client or an operator can see.
  *
- * The names and statuses stand in error.c and in docs/INTERFACES.md.
+ * The names and HTTP statuses are listed in error.c and in docs/INTERFACES.md.
  */
 enum error_code {
 	ERROR_NONE,
--- a/src/event-log.c
+++ b/src/event-log.c
@@ -1,7 +1,7 @@
 /*
- * Log lines: one line of key=value pairs per event. They go to standard error
- * at once, or, where event_log_buffer() was called, through a bounded buffer
- * that never blocks.
+ * Event log: one line of key=value pairs per event. Lines are written to
+ * standard error at once or, after event_log_buffer(), through a bounded
+ * buffer, so that logging never blocks.
  */
 #include <stdarg.h>
 #include <stdbool.h>
@@ -16,19 +16,20 @@
 #include "clock.h"
 #include "event-log.h"
 
-/* Lines that wait for the reader; at 300 bytes each some 400 of them. */
+/* Capacity of the buffer: some 400 lines of 300 bytes each. */
 #define BUFFER_BYTES 131072
-/* Lines of a second; above the first number only notices and worse go in,
- * above the second none. One line a request keeps well below the first. */
-#define LINES_MOST 400
-#define LINES_MOST_GRAVE 1000
+/* Lines accepted per second: above the first limit only those of level notice
+ * and worse, above the second none. One line per request stays well below the
+ * first limit. */
+#define LINES_PER_S_MAX 400
+#define LINES_PER_S_MAX_NOTICE 1000
 
 static const char *const level_names[] = { "emerg", "alert", "crit", "err",
 	"warning", "notice", "info", "debug" };
 static const char *log_program = "banklift";
 static int log_level = LOG_INFO;
 
-/* The buffer; one thread writes into it and empties it. */
+/* The buffer; a single thread fills and flushes it. */
 static struct {
 	int fd;
 	char *bytes;
@@ -40,7 +41,7 @@
 
 /**
  * event_log_open() - set the program name and the highest level shown.
- * @program: name for each line; kept, not copied
+ * @program: name shown in each line; not copied, so it must stay valid
  * @level: LOG_EMERG to LOG_DEBUG
  */
 void
@@ -51,7 +52,7 @@
 }
 
 /**
- * event_log_level() - the level that a name stands for.
+ * event_log_level() - syslog level of a level name.
  * @name: such as "info"
  *
  * Return: a syslog level, or -1 for an unknown name.
@@ -66,7 +67,7 @@
 	return (-1);
 }
 
-/* Time of day for those who read the lines; decisions use steady time. */
+/* Wall-clock time for readers of the log; decisions use clock.h instead. */
 static long long
 wall_ms(void)
 {
@@ -76,7 +77,7 @@
 	return ((long long)ts.tv_sec * 1000 + ts.tv_nsec / 1000000);
 }
 
-/* Whether a line is within the bound on lines a second. */
+/* Whether one more line of this level is within the limits per second. */
 static bool
 buffer_admits(int level)
 {
@@ -88,9 +89,10 @@
 	}
 	log_buffer.lines++;
 	return (log_buffer.lines <=
-	    (level <= LOG_NOTICE ? LINES_MOST_GRAVE : LINES_MOST));
+	    (level <= LOG_NOTICE ? LINES_PER_S_MAX_NOTICE : LINES_PER_S_MAX));
 }
 
+/* Adds a line to the buffer, or counts it as dropped. */
 static void
 buffer_add(int level, const char *line, size_t length)
 {
@@ -103,10 +105,10 @@
 }
 
 /**
- * event_log_buffer() - from now on, lines wait for event_log_flush().
- * @fd: where they go; made non-blocking
+ * event_log_buffer() - buffer lines from now on until event_log_flush().
+ * @fd: descriptor to which they are written; made non-blocking
  *
- * For programs whose lines all come from one thread.
+ * Only for programs that log from a single thread.
  */
 void
 event_log_buffer(int fd)
@@ -120,7 +122,7 @@
 }
 
 /**
- * event_log_flush() - write what waits, as far as it goes without blocking.
+ * event_log_flush() - write as much of the buffer as possible without blocking.
  */
 void
 event_log_flush(void)
@@ -144,7 +146,7 @@
 	memmove(log_buffer.bytes, log_buffer.bytes + n, log_buffer.used);
 }
 
-/* Writes one line with a single call, so that threads do not mix lines. */
+/* Writes a line by a single write(2), so that lines of threads do not mix. */
 static void
 event_log_write(int level, const char *event, const char *fmt, va_list ap)
 {
@@ -167,10 +169,11 @@
 }
 
 /**
- * event_log() - write one event.
+ * event_log() - log one event.
  * @level: syslog level
  * @event: stable name of the event
- * @fmt: key=value pairs; values from outside go through event_log_quote()
+ * @fmt: printf format of key=value pairs; untrusted values are first passed
+ *	through event_log_quote()
  */
 void
 event_log(int level, const char *event, const char *fmt, ...)
@@ -185,9 +188,9 @@
 }
 
 /**
- * log_debug() - write one event at debug level.
+ * log_debug() - log one event at debug level.
  * @event: stable name of the event
- * @fmt: key=value pairs
+ * @fmt: printf format of key=value pairs
  */
 void
 log_debug(const char *event, const char *fmt, ...)
@@ -202,7 +205,7 @@
 }
 
 /**
- * event_log_quote() - make a value from outside safe inside a log line.
+ * event_log_quote() - quote an untrusted value for a log line.
  * @value: any string
  *
  * Return: the value in double quotes with escapes; free with g_free().
--- a/src/event-log.h
+++ b/src/event-log.h
@@ -1,4 +1,4 @@
-/* Log lines: one line of key=value pairs per event. */
+/* Event log: one line of key=value pairs per event. */
 #ifndef BL_EVENT_LOG_H
 #define BL_EVENT_LOG_H
 
--- a/src/group.c
+++ b/src/group.c
@@ -2,8 +2,8 @@
 #include "group.h"
 
 /**
- * group_create() - make a group from a record or a dump.
- * @record: its JSON
+ * group_create() - make a group from a log record or a group of a snapshot.
+ * @record: JSON object of the group
  * @epoch: log offset of the record
  *
  * Return: the group, or NULL when a field is missing or of the wrong type.
@@ -55,7 +55,7 @@
 }
 
 /**
- * group_dump() - the group as JSON, as kept in snapshots.
+ * group_dump() - JSON object of a group, for snapshots and operators.
  * @group: the group
  */
 json_t *
--- a/src/group.h
+++ b/src/group.h
@@ -7,13 +7,13 @@
 #include <stdint.h>
 
 /**
- * struct group - one serving group, as replayed from the log.
+ * struct group - serving group, as replayed from the log.
  * @name: "deployment/domain/number"
- * @deployment: the deployment that it serves
+ * @deployment: name of the deployment that it serves
  * @domain: failure domain of its hosts
  * @fabric: fabric domain of its hosts
- * @epoch: log offset of its record; the fencing number of its orders
- * @hosts: names (char *), the leader first
+ * @epoch: log offset of its record; the fencing token of its orders
+ * @hosts: names of its hosts (char *), the leader first
  */
 struct group {
 	char *name;
--- a/src/histogram.c
+++ b/src/histogram.c
@@ -1,9 +1,11 @@
 /* A log-linear histogram of atomic counters. */
 #include "histogram.h"
 
+/* Buckets per power of two. */
 #define SUB (1u << HISTOGRAM_SUB_BITS)
 
-/* The bucket of a value: exponent, then HISTOGRAM_SUB_BITS further bits. */
+/* Returns the bucket of a value: its exponent and the HISTOGRAM_SUB_BITS bits
+ * after the leading one. */
 static unsigned
 bucket_index(uint64_t value)
 {
@@ -17,9 +19,9 @@
 	return (index < HISTOGRAM_BUCKETS ? index : HISTOGRAM_BUCKETS - 1);
 }
 
-/* The highest value of a bucket. */
+/* Returns the highest value of a bucket. */
 static uint64_t
-bucket_top(unsigned index)
+bucket_max(unsigned index)
 {
 	unsigned shift;
 
@@ -32,7 +34,7 @@
 /**
  * histogram_add() - count one value.
  * @h: the histogram
- * @value: in the histogram's own unit
+ * @value: the value, in the unit that the histogram is used with
  */
 void
 histogram_add(struct histogram *h, uint64_t value)
@@ -44,27 +46,27 @@
 }
 
 /**
- * histogram_percentile() - the value that a share of values does not exceed.
+ * histogram_percentile() - value that a fraction of all values does not exceed.
  * @h: the histogram
- * @share: 0 to 1
+ * @quantile: the fraction, 0 to 1
  *
- * Return: upper bound of the bucket, 0 when nothing was counted.
+ * Return: upper bound of the bucket, or 0 for an empty histogram.
  */
 uint64_t
-histogram_percentile(struct histogram *h, double share)
+histogram_percentile(struct histogram *h, double quantile)
 {
 	uint64_t total = atomic_load(&h->total);
-	uint64_t rank, seen = 0;
+	uint64_t rank, cumulative = 0;
 
 	if (total == 0)
 		return (0);
-	rank = (uint64_t)((double)total * share);
+	rank = (uint64_t)((double)total * quantile);
 	if (rank >= total)
 		rank = total - 1;
 	for (unsigned i = 0; i < HISTOGRAM_BUCKETS; i++) {
-		seen += atomic_load(&h->counts[i]);
-		if (seen > rank)
-			return (bucket_top(i));
+		cumulative += atomic_load(&h->counts[i]);
+		if (cumulative > rank)
+			return (bucket_max(i));
 	}
-	return (bucket_top(HISTOGRAM_BUCKETS - 1));
+	return (bucket_max(HISTOGRAM_BUCKETS - 1));
 }
--- a/src/histogram.h
+++ b/src/histogram.h
@@ -5,14 +5,15 @@
 #include <stdatomic.h>
 #include <stdint.h>
 
+/* Each power of two is divided into 2^3 buckets. */
 #define HISTOGRAM_SUB_BITS 3
 #define HISTOGRAM_BUCKETS (40 << HISTOGRAM_SUB_BITS)
 
 /**
  * struct histogram - counts of values in buckets of 12.5 percent width.
- * @counts: one a bucket
- * @total: number of values
- * @sum: sum of values
+ * @counts: number of values per bucket
+ * @total: number of all values
+ * @sum: sum of all values
  */
 struct histogram {
 	_Atomic uint64_t counts[HISTOGRAM_BUCKETS];
