--- a/src/host-list.c
+++ b/src/host-list.c
@@ -1,4 +1,4 @@
-/* Follows the platform's host list, which lags. */
+/* Polls the platform's host list, which lags behind the hosts. */
 #include "cleanup.h"
 #include "clock.h"
 #include "event-log.h"
@@ -8,36 +8,37 @@
 
 #define LIST_PERIOD_MS 1000
 #define LIST_TIMEOUT_MS 2000
-/* The list is as it was when its entity tag was given. */
-#define STATUS_SAME 304
+/* HTTP status: the list still has the entity tag that was sent. */
+#define STATUS_NOT_MODIFIED 304
 
-/* Reads the list if it changed, and takes it. */
+/* Fetches the list if it has changed, and updates the inventory from it. */
 static void
-host_list_read(struct server *server, const char *url, char **etag)
+host_list_fetch(struct server *server, const char *url, char **etag)
 {
-	CLEANUP(http_response_clear) struct http_response reply = { 0 };
+	CLEANUP(http_response_clear) struct http_response response = { 0 };
 	json_t *list;
 
-	if (!http_client_get_changed(url, *etag, LIST_TIMEOUT_MS, &reply,
+	if (!http_client_get_changed(url, *etag, LIST_TIMEOUT_MS, &response,
 		NULL) ||
-	    (reply.status != 200 && reply.status != STATUS_SAME)) {
-		log_debug("host_list_failed", "status=%ld", reply.status);
+	    (response.status != 200 &&
+		response.status != STATUS_NOT_MODIFIED)) {
+		log_debug("host_list_failed", "status=%ld", response.status);
 		return;
 	}
-	list = json_object_get(reply.json, "hosts");
+	list = json_object_get(response.json, "hosts");
 	if (!json_is_array(list))
 		return;
 	g_free(*etag);
-	*etag = g_steal_pointer(&reply.etag);
+	*etag = g_steal_pointer(&response.etag);
 	if (inventory_update(&server->inv, list, clock_now_ms()))
 		server_view_rebuild(server);
 }
 
 /**
- * host_list_run() - the thread that follows the host list.
+ * host_list_run() - thread that follows the host list.
  * @arg: the daemon
  *
- * While the list cannot be had, the hosts stay as they were last listed.
+ * While the list cannot be fetched, the hosts stay as they were last listed.
  */
 void *
 host_list_run(void *arg)
@@ -47,7 +48,7 @@
 
 	url = g_strconcat(server->set.hosts_url, "/hosts", NULL);
 	do {
-		host_list_read(server, url, &etag);
+		host_list_fetch(server, url, &etag);
 	} while (server_sleep(server, LIST_PERIOD_MS));
 	return (NULL);
 }
--- a/src/host.c
+++ b/src/host.c
@@ -1,10 +1,11 @@
-/* One host of the platform's host list, with the evidence about it. */
+/* Host of the platform's host list, with the evidence about it. */
 #include <glib.h>
 #include <string.h>
 #include <xxhash.h>
 
 #include "host.h"
 
+/* Replaces a string by a copy of another. */
 static void
 set_string(char **field, const char *value)
 {
@@ -13,11 +14,11 @@
 }
 
 /**
- * host_update() - take what the host list says now.
+ * host_update() - update a host from its entry in the host list.
  * @host: the host
- * @item: its entry in the host list
+ * @item: JSON object of the entry
  *
- * Return: false, with @host untouched, when the entry is malformed.
+ * Return: false, with @host unchanged, when the entry is malformed.
  */
 bool
 host_update(struct host *host, json_t *item)
@@ -43,8 +44,8 @@
 
 /**
  * host_create() - make a host from an entry of the host list.
- * @item: the entry
- * @now: monotonic milliseconds; the host may have been in a group until now
+ * @item: JSON object of the entry
+ * @now: monotonic time, in ms; the host may have been in a group until now
  *
  * Return: the host, or NULL when the entry is malformed.
  */
@@ -84,12 +85,12 @@
 }
 
 /**
- * host_leaving() - whether the host is to get no new work.
+ * host_leaving() - whether the host is leaving and must get no new work.
  * @host: the host
  *
- * The host list lags, so the first source to say it counts. A host that is
- * missing from the list is not said to leave: the list may be an older one,
- * and a host that is really gone stops answering.
+ * The host list lags, so one of the two sources is enough. A host that is
+ * missing from the list does not count as leaving: the list may be outdated,
+ * and a host that no longer exists stops answering.
  */
 bool
 host_leaving(const struct host *host)
--- a/src/host.h
+++ b/src/host.h
@@ -1,4 +1,4 @@
-/* One host of the platform's host list, with the evidence about it. */
+/* Host of the platform's host list, with the evidence about it. */
 #ifndef BL_HOST_H
 #define BL_HOST_H
 
@@ -16,18 +16,18 @@
 };
 
 /**
- * struct host - one host.
+ * struct host - host of the platform's host list.
  * @name: its name
  * @url: base URL of its engine or service
  * @domain: its failure domain
  * @fabric: its fabric domain
- * @pool: the pool that deployments and services choose hosts by
+ * @pool: its pool, by which deployments and services select hosts
  * @kind: model engine or plain service
- * @accelerators: how many it has
- * @listed_leaving: the host list says that it leaves
+ * @accelerators: number of its accelerators
+ * @listed_leaving: the host list says that it is leaving
  * @unlisted: no longer in the host list
- * @evidence: what it lately said
- * @last_in_group_ms: last time it was, or may have been, in a group
+ * @evidence: what its last response says about it
+ * @last_in_group_ms: last time at which it was, or may have been, in a group
  * @name_hash: stable hash of the name
  */
 struct host {
--- a/src/orders.c
+++ b/src/orders.c
@@ -1,7 +1,8 @@
 /*
- * Orders to engines. They follow from the state and from what the hosts say,
- * so an order that was lost, or given by a holder that is gone, is given again
- * or undone. Each carries the epoch as fencing number.
+ * Orders to engines. They are derived anew each time from the configuration
+ * and the evidence about hosts, so an order that was lost, or that came from an
+ * earlier lease holder, is repeated or undone. Each carries the group's epoch
+ * as fencing token.
  */
 #include <string.h>
 
@@ -10,6 +11,7 @@
 #include "orders.h"
 #include "resource.h"
 
+/* Returns the position of a host in its group, or -1. */
 static int
 group_rank(const struct group *group, const char *host)
 {
@@ -20,6 +22,7 @@
 	return (-1);
 }
 
+/* Orders a host to join a group. */
 static void
 order_join(struct http_batch *batch, const struct state *state,
     struct host *host, const struct group *group)
@@ -44,6 +47,7 @@
 	    group->name, group->epoch);
 }
 
+/* Orders a host to leave the group that it reports. */
 static void
 order_leave(struct http_batch *batch, struct host *host)
 {
@@ -57,9 +61,11 @@
 }
 
 /**
- * orders_loads_free() - loads that may start now, by what the hosts said.
+ * orders_loads_free() - number of weight loads that may start now.
  * @inv: the hosts, locked
- * @lim: failure domain, time and bounds
+ * @lim: failure domain, time and limits
+ *
+ * The loads in progress are counted by fresh evidence.
  */
 int
 orders_loads_free(struct inventory *inv, const struct order_limits *lim)
@@ -77,18 +83,18 @@
 	return (lim->load_parallel - n);
 }
 
-/* Whether orders to a host can be decided: it was heard of lately. */
+/* Whether evidence about an engine is fresh enough to decide on orders. */
 static bool
-host_heard(const struct host *host, const struct order_limits *lim)
+host_has_evidence(const struct host *host, const struct order_limits *lim)
 {
 	return (host->kind == HOST_ENGINE &&
 	    strcmp(host->domain, lim->domain) == 0 &&
 	    evidence_fresh(&host->evidence, lim->now, lim->evidence_ms));
 }
 
-/* Hosts of a group that have yet to join it. */
+/* Returns how many hosts of a group have yet to join it. */
 static int
-joins_left(struct inventory *inv, const struct group *group)
+joins_missing(struct inventory *inv, const struct group *group)
 {
 	struct host *host;
 	int n = 0;
@@ -100,7 +106,7 @@
 	return (n);
 }
 
-/* Whether the host is to join the group of the state, and is in none. */
+/* Whether a host that the configuration puts into a group is in none yet. */
 static bool
 join_due(const struct host *host, const struct group *group)
 {
@@ -108,37 +114,37 @@
 }
 
 /*
- * The host that is to join next: of the group that lacks the fewest, since it
- * is whole soonest for what the weight store gives.
+ * Chooses the host that joins next, from the group that lacks the fewest hosts:
+ * with the limited loads from the weight store it is complete soonest.
  */
 static struct host *
 next_join(const struct state *state, struct inventory *inv,
     const struct order_limits *lim, GHashTable *ordered)
 {
 	struct host *host, *best = NULL;
-	int best_left = 0, left;
+	int best_missing = 0, missing;
 
 	TAILQ_FOREACH(host, &inv->hosts, entry) {
 		struct group *group = state_host_group(state, host->name);
 
-		if (!host_heard(host, lim) || !join_due(host, group) ||
+		if (!host_has_evidence(host, lim) || !join_due(host, group) ||
 		    g_hash_table_contains(ordered, host))
 			continue;
-		left = joins_left(inv, group);
-		if (best == NULL || left < best_left) {
+		missing = joins_missing(inv, group);
+		if (best == NULL || missing < best_missing) {
 			best = host;
-			best_left = left;
+			best_missing = missing;
 		}
 	}
 	return (best);
 }
 
 /**
- * orders_fill() - the orders that are due now.
- * @batch: they are added here
+ * orders_fill() - fill a batch with the orders that are due now.
+ * @batch: the orders are added here
  * @state: the configuration, locked
  * @inv: the hosts, locked
- * @lim: failure domain, time and bounds
+ * @lim: failure domain, time and limits
  */
 void
 orders_fill(struct http_batch *batch, const struct state *state,
@@ -151,8 +157,8 @@
 
 	TAILQ_FOREACH(host, &inv->hosts, entry) {
 		group = state_host_group(state, host->name);
-		/* A host goes from one group to another by way of none. */
-		if (host_heard(host, lim) && host->evidence.epoch != 0 &&
+		/* A host must leave its group before it joins another. */
+		if (host_has_evidence(host, lim) && host->evidence.epoch != 0 &&
 		    (group == NULL || host->evidence.epoch != group->epoch))
 			order_leave(batch, host);
 	}
--- a/src/orders.h
+++ b/src/orders.h
@@ -1,4 +1,4 @@
-/* Orders to engines: join a group, leave one. */
+/* Orders to engines to join or leave a group. */
 #ifndef BL_ORDERS_H
 #define BL_ORDERS_H
 
@@ -6,6 +6,13 @@
 #include "inventory.h"
 #include "state.h"
 
+/**
+ * struct order_limits - what orders are decided by.
+ * @domain: failure domain of the hosts
+ * @now: monotonic time, in ms
+ * @evidence_ms: age at which evidence expires
+ * @load_parallel: concurrent weight loads allowed in the failure domain
+ */
 struct order_limits {
 	const char *domain;
 	uint64_t now;
--- a/src/prober.c
+++ b/src/prober.c
@@ -1,7 +1,8 @@
 /*
- * Probes hosts of this failure domain for evidence. The hosts of a group are
- * probed by the same daemons, so that each of these knows by itself whether
- * the group is whole; rendezvous hashing shares the groups out.
+ * Probes the hosts of this failure domain for evidence. All hosts of a group
+ * are probed by the same daemons, so that each of these daemons knows by
+ * itself whether the group is complete. Rendezvous hashing assigns groups and
+ * free hosts to daemons.
  */
 #include <string.h>
 
@@ -14,18 +15,20 @@
 #include "publish.h"
 #include "server.h"
 
-/* Daemons that probe each group, free host or endpoint. */
-#define PROBERS 2
+/* Number of daemons that probe each group, free host or endpoint. */
+#define PROBERS_PER_KEY 2
 #define PROBE_TIMEOUT_MS 800
-/* A host that is not listed and silent for this long is not probed. */
-#define FORGET_MS 60000
+/* An unlisted host that is silent and in no group for this long is no longer
+ * probed. */
+#define UNLISTED_PROBE_MS 60000
 
 /*
- * The daemon that controls the failure domain, which has enough to do: it
- * probes only where others are too few. 0 while none controls it.
+ * Returns the name hash of the daemon that controls the failure domain, or 0
+ * while none does. The controller has other work, so it probes only where too
+ * few other daemons are alive.
  */
 static uint64_t
-controller_key(struct server *server)
+controller_name_hash(struct server *server)
 {
 	struct lease *lease =
 	    state_lease(server->config.state, server->set.domain);
@@ -37,9 +40,9 @@
 	return (member_name_hash(name));
 }
 
-/* What a host is shared out by: its group's epoch, or itself. */
+/* Key that assigns a host to daemons: its group's epoch, or its own hash. */
 static uint64_t
-host_unit(struct server *server, const struct host *host)
+host_probe_key(struct server *server, const struct host *host)
 {
 	struct group *group;
 
@@ -47,31 +50,33 @@
 	return (group != NULL ? group->epoch : host->name_hash);
 }
 
-/* A host that is not listed is probed on as long as it answers. */
+/* An unlisted host is probed for as long as it answers. */
 static bool
-host_forgotten(const struct host *host, uint64_t now)
+host_probe_stopped(const struct host *host, uint64_t now)
 {
-	return (host->unlisted && now > host->evidence.seen_ms + FORGET_MS &&
-	    now > host->last_in_group_ms + FORGET_MS);
+	return (host->unlisted &&
+	    now > host->evidence.seen_ms + UNLISTED_PROBE_MS &&
+	    now > host->last_in_group_ms + UNLISTED_PROBE_MS);
 }
 
+/* Adds a probe of each host that this daemon has to probe. */
 static void
-batch_fill(struct server *server, struct http_batch *batch, uint64_t now)
+batch_add_probes(struct server *server, struct http_batch *batch, uint64_t now)
 {
 	uint64_t controller;
 	struct host *host;
 
 	g_mutex_lock(&server->config.lock);
 	g_mutex_lock(&server->inv.lock);
-	controller = controller_key(server);
+	controller = controller_name_hash(server);
 	TAILQ_FOREACH(host, &server->inv.hosts, entry) {
 		g_autofree char *url = NULL;
 
 		if (strcmp(host->domain, server->set.domain) != 0 ||
-		    host_forgotten(host, now))
+		    host_probe_stopped(host, now))
 			continue;
-		if (members_rank(&server->members, host_unit(server, host),
-			controller, now) >= PROBERS)
+		if (members_rank(&server->members, host_probe_key(server, host),
+			controller, now) >= PROBERS_PER_KEY)
 			continue;
 		url = g_strconcat(host->url,
 		    host->kind == HOST_ENGINE ? "/host" : "/health", NULL);
@@ -81,36 +86,36 @@
 	g_mutex_unlock(&server->config.lock);
 }
 
-/* Whether the answer is the host's own; its address may be another's now. */
+/* Whether the host itself responded; its address may be another's by now. */
 static bool
-answer_is_of(const struct host *host, json_t *answer)
+response_is_from(const struct host *host, json_t *response)
 {
-	const char *name = json_string_value(json_object_get(answer, "name"));
+	const char *name = json_string_value(json_object_get(response, "name"));
 
 	return (name == NULL || strcmp(name, host->name) == 0);
 }
 
-/* Takes one answer; returns whether the host began or ceased to leave. */
+/* Applies a response; returns whether the host started or stopped leaving. */
 static bool
-take_answer(struct host *host, const struct http_call *task)
+apply_response(struct host *host, const struct http_call *call)
 {
 	struct evidence *ev = &host->evidence;
 	bool leaving = host_leaving(host);
 
-	if (task->status != 200 && task->status != 503)
+	if (call->status != 200 && call->status != 503)
 		return (false);
-	if (task->json == NULL || task->sent_ms < ev->seen_ms ||
-	    !answer_is_of(host, task->json))
+	if (call->json == NULL || call->sent_ms < ev->seen_ms ||
+	    !response_is_from(host, call->json))
 		return (false);
-	evidence_parse(ev, task->json, task->sent_ms);
+	evidence_parse(ev, call->json, call->sent_ms);
 	if (ev->epoch != 0)
 		host->last_in_group_ms = clock_now_ms();
 	return (leaving != host_leaving(host));
 }
 
-/* Turns the evidence of hosts into what request threads read. */
+/* Publishes the evidence about hosts for the request threads. */
 static void
-publish(struct server *server)
+publish_host_evidence(struct server *server)
 {
 	g_mutex_lock(&server->view_lock);
 	g_mutex_lock(&server->config.lock);
@@ -122,9 +127,9 @@
 	g_mutex_unlock(&server->view_lock);
 }
 
-/* Straggling is judged against the median, which is found once a round. */
+/* Updates the medians that stragglers are judged against, once per round. */
 static void
-refresh_medians(struct server *server)
+update_medians(struct server *server)
 {
 	GHashTableIter iter;
 	gpointer set;
@@ -141,28 +146,29 @@
 	g_mutex_unlock(&server->view_lock);
 }
 
+/* Probes all assigned hosts once and publishes the evidence. */
 static void
 probe_round(struct server *server, struct http_batch *batch)
 {
-	struct http_call_list *tasks;
-	struct http_call *task;
-	bool moved = false;
+	struct http_call_list *calls;
+	struct http_call *call;
+	bool changed = false;
 
-	batch_fill(server, batch, clock_now_ms());
-	tasks = http_batch_run(batch, PROBE_TIMEOUT_MS);
+	batch_add_probes(server, batch, clock_now_ms());
+	calls = http_batch_run(batch, PROBE_TIMEOUT_MS);
 	g_mutex_lock(&server->inv.lock);
-	TAILQ_FOREACH(task, tasks, entry)
-		moved = take_answer(task->arg, task) || moved;
+	TAILQ_FOREACH(call, calls, entry)
+		changed = apply_response(call->arg, call) || changed;
 	g_mutex_unlock(&server->inv.lock);
 	http_batch_reset(batch);
-	if (moved)
+	if (changed)
 		server_view_rebuild(server);
-	publish(server);
-	refresh_medians(server);
+	publish_host_evidence(server);
+	update_medians(server);
 }
 
 /**
- * prober_run() - the thread that probes.
+ * prober_run() - thread that probes hosts.
  * @arg: the daemon
  */
 void *
@@ -170,15 +176,15 @@
 {
 	struct server *server = arg;
 	struct http_batch *batch = http_batch_create();
-	uint64_t began, spent;
+	uint64_t started, elapsed;
 
 	do {
-		began = clock_now_ms();
+		started = clock_now_ms();
 		probe_round(server, batch);
-		spent = clock_now_ms() - began;
+		elapsed = clock_now_ms() - started;
 	} while (server_sleep(server,
-	    spent < (uint64_t)server->set.probe_ms ?
-		(uint64_t)server->set.probe_ms - spent :
+	    elapsed < (uint64_t)server->set.probe_ms ?
+		(uint64_t)server->set.probe_ms - elapsed :
 		1));
 	http_batch_free(batch);
 	return (NULL);
--- a/src/prober.h
+++ b/src/prober.h
@@ -1,4 +1,4 @@
-/* Probes hosts for evidence, and follows the host list. */
+/* Threads that probe hosts for evidence and follow the host list. */
 #ifndef BL_PROBER_H
 #define BL_PROBER_H
 
--- a/src/random.c
+++ b/src/random.c
@@ -1,4 +1,7 @@
-/* Random numbers for identifiers and jitter; decisions get theirs injected. */
+/*
+ * Random numbers for identifiers and jitter. Functions that make decisions get
+ * their random numbers as arguments.
+ */
 #include <errno.h>
 #include <glib.h>
 #include <sys/random.h>
@@ -21,7 +24,7 @@
 }
 
 /**
- * random_u32() - 32 random bits for choices that need no secrecy.
+ * random_u32() - 32 random bits, not for cryptographic use.
  */
 uint32_t
 random_u32(void)
@@ -30,7 +33,7 @@
 }
 
 /**
- * random_below() - a random number below a bound.
+ * random_below() - random number from 0 to @bound - 1.
  * @bound: 1 to INT32_MAX
  */
 uint32_t
@@ -40,7 +43,8 @@
 }
 
 /**
- * random_id() - an identifier of 128 random bits; free with g_free().
+ * random_id() - identifier of 128 random bits in hexadecimal; free with
+ * g_free().
  */
 char *
 random_id(void)
--- a/src/random.h
+++ b/src/random.h
@@ -1,4 +1,7 @@
-/* Random numbers for identifiers and jitter; decisions get theirs injected. */
+/*
+ * Random numbers for identifiers and jitter. Functions that make decisions get
+ * their random numbers as arguments.
+ */
 #ifndef BL_RANDOM_H
 #define BL_RANDOM_H
 
--- a/src/series.c
+++ b/src/series.c
@@ -1,31 +1,31 @@
-/* Counters and histograms of one label: a customer, a class or a policy. */
+/* Counters and histograms of one customer, priority class or routing policy. */
 #include <inttypes.h>
 
 #include "series.h"
 
 static void
-print_counter(GString *out, const char *what, const char *label,
+print_counter(GString *out, const char *name, const char *label,
     const char *value, uint64_t n)
 {
 	g_string_append_printf(out, "banklift_%s{%s=\"%s\"} %" PRIu64 "\n",
-	    what, label, value, n);
+	    name, label, value, n);
 }
 
 static void
-print_histogram(GString *out, const char *what, const char *label,
+print_histogram(GString *out, const char *name, const char *label,
     const char *value, struct histogram *h)
 {
-	static const double shares[] = { 0.5, 0.95, 0.99 };
+	static const double quantiles[] = { 0.5, 0.95, 0.99 };
 
-	for (size_t i = 0; i < G_N_ELEMENTS(shares); i++)
+	for (size_t i = 0; i < G_N_ELEMENTS(quantiles); i++)
 		g_string_append_printf(out,
 		    "banklift_%s{%s=\"%s\",quantile=\"%g\"} %" PRIu64 "\n",
-		    what, label, value, shares[i],
-		    histogram_percentile(h, shares[i]));
+		    name, label, value, quantiles[i],
+		    histogram_percentile(h, quantiles[i]));
 	g_string_append_printf(out,
 	    "banklift_%s_count{%s=\"%s\"} %" PRIu64
 	    "\nbanklift_%s_sum{%s=\"%s\"} %" PRIu64 "\n",
-	    what, label, value, (uint64_t)atomic_load(&h->total), what, label,
+	    name, label, value, (uint64_t)atomic_load(&h->total), name, label,
 	    value, (uint64_t)atomic_load(&h->sum));
 }
 
@@ -34,7 +34,7 @@
  * @s: the series
  * @label: "customer", "class" or "policy"
  * @value: the label's value
- * @out: the page
+ * @out: text of the page
  */
 void
 series_print(struct series *s, const char *label, const char *value,
--- a/src/series.h
+++ b/src/series.h
@@ -1,4 +1,4 @@
-/* Counters and histograms of one label: a customer, a class or a policy. */
+/* Counters and histograms of one customer, priority class or routing policy. */
 #ifndef BL_SERIES_H
 #define BL_SERIES_H
 
@@ -8,16 +8,16 @@
 #include "histogram.h"
 
 /**
- * struct series - what is counted for one label.
- * @whole: requests that got the whole answer
- * @not_run: requests that were told "not run"
+ * struct series - counters and histograms of one label value.
+ * @whole: requests that got the complete response
+ * @not_run: requests that were answered with outcome not_run
  * @unknown: requests whose outcome is unknown
- * @refused: those of @not_run that a limit refused
+ * @refused: requests of @not_run that were refused by a limit
  * @calls: calls to endpoints
- * @tokens: chunks given to callers
- * @first_byte_us: microseconds to the first byte of the answer
+ * @tokens: chunks sent to clients
+ * @first_byte_us: microseconds to the first byte of the response
  * @gap_us: microseconds between chunks
- * @total_us: microseconds to the end of the answer
+ * @total_us: microseconds to the end of the response
  */
 struct series {
 	_Atomic uint64_t whole;
