--- a/src/bankliftd.c
+++ b/src/bankliftd.c
@@ -1,4 +1,4 @@
-/* bankliftd: the daemon, the same on every entry host. */
+/* bankliftd: the daemon. The same program runs on every entry host. */
 #include <curl/curl.h>
 #include <signal.h>
 #include <stdio.h>
@@ -14,10 +14,12 @@
 #include "server.h"
 
 #define EXIT_BAD_SETTING 2
-#define DRAIN_STEP_MS 50
-#define LOG_WAIT_MS 1000
+/* Time between checks for requests in progress while draining. */
+#define DRAIN_POLL_MS 50
+/* How long a read of the configuration log may wait for new records. */
+#define LOG_READ_WAIT_MS 1000
 
-/* The daemon's threads, beside those of its HTTP servers. */
+/* The daemon's threads, except those of its HTTP servers. */
 struct thread_entry {
 	const char *name;
 	void *(*run)(void *);
@@ -41,11 +43,11 @@
 	struct server *server = arg;
 
 	while (!atomic_load(&server->stopping))
-		config_follow(&server->config, LOG_WAIT_MS);
+		config_follow(&server->config, LOG_READ_WAIT_MS);
 	return (NULL);
 }
 
-/* Waits for the signal that asks for a graceful end. */
+/* Waits for SIGTERM or SIGINT, which ask for a graceful stop. */
 static int
 signal_wait(void)
 {
@@ -60,6 +62,7 @@
 	return (sig);
 }
 
+/* Blocks the signals; SIGTERM and SIGINT are received by signal_wait(). */
 static void
 signals_block(void)
 {
@@ -73,9 +76,10 @@
 }
 
 /*
- * Leaves: the health page says so first, while requests are still taken, so
- * that the balancer turns away before anything is refused; then requests in
- * progress are waited for, however long they take.
+ * Drains the daemon. First only the health page reports that it is leaving,
+ * while requests are still accepted, so that the load balancer stops sending
+ * clients before any request is refused. Then new requests are refused and
+ * those in progress are waited for, however long they take.
  */
 static void
 server_drain(struct server *server)
@@ -89,11 +93,11 @@
 	server_sleep(server, (uint64_t)server->set.drain_accept_ms);
 	atomic_store(&server->refusing, true);
 	while (atomic_load(&server->active) > 0)
-		server_sleep(server, DRAIN_STEP_MS);
+		server_sleep(server, DRAIN_POLL_MS);
 	event_log(LOG_NOTICE, "drained", "active=0");
 }
 
-/* Runs the threads until the signal, then ends them in turn. */
+/* Runs the threads until a signal asks to stop, then drains and ends them. */
 static bool
 server_run(struct server *server, GError **error)
 {
--- a/src/server.c
+++ b/src/server.c
@@ -1,4 +1,4 @@
-/* One daemon: its parts, and the view that its threads share. */
+/* State of a daemon, and the view that its request threads read. */
 #include <urcu-bp.h>
 
 #include "claims.h"
@@ -9,8 +9,9 @@
 #include "server.h"
 #include "usage.h"
 
+/* Sleeping threads check this often whether the daemon is stopping. */
 #define SLEEP_STEP_MS 20
-/* A new daemon waits this long for evidence before it calls itself ready. */
+/* A new daemon waits at most this long for evidence before it is ready. */
 #define READY_WAIT_MS 3000
 
 static void
@@ -20,19 +21,19 @@
 }
 
 static json_t *
-config_fetch_peers(void *arg, uint64_t next)
+config_fetch_from_peers(void *arg, uint64_t next)
 {
 	return (peer_fetch_state(arg, next));
 }
 
 static const struct config_ops server_config_ops = {
 	.changed = config_changed,
-	.fetch = config_fetch_peers,
+	.fetch = config_fetch_from_peers,
 };
 
 /**
- * server_create() - make a daemon's parts; no thread runs yet.
- * @set: checked settings; their strings are kept
+ * server_create() - create a daemon without starting its threads.
+ * @set: checked settings; their strings are not copied
  */
 struct server *
 server_create(const struct settings *set)
@@ -55,7 +56,7 @@
 }
 
 /**
- * server_free() - free a daemon whose threads have ended.
+ * server_free() - free a daemon after its threads have ended.
  * @server: the daemon
  */
 void
@@ -77,7 +78,7 @@
 }
 
 /**
- * server_view_rebuild() - build and publish a view of what is known now.
+ * server_view_rebuild() - build a view of the current state and publish it.
  * @server: the daemon
  */
 void
@@ -98,7 +99,7 @@
 	synchronize_rcu();
 	if (old != NULL)
 		view_free(old);
-	/* Once the lock is free, another thread may free this view. */
+	/* Once the lock is released, another thread may free this view. */
 	next = view->next;
 	if (next > 1 && atomic_load(&server->config_known_ms) == 0)
 		atomic_store(&server->config_known_ms, clock_now_ms());
@@ -107,8 +108,11 @@
 }
 
 /**
- * server_view_next() - prefix of the configuration that is in force.
+ * server_view_next() - end of the configuration prefix that is in force.
  * @server: the daemon
+ *
+ * Return: the first log offset that the published view does not include, or 0
+ * before there is a view.
  */
 uint64_t
 server_view_next(struct server *server)
@@ -123,9 +127,9 @@
 	return (next);
 }
 
-/* Whether each set that has targets has one that may be sent to. */
+/* Whether each set that has targets has one to which requests may be sent. */
 static bool
-sets_serve(GHashTable *sets, uint64_t now)
+sets_have_target(GHashTable *sets, uint64_t now)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -133,50 +137,50 @@
 	g_hash_table_iter_init(&iter, sets);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct route_set *set = value;
-		bool serves = set->targets->len == 0;
+		bool serving = set->targets->len == 0;
 
-		for (guint i = 0; !serves && i < set->targets->len; i++)
-			serves = target_valid(set->targets->pdata[i], now);
-		if (!serves)
+		for (guint i = 0; !serving && i < set->targets->len; i++)
+			serving = target_valid(set->targets->pdata[i], now);
+		if (!serving)
 			return (false);
 	}
 	return (true);
 }
 
 /**
- * server_ready() - whether the balancer should send callers here.
+ * server_ready() - whether the load balancer should send clients here.
  * @server: the daemon
  *
- * Ready means that a configuration is known, replayed from the log or taken
- * from a peer, and that evidence was found for what it declares. What has no
- * evidence after READY_WAIT_MS is not waited for any longer.
+ * A daemon is ready when it has a configuration, replayed from the log or
+ * fetched from a peer, and evidence about a target of each deployment and
+ * service that has targets. After READY_WAIT_MS it is ready without evidence.
  */
 bool
 server_ready(struct server *server)
 {
 	uint64_t now = clock_now_ms();
-	uint64_t known = atomic_load(&server->config_known_ms);
+	uint64_t known_ms = atomic_load(&server->config_known_ms);
 	struct view *view;
-	bool serves;
+	bool serving;
 
-	if (atomic_load(&server->draining) || known == 0)
+	if (atomic_load(&server->draining) || known_ms == 0)
 		return (false);
-	if (now >= known + READY_WAIT_MS)
+	if (now >= known_ms + READY_WAIT_MS)
 		return (true);
 	rcu_read_lock();
 	view = rcu_dereference(server->view);
-	serves = sets_serve(view->deployments, now) &&
-	    sets_serve(view->services, now);
+	serving = sets_have_target(view->deployments, now) &&
+	    sets_have_target(view->services, now);
 	rcu_read_unlock();
-	return (serves);
+	return (serving);
 }
 
 /**
- * server_sleep() - wait, but not beyond the daemon's end.
+ * server_sleep() - sleep, but return early when the daemon is stopping.
  * @server: the daemon
- * @ms: milliseconds
+ * @ms: time to sleep, in ms
  *
- * Return: false once the daemon is ending.
+ * Return: false when the daemon is stopping.
  */
 bool
 server_sleep(struct server *server, uint64_t ms)
--- a/src/server.h
+++ b/src/server.h
@@ -1,4 +1,4 @@
-/* One daemon: its parts, and the threads that run them. */
+/* State of a daemon, shared by its threads. */
 #ifndef BL_SERVER_H
 #define BL_SERVER_H
 
@@ -15,27 +15,30 @@
 struct claims;
 
 /**
- * struct server - one daemon.
+ * struct server - state of a daemon.
  * @set: its settings
- * @incarnation: identifier of this run, never used again
- * @holder: name and @incarnation, as leases name the holder
+ * @incarnation: random identifier of this run, never used again
+ * @holder: "name#incarnation", identifies this daemon as holder of a lease
  * @log: the platform's log
- * @config: the followed configuration
- * @inv: the hosts
- * @members: the daemons
- * @claims: the claims on request ids
- * @tables: what outlives views; guarded by @view_lock
- * @usage: counts of the failure domain while this daemon controls it; guarded
- *	by the configuration's lock
+ * @config: the configuration, as replayed from @log
+ * @inv: the hosts that the platform lists
+ * @members: this daemon and the others
+ * @claims: claims of request ids
+ * @tables: objects that outlive single views; guarded by @view_lock
+ * @usage: downtime and stranded time, counted while this daemon controls its
+ *	failure domain; guarded by the configuration's lock
  * @view_lock: held while a view is built
  * @view: the published view; read under RCU
- * @want_remote: a request found no target; ask the other failure domains
- * @remote_used_ms: when a request last needed another failure domain, or 0
- * @config_known_ms: when a configuration was first known, 0 before
- * @draining: new connections are still accepted, but the health page says no
+ * @want_remote: a request found no target, so the other failure domains are to
+ *	be queried
+ * @remote_used_ms: when a request last needed another failure domain, 0 for
+ *	never
+ * @config_known_ms: when a configuration was first known, 0 before that
+ * @draining: the health page reports that the daemon is leaving; new
+ *	connections are still accepted
  * @refusing: new requests are refused
- * @stopping: threads end
- * @active: requests in progress
+ * @stopping: all threads are to end
+ * @active: number of requests in progress
  */
 struct server {
 	struct settings set;
--- a/src/status-server.h
+++ b/src/status-server.h
@@ -5,14 +5,14 @@
 #include <glib.h>
 #include <uv.h>
 
-/* Fills in the body for a path; returns the status. */
+/* Appends the response body for a path; returns the HTTP status. */
 typedef unsigned status_handler(void *, const char *, GString *);
 
 /**
- * struct status_server - one listener.
- * @listener: where it listens
- * @handler: answers
- * @arg: for @handler
+ * struct status_server - HTTP server at one address.
+ * @listener: the listening socket
+ * @handler: called for each GET or HEAD request
+ * @arg: passed to @handler
  */
 struct status_server {
 	uv_tcp_t listener;
