--- a/src/setting-table.c
+++ b/src/setting-table.c
@@ -1,4 +1,6 @@
-/* Tables of settings: each gives flags, environment, a file and checks. */
+/*
+ * Settings from flags, environment variables and a file, described by a table.
+ */
 #include <popt.h>
 #include <math.h>
 #include <string.h>
@@ -8,10 +10,11 @@
 #include "resource-check.h"
 #include "setting-table.h"
 
+/* Bound on the options of a table, with --check, help and the terminator. */
 #define SETTING_MAX 64
 #define ENV_PREFIX "BANKLIFT_"
 
-/* The environment variable of a setting; free with g_free(). */
+/* Returns the environment variable of a setting; free with g_free(). */
 static char *
 setting_env_name(const struct setting *s)
 {
@@ -23,9 +26,11 @@
 
 /**
  * setting_split_address() - split "ip:port".
- * @text: the address
- * @ip: set to the IP number; free with g_free()
+ * @text: IP address and port
+ * @ip: set to the IP address; free with g_free()
  * @port: set to the port
+ *
+ * Return: false, with nothing to free, when @text is not an address and port.
  */
 bool
 setting_split_address(const char *text, char **ip, uint16_t *port)
@@ -44,10 +49,11 @@
 	return (false);
 }
 
+/* Sets an error that names the setting; returns false. */
 static bool
-setting_bad(const struct setting *s, GError **error, const char *why)
+setting_error(const struct setting *s, GError **error, const char *reason)
 {
-	error_set(error, ERROR_BAD_SETTING, "--%s: %s", s->name, why);
+	error_set(error, ERROR_BAD_SETTING, "--%s: %s", s->name, reason);
 	return (false);
 }
 
@@ -60,18 +66,18 @@
 
 	if (setting_split_address(value, &ip, &port))
 		return (true);
-	return (setting_bad(s, error, "must be an IP number and port"));
+	return (setting_error(s, error, "must be an IP number and port"));
 }
 
-/* Refuses a number with the range that it should be in. */
+/* Sets an error with the allowed range; returns false. */
 static bool
-setting_out_of_range(const struct setting *s, GError **error)
+setting_range_error(const struct setting *s, GError **error)
 {
-	g_autofree char *why = g_strdup_printf("must be %" G_GINT64_FORMAT
-					       " to %" G_GINT64_FORMAT " %s",
+	g_autofree char *reason = g_strdup_printf("must be %" G_GINT64_FORMAT
+						  " to %" G_GINT64_FORMAT " %s",
 	    (gint64)s->min, (gint64)s->max, s->unit);
 
-	return (setting_bad(s, error, why));
+	return (setting_error(s, error, reason));
 }
 
 static bool
@@ -81,12 +87,12 @@
 	gint64 n;
 
 	if (!g_ascii_string_to_signed(value, 10, s->min, s->max, &n, NULL))
-		return (setting_out_of_range(s, error));
+		return (setting_range_error(s, error));
 	*(int64_t *)((char *)set + s->offset) = n;
 	return (true);
 }
 
-/* A number as deployments write it: with a fraction or an exponent or not. */
+/* Parses a number, which deployments may write with fraction or exponent. */
 static bool
 setting_read_number(const struct setting *s, const char *value, double *n,
     GError **error)
@@ -97,7 +103,7 @@
 	if (end != value && *end == '\0' && *n >= (double)s->min &&
 	    *n <= (double)s->max)
 		return (true);
-	return (setting_out_of_range(s, error));
+	return (setting_range_error(s, error));
 }
 
 static bool
@@ -112,7 +118,7 @@
 	return (true);
 }
 
-/* Kept as whole milliseconds: finer than any timer here. */
+/* Stores whole milliseconds; no timer here is finer. */
 static bool
 setting_store_millis(const struct setting *s, void *set, const char *value,
     GError **error)
@@ -132,18 +138,18 @@
 	bool on = strcmp(value, "true") == 0;
 
 	if (!on && strcmp(value, "false") != 0)
-		return (setting_bad(s, error, "must be true or false"));
+		return (setting_error(s, error, "must be true or false"));
 	*(bool *)((char *)set + s->offset) = on;
 	return (true);
 }
 
-/* Checks one value and puts it into its place. */
+/* Checks a value and stores it in the field of its setting. */
 static bool
 setting_store(const struct setting *s, void *set, const char *value,
     GError **error)
 {
 	if (value == NULL)
-		return (setting_bad(s, error, "is required"));
+		return (setting_error(s, error, "is required"));
 	switch (s->kind) {
 	case SETTING_INT:
 		return (setting_store_int(s, set, value, error));
@@ -159,16 +165,17 @@
 		break;
 	case SETTING_IP:
 		if (!g_hostname_is_ip_address(value))
-			return (setting_bad(s, error, "must be an IP number"));
+			return (
+			    setting_error(s, error, "must be an IP number"));
 		break;
 	case SETTING_NAME:
 		if (!resource_check_name(value, NULL))
-			return (setting_bad(s, error,
+			return (setting_error(s, error,
 			    "must be 1 to 63 of a-z, 0-9 and -"));
 		break;
 	case SETTING_LEVEL:
 		if (event_log_level(value) < 0)
-			return (setting_bad(s, error, "unknown level"));
+			return (setting_error(s, error, "unknown level"));
 		break;
 	case SETTING_STRING:
 		break;
@@ -177,7 +184,7 @@
 	return (true);
 }
 
-/* Makes the popt table; values land in the array, in the table's order. */
+/* Fills in the popt options; values are set in the order of the table. */
 static void
 setting_fill_options(const struct setting *table, struct poptOption *options,
     char **values, int *check)
@@ -199,7 +206,7 @@
 	options[i + 1] = help[0];
 }
 
-/* Reads the command line into values. */
+/* Parses the command line into values. */
 static bool
 setting_read_flags(const struct setting *table,
     const struct setting_source *source, char **values, int *check,
@@ -226,7 +233,7 @@
 	return (ok);
 }
 
-/* The value of a setting: flag, environment, file, default; or NULL. */
+/* Returns the value from flag, environment, file or default, or NULL. */
 static char *
 setting_find(const struct setting *s, const char *flag, GKeyFile *file)
 {
@@ -240,13 +247,13 @@
 	if (file != NULL)
 		value = g_key_file_get_string(file, SETTING_FILE_GROUP, s->name,
 		    NULL);
-	/* A template leaves a setting empty where there is nothing to say. */
+	/* Files made from a template have empty values for unused settings. */
 	if (value != NULL && value[0] == '\0')
 		g_clear_pointer(&value, g_free);
 	return (value != NULL ? value : g_strdup(s->default_value));
 }
 
-/* Opens the settings file that a setting names; NULL where none is named. */
+/* Loads the file named by a setting; *file stays NULL when none is named. */
 static bool
 setting_open_file(const struct setting *table, const char *name,
     char *const *values, GKeyFile **file, GError **error)
@@ -267,11 +274,11 @@
 }
 
 /**
- * setting_table_parse() - read flags, environment, the file, then defaults.
+ * setting_table_parse() - read flags, then environment, file and defaults.
  * @table: the settings
- * @set: struct that the offsets are of; free with setting_table_free()
- * @source: where to look
- * @check: set when --check was given
+ * @set: struct to fill in by the offsets; free with setting_table_free()
+ * @source: where values are looked up
+ * @check: set to whether --check was given
  * @error: ERROR_BAD_SETTING with the setting and its allowed range
  */
 bool
@@ -280,10 +287,10 @@
 {
 	char *values[SETTING_MAX] = { NULL };
 	g_autoptr(GKeyFile) file = NULL;
-	int asked = 0;
+	int check_flag = 0;
 	bool ok;
 
-	ok = setting_read_flags(table, source, values, &asked, error) &&
+	ok = setting_read_flags(table, source, values, &check_flag, error) &&
 	    setting_open_file(table, source->file_setting, values, &file,
 		error);
 	for (size_t i = 0; ok && table[i].name != NULL; i++) {
@@ -294,13 +301,13 @@
 	}
 	for (size_t i = 0; i < SETTING_MAX; i++)
 		free(values[i]);
-	*check = asked != 0;
+	*check = check_flag != 0;
 	return (ok);
 }
 
-/* Whether a setting is kept as text of its own. */
+/* Whether values of a kind are stored as allocated strings. */
 static bool
-setting_is_text(enum setting_kind kind)
+setting_is_string(enum setting_kind kind)
 {
 	switch (kind) {
 	case SETTING_STRING:
@@ -319,15 +326,15 @@
 }
 
 /**
- * setting_table_free() - free what setting_table_parse() made.
+ * setting_table_free() - free the strings that setting_table_parse() allocated.
  * @table: the settings
- * @set: the struct
+ * @set: the struct that was filled in
  */
 void
 setting_table_free(const struct setting *table, void *set)
 {
 	for (const struct setting *s = table; s->name != NULL; s++) {
-		if (setting_is_text(s->kind))
+		if (setting_is_string(s->kind))
 			g_free(*(char **)((char *)set + s->offset));
 	}
 }
--- a/src/setting-table.h
+++ b/src/setting-table.h
@@ -1,4 +1,6 @@
-/* Tables of settings: each gives flags, environment, a file and checks. */
+/*
+ * Settings from flags, environment variables and a file, described by a table.
+ */
 #ifndef BL_SETTING_TABLE_H
 #define BL_SETTING_TABLE_H
 
@@ -7,20 +9,20 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Group of a settings file that holds the settings. */
+/* Section of the settings file that is read. */
 #define SETTING_FILE_GROUP "banklift"
 
 /**
- * enum setting_kind - how a value is checked and kept.
- * @SETTING_STRING: any text
+ * enum setting_kind - how a value is checked and stored.
+ * @SETTING_STRING: any string
  * @SETTING_NAME: name of a resource
- * @SETTING_ADDRESS: IP number and port
- * @SETTING_IP: IP number
- * @SETTING_LEVEL: level of the log
- * @SETTING_INT: whole number, kept as int64_t
- * @SETTING_REAL: number, kept as double
- * @SETTING_MILLIS: milliseconds, a fraction is rounded; kept as int64_t
- * @SETTING_BOOL: true or false
+ * @SETTING_ADDRESS: IP address and port
+ * @SETTING_IP: IP address
+ * @SETTING_LEVEL: log level
+ * @SETTING_INT: integer, stored as int64_t
+ * @SETTING_REAL: number, stored as double
+ * @SETTING_MILLIS: milliseconds, rounded to an integer; stored as int64_t
+ * @SETTING_BOOL: true or false, stored as bool
  */
 enum setting_kind {
 	SETTING_STRING,
@@ -36,14 +38,15 @@
 
 /**
  * struct setting - one setting; a table of them ends with a NULL name.
- * @name: of the flag; the environment variable follows from it
- * @kind: how the value is checked and kept
- * @offset: of the field in the program's struct
- * @default_value: value where none is given; NULL when required
- * @min: least value of any number
- * @max: largest value of any number
- * @unit: shown in help
- * @help: shown in help; secrets come from the environment or the file
+ * @name: name of the flag, from which the environment variable is derived
+ * @kind: how the value is checked and stored
+ * @offset: offset of the field in the program's struct
+ * @default_value: used where no value is given; NULL when one is required
+ * @min: minimum of a number
+ * @max: maximum of a number
+ * @unit: unit or form of the value, shown in help
+ * @help: description, shown in help; secrets are to be given by environment or
+ *	file
  */
 struct setting {
 	const char *name;
@@ -57,10 +60,10 @@
 };
 
 /**
- * struct setting_source - where values are looked for, flags first.
- * @argc: count of arguments
+ * struct setting_source - where values are looked up, flags first.
+ * @argc: number of arguments
  * @argv: the arguments
- * @file_setting: name of the setting that holds a file's path, or NULL
+ * @file_setting: name of the setting with the path of the file, or NULL
  */
 struct setting_source {
 	int argc;
--- a/src/setting.c
+++ b/src/setting.c
@@ -8,28 +8,28 @@
 
 static const struct setting setting_table[] = {
 	{ "name", SETTING_NAME, AT(name), NULL, 0, 0, "name",
-	    "name of this daemon, unique" },
+	    "unique name of this daemon" },
 	{ "domain", SETTING_NAME, AT(domain), NULL, 0, 0, "name",
 	    "failure domain of this host" },
 	{ "caller-address", SETTING_ADDRESS, AT(caller_address),
-	    "127.0.0.1:8080", 0, 0, "ip:port", "where callers connect" },
+	    "127.0.0.1:8080", 0, 0, "ip:port", "where clients connect" },
 	{ "operator-address", SETTING_ADDRESS, AT(operator_address),
 	    "127.0.0.1:8081", 0, 0, "ip:port", "where operators connect" },
 	{ "peer-address", SETTING_ADDRESS, AT(peer_address), "127.0.0.1:8082",
 	    0, 0, "ip:port", "where other daemons connect, TCP and UDP" },
 	{ "peers", SETTING_STRING, AT(peers), "", 0, 0, "ip:port,...",
-	    "peer addresses of some daemons to begin with" },
+	    "peer addresses of some daemons to contact first" },
 	{ "log-url", SETTING_STRING, AT(log_url), "http://127.0.0.1:8090", 0, 0,
 	    "url", "the platform's log service" },
 	{ "hosts-url", SETTING_STRING, AT(hosts_url), "http://127.0.0.1:8091",
 	    0, 0, "url", "the platform's host list" },
 	{ "operator-token", SETTING_STRING, AT(operator_token), NULL, 0, 0,
 	    "secret",
-	    "token of operators; give it by BANKLIFT_OPERATOR_TOKEN" },
+	    "token of operators; pass it in BANKLIFT_OPERATOR_TOKEN" },
 	{ "log-level", SETTING_LEVEL, AT(log_level), "info", 0, 0, "level",
 	    "emerg, alert, crit, err, warning, notice, info or debug" },
 	{ "evidence-ms", SETTING_INT, AT(evidence_ms), "5000", 100, 60000, "ms",
-	    "age at which a host's evidence lapses" },
+	    "age at which a host's evidence expires" },
 	{ "probe-ms", SETTING_INT, AT(probe_ms), "1000", 20, 30000, "ms",
 	    "time between probes of a host" },
 	{ "heartbeat-ms", SETTING_INT, AT(heartbeat_ms), "1000", 20, 30000,
@@ -39,33 +39,33 @@
 	{ "lease-renew-ms", SETTING_INT, AT(lease_renew_ms), "2000", 50, 60000,
 	    "ms", "time between renewals of a control lease" },
 	{ "lease-hold-ms", SETTING_INT, AT(lease_hold_ms), "6000", 100, 120000,
-	    "ms", "age of a renewal at which its holder stops" },
+	    "ms", "age of a renewal at which the lease holder stops" },
 	{ "lease-wait-ms", SETTING_INT, AT(lease_wait_ms), "10000", 200, 240000,
-	    "ms", "age of a renewal at which another may take over" },
+	    "ms", "age of a renewal at which another daemon may take over" },
 	{ "claim-batch-ms", SETTING_INT, AT(claim_batch_ms), "20", 0, 1000,
-	    "ms", "least time between two claim batches of a partition" },
+	    "ms", "minimum time between two claim batches of a partition" },
 	{ "claim-partitions", SETTING_INT, AT(claim_partitions), "8", 1, 256,
-	    "count", "claim streams; the same on all daemons" },
+	    "count", "claim partitions; the same number on all daemons" },
 	{ "snapshot-records", SETTING_INT, AT(snapshot_records), "2000", 10,
 	    1000000, "count", "records between two snapshots" },
 	{ "drain-accept-ms", SETTING_INT, AT(drain_accept_ms), "3000", 0,
-	    120000, "ms", "how long a leaving daemon goes on accepting" },
+	    120000, "ms", "how long a draining daemon still accepts requests" },
 	{ "body-bytes", SETTING_INT, AT(body_bytes), "1048576", 1024, 67108864,
 	    "bytes", "largest request body" },
 	{ "connections", SETTING_INT, AT(connections), "512", 8, 65536, "count",
-	    "most caller connections at once" },
+	    "maximum of concurrent client connections" },
 	{ "call-timeout-ms", SETTING_INT, AT(call_timeout_ms), "60000", 10,
-	    3600000, "ms", "deadline of a request that names none" },
+	    3600000, "ms", "default deadline of a request" },
 	{ "stall-ms", SETTING_INT, AT(stall_ms), "5000", 10, 600000, "ms",
-	    "silence of an endpoint after which a call has failed" },
+	    "silence of an endpoint after which a call fails" },
 	{ "load-parallel", SETTING_INT, AT(load_parallel), "4", 1, 1000,
-	    "count", "weight loads at once in this failure domain" },
+	    "count", "concurrent weight loads in this failure domain" },
 	{ "dead-ms", SETTING_INT, AT(dead_ms), "7000", 100, 600000, "ms",
 	    "silence after which a host counts as lost" },
 	{ NULL, 0, 0, NULL, 0, 0, NULL, NULL },
 };
 
-/* Rules between settings, which leases and evidence rely on. */
+/* Checks relations between settings that leases and evidence rely on. */
 static bool
 setting_check_rules(const struct settings *set, GError **error)
 {
@@ -96,7 +96,7 @@
 /**
  * setting_parse() - read flags, then environment variables, then defaults.
  * @set: filled in; free with setting_free()
- * @argc: count of arguments
+ * @argc: number of arguments
  * @argv: the arguments
  * @error: ERROR_BAD_SETTING with the setting and its allowed range
  */
@@ -112,7 +112,7 @@
 }
 
 /**
- * setting_free() - free what setting_parse() made.
+ * setting_free() - free the strings that setting_parse() allocated.
  * @set: the settings
  */
 void
--- a/src/setting.h
+++ b/src/setting.h
@@ -1,12 +1,12 @@
-/* Settings of the daemon: one table gives flags, environment and checks. */
+/* Settings of bankliftd. */
 #ifndef BL_SETTING_H
 #define BL_SETTING_H
 
 #include "setting-table.h"
 
 /**
- * struct settings - the checked settings; see the table in setting.c for
- * units, ranges and defaults.
+ * struct settings - the checked settings; the table in setting.c has their
+ * descriptions, units, ranges and defaults.
  */
 struct settings {
 	char *name;
