--- a/src/operator-status.c
+++ b/src/operator-status.c
@@ -72,7 +72,7 @@
 	uint64_t now = clock_now_ms(), digest, next;
 	g_autofree char *hex = NULL;
 
-	if (!operator_allowed(server, in, res))
+	if (!operator_authorize(server, in, res))
 		return (U_CALLBACK_COMPLETE);
 	g_mutex_lock(&server->config.lock);
 	next = server->config.state->next;
@@ -124,7 +124,7 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	if (!operator_allowed(server, in, res))
+	if (!operator_authorize(server, in, res))
 		return (U_CALLBACK_COMPLETE);
 	print_process(server, out);
 	control_traffic_print(out);
--- a/src/view.c
+++ b/src/view.c
@@ -199,7 +199,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct resource *res = value;
 
-		if (!resource_live(res))
+		if (!resource_exists(res))
 			continue;
 		if (strcmp(res->type, "deployment") == 0)
 			build_set(b, res, false);
