--- a/src/fwd-conn.c
+++ b/src/fwd-conn.c
@@ -19,14 +19,14 @@
 /* How long a caller may take to read an answer that ends its connection. */
 #define LINGER_MS 1000
 
-static const struct caller_limits limits_first = { HEADER_BYTES_FIRST,
+static const struct client_limits limits_first = { HEADER_BYTES_FIRST,
 	BODY_BYTES_FIRST, HEADER_FIRST_MS, IDLE_FIRST_MS };
 
 static const char continue_text[] = "HTTP/1.1 100 Continue\r\n\r\n";
 
 static void caller_run(struct fwd_conn *);
 
-static const struct caller_limits *
+static const struct client_limits *
 caller_limits_now(const struct fwd_conn *c)
 {
 	const struct catalog *catalog = c->fwd->registry->catalog;
@@ -471,7 +471,7 @@
 void
 fwd_conn_tick(struct fwd_conn *c, uint64_t now_ms)
 {
-	const struct caller_limits *limits = caller_limits_now(c);
+	const struct client_limits *limits = caller_limits_now(c);
 	uint64_t waited = now_ms - c->since_ms;
 
 	if (c->exchange != NULL || c->stream.closing)
--- a/src/poison-model.c
+++ b/src/poison-model.c
@@ -204,11 +204,11 @@
 }
 
 /**
- * poison_model_ends_max() - the most endpoints that one work ended.
+ * poison_model_crashes_max() - the most endpoints that one work ended.
  * @m: the model
  */
 unsigned
-poison_model_ends_max(const struct poison_model *m)
+poison_model_crashes_max(const struct poison_model *m)
 {
 	return (most_of(m->crashes, m->n_requests));
 }
--- a/src/poison-model.h
+++ b/src/poison-model.h
@@ -75,7 +75,7 @@
     const struct poison_scheme *, double, unsigned);
 void poison_model_free(struct poison_model *);
 void poison_model_run(struct poison_model *, uint64_t);
-unsigned poison_model_ends_max(const struct poison_model *);
+unsigned poison_model_crashes_max(const struct poison_model *);
 unsigned poison_model_late_max(const struct poison_model *);
 unsigned poison_model_refused(const struct poison_model *);
 
--- a/src/registry-catalog.h
+++ b/src/registry-catalog.h
@@ -139,13 +139,13 @@
 };
 
 /**
- * struct caller_limits - what a caller may send, and how slowly.
+ * struct client_limits - what a caller may send, and how slowly.
  * @max_header_bytes: largest head
  * @max_body_bytes: largest body
  * @header_timeout_ms: longest time for a head
  * @idle_timeout_ms: longest time between requests
  */
-struct caller_limits {
+struct client_limits {
 	int64_t max_header_bytes;
 	int64_t max_body_bytes;
 	int64_t header_timeout_ms;
@@ -173,7 +173,7 @@
 	GHashTable *keys;
 	GPtrArray *customers;
 	bool requires_key;
-	struct caller_limits limits;
+	struct client_limits limits;
 };
 
 struct catalog *catalog_create(void);
--- a/tests/test-mesh.c
+++ b/tests/test-mesh.c
@@ -108,8 +108,8 @@
 exec_poisoned(const char *rest, GString *out)
 {
 	g_string_append_printf(out, "%s late sends %u\n",
-	    poison_model_ends_max(poison) <= ENDS_ALLOWED ? "within six" :
-							    "beyond six",
+	    poison_model_crashes_max(poison) <= ENDS_ALLOWED ? "within six" :
+							       "beyond six",
 	    poison_model_late_max(poison));
 }
 
