--- a/src/bankliftd.c
+++ b/src/bankliftd.c
@@ -31,7 +31,7 @@
 	{ "config", config_run },
 	{ "hosts", host_list_run },
 	{ "prober", prober_run },
-	{ "news", gossip_run },
+	{ "gossip", gossip_run },
 	{ "control", controller_run },
 	{ "peers", peer_server_run },
 };
