--- a/src/host.h
+++ b/src/host.h
@@ -1,4 +1,4 @@
-/* One host of the platform's host list, with the evidence about it. */
+/* Host of the platform's host list, with the evidence about it. */
 #ifndef BL_HOST_H
 #define BL_HOST_H
 
@@ -16,19 +16,19 @@
 };
 
 /**
- * struct host - one host.
+ * struct host - host of the platform's host list.
  * @name: its name
  * @url: base URL of its engine or service
  * @domain: its failure domain
  * @fabric: its fabric domain
- * @pool: the pool that deployments and services choose hosts by
+ * @pool: its pool, by which deployments and services select hosts
  * @kind: model engine or plain service
- * @accelerators: how many it has
- * @listed_leaving: the host list says that it leaves
- * @gone: no longer in the host list
- * @evidence: what it lately said
- * @busy_ms: last time it was, or may have been, in a group
- * @key: stable hash of the name
+ * @accelerators: number of its accelerators
+ * @listed_leaving: the host list says that it is leaving
+ * @unlisted: no longer in the host list
+ * @evidence: what its last response says about it
+ * @last_in_group_ms: last time at which it was, or may have been, in a group
+ * @name_hash: stable hash of the name
  */
 struct host {
 	char *name;
@@ -39,10 +39,10 @@
 	enum host_kind kind;
 	int accelerators;
 	bool listed_leaving;
-	bool gone;
+	bool unlisted;
 	struct evidence evidence;
-	uint64_t busy_ms;
-	uint64_t key;
+	uint64_t last_in_group_ms;
+	uint64_t name_hash;
 	TAILQ_ENTRY(host) entry;
 };
 
--- a/src/status-server.h
+++ b/src/status-server.h
@@ -5,22 +5,22 @@
 #include <glib.h>
 #include <uv.h>
 
-/* Fills in the body for a path; returns the status. */
-typedef unsigned status_fn(void *, const char *, GString *);
+/* Appends the response body for a path; returns the HTTP status. */
+typedef unsigned status_handler(void *, const char *, GString *);
 
 /**
- * struct status_server - one listener.
- * @listener: where it listens
- * @fn: answers
- * @arg: for @fn
+ * struct status_server - HTTP server at one address.
+ * @listener: the listening socket
+ * @handler: called for each GET or HEAD request
+ * @arg: passed to @handler
  */
 struct status_server {
 	uv_tcp_t listener;
-	status_fn *fn;
+	status_handler *handler;
 	void *arg;
 };
 
 int status_server_open(struct status_server *, uv_loop_t *,
-    const struct sockaddr_in *, status_fn *, void *);
+    const struct sockaddr_in *, status_handler *, void *);
 
 #endif
