--- a/src/fwd-admission.c
+++ b/src/fwd-admission.c
@@ -11,12 +11,12 @@
 
 #include "fwd-admission.h"
 
-/* Time to retry for a service without models, where no repair has to load one:
- * about the cooldown of an endpoint after failures. */
+/* Time to retry for a plain service, where no repair has to load a model: about
+ * the cooldown of an endpoint after failures. */
 #define RETRY_PLAIN_MS 400
 /* Jitter as a part of the time to retry, so that the clients don't all return
  * at once. */
-#define RETRY_SPREAD 0.5
+#define RETRY_JITTER 0.5
 /* Clients obey a time to retry up to this part of the time that they have. */
 #define RETRY_OBEYED (1.0 / 3)
 #define MS_PER_S 1000
@@ -37,7 +37,7 @@
 	return (a->waited_ms + from_now_ms <= a->objective_ms);
 }
 
-/* Time until the first requested backoff of a matching endpoint ends. */
+/* Time until the first backoff of a matching endpoint ends. */
 static double
 backoff_ms(const struct fwd_admission *a)
 {
@@ -115,21 +115,21 @@
 int64_t
 fwd_admission_retry_ms(const struct fwd_admission *a)
 {
-	double spread = RETRY_SPREAD * a->draw / UINT32_MAX;
+	double jitter = RETRY_JITTER * a->draw / UINT32_MAX;
 	double retry = RETRY_PLAIN_MS;
 
 	if (a->criteria->model != NULL)
 		retry =
 		    a->criteria->model->warm_ms + a->criteria->engine->form_ms;
-	retry *= 1 + spread;
+	retry *= 1 + jitter;
 	/* All daemons together get permits at this rate. */
 	if (only_limited(a->choice))
-		retry = (1 + spread) *
+		retry = (1 + jitter) *
 		    fmax(MS_PER_S / a->choice->limits_per_s, RETRY_PLAIN_MS);
 	/* Before the first backoff ends the client would be refused again. */
 	if (fwd_choice_all_unavailable(a->choice) &&
 	    a->choice->next_available != NULL)
 		retry = backoff_ms(a) +
-		    spread * fmax(backoff_ms(a), RETRY_PLAIN_MS);
+		    jitter * fmax(backoff_ms(a), RETRY_PLAIN_MS);
 	return (llround(MIN(retry, MAX(a->left_ms, 0) * RETRY_OBEYED)));
 }
--- a/src/fwd-choose.c
+++ b/src/fwd-choose.c
@@ -11,7 +11,7 @@
  * traffic between failure domains is charged, and load reports from there are
  * older, since distant daemons are sent fewer. */
 #define CROSS_DOMAIN_MS 40.0
-/* The same for services without models, where the cost is the load: requests
+/* The same for plain services, where the cost is the load: requests
  * per slot. */
 #define CROSS_DOMAIN_LOAD 0.15
 /* Weight of an endpoint's error rate: an error rate of 1 counts as this much
@@ -126,7 +126,8 @@
 };
 
 /* Whether an endpoint may be chosen. As a last resort a cooldown, which this
- * daemon assumed, may be ignored; a backoff that was requested may not. */
+ * daemon assumed, may be ignored; a backoff that the endpoint asked for may
+ * not. */
 static bool
 resort_allows(const struct endpoint *ep, uint64_t now_ms,
     enum last_resort resort)
@@ -136,7 +137,7 @@
 	return (endpoint_usable(ep, now_ms));
 }
 
-/* Notes an endpoint that has requested a backoff or is draining. */
+/* Notes an endpoint that has asked for a backoff or is draining. */
 static void
 choice_note_unavailable(struct fwd_choice *choice, const struct endpoint *ep,
     uint64_t now_ms)
@@ -283,7 +284,7 @@
 }
 
 /**
- * fwd_choice_all_unavailable() - whether all matching endpoints have requested
+ * fwd_choice_all_unavailable() - whether all matching endpoints have asked for
  *	a backoff or are draining.
  * @choice: the choice
  */
--- a/src/fwd-choose.h
+++ b/src/fwd-choose.h
@@ -51,15 +51,14 @@
 /**
  * struct fwd_choice - the endpoint chosen, and the state of the others.
  * @endpoint: the endpoint; NULL if none has a free slot
- * @first_ms: expected time to the first event there; 0 for services without
- *	models
+ * @first_ms: expected time to the first event there; 0 for plain services
  * @overhead_ms: the part of @first_ms that is measured overhead
  * @load: part of the endpoint's slots that are in use
  * @running: requests running at all usable endpoints
  * @any_usable: any usable endpoint that matches, full or not, or NULL
- * @next_available: of the endpoints that requested a backoff, the one whose
+ * @next_available: of the endpoints that asked for a backoff, the one whose
  *	backoff ends first, or NULL
- * @unavailable: matching endpoints that requested a backoff or are draining
+ * @unavailable: matching endpoints that asked for a backoff or are draining
  * @known: all matching endpoints: those of the service that serve the model
  * @usable: matching endpoints that may have the request, full or not
  * @limited: matching endpoints that may have it once this daemon gets a permit
--- a/src/fwd-conn.c
+++ b/src/fwd-conn.c
@@ -150,7 +150,7 @@
 	.on_message_complete = on_complete,
 };
 
-/* Refuses input that is not a valid request, and ends the connection. */
+/* Refuses an invalid or incomplete request, and ends the connection. */
 static void
 conn_refuse_input(struct fwd_conn *c)
 {
@@ -366,7 +366,7 @@
 }
 
 /**
- * fwd_conn_refuse() - send a response of our own without a body.
+ * fwd_conn_refuse() - send a response of the proxy without a body.
  * @c: the connection
  * @status: status of the response
  * @headers: additional header lines, or NULL
--- a/src/fwd-end.c
+++ b/src/fwd-end.c
@@ -111,7 +111,7 @@
 }
 
 /**
- * fwd_exchange_fail() - respond with an error of our own.
+ * fwd_exchange_fail() - respond with an error of the proxy.
  * @ex: the exchange; nothing was passed to its client
  * @status: status of the response; it doesn't tell whether the request ran
  * @reason: reason for the log
--- a/src/fwd-exchange.c
+++ b/src/fwd-exchange.c
@@ -8,9 +8,10 @@
 
 /* A request that may run only once gets a new connection: an idle one may have
  * been closed by the peer unnoticed, and the request can't be sent again to
- * find out. Before it is sent there is this wait for the reset of a peer that
- * accepts no more; the round trip to another failure domain takes a few ms. */
-#define ONCE_HOLD_MS 5
+ * find out. The send is delayed by this time, so that the reset of a peer that
+ * accepts no more can arrive before; the round trip to another failure domain
+ * takes a few ms. */
+#define ONCE_DELAY_MS 5
 #define IDLE_MAX_MS 60000
 /* A host that has not accepted a connection within this time is down. A lost
  * packet is retransmitted after a second, which is longer than most latency
@@ -129,7 +130,7 @@
 		return;
 	}
 	if (once)
-		net_conn_delay_send(ex->upstream, ONCE_HOLD_MS);
+		net_conn_delay_send(ex->upstream, ONCE_DELAY_MS);
 	ex->runs++;
 	fwd_stats_count(&fwd->stats, COUNT_SENT);
 	log_debug("request_sent",
@@ -236,8 +237,8 @@
 	    (unsigned long long)(clock_loop_ms(ex->fwd->loop) -
 		ex->arrived_ms));
 	ex->conn = NULL;
-	/* A request that may run only once is let run; its response is read and
-	 * dropped. */
+	/* A request that may run only once is left to run; its response is read
+	 * and dropped. */
 	if (ex->route != NULL && ex->route->retry == RETRY_NEVER &&
 	    ex->upstream != NULL && ex->upstream->connected)
 		return;
@@ -256,7 +257,7 @@
 		return;
 	ex->paused = on;
 	net_conn_pause(ex->upstream, on);
-	/* Silence during a pause is not the endpoint's. */
+	/* The endpoint is not to blame for silence during a pause. */
 	ex->heard_ms = clock_loop_ms(ex->fwd->loop);
 }
 
@@ -295,8 +296,8 @@
 	fwd_exchange_retry(ex, reason);
 }
 
-/* Whether the request has a permit, should the endpoint have set a rate limit
- * since it was chosen. */
+/* Whether the endpoint's rate limit allows the request. Takes a permit if the
+ * endpoint has named the limit since it was chosen. */
 static bool
 exchange_has_permit(struct fwd_exchange *ex, uint64_t now_ms)
 {
--- a/src/fwd-expect.h
+++ b/src/fwd-expect.h
@@ -14,9 +14,8 @@
  * @duration_ms: time for which a request occupies its slot
  * @n_duration: number of requests in @duration_ms
  *
- * There is one for each model, and for each service without models, over all
- * endpoints. That one endpoint is slower than others is kept in the slowness of
- * that endpoint.
+ * There is one for each model and for each plain service, over all endpoints.
+ * That one endpoint is slower than others shows in its slowness.
  */
 struct fwd_estimate {
 	double overhead_ms;
--- a/src/fwd-feedback.c
+++ b/src/fwd-feedback.c
@@ -1,6 +1,6 @@
 /*
- * Feedback about itself that an endpoint gives in a response: that it requests
- * a backoff, is draining, or has a rate limit. Each kind is a row of
+ * Feedback about itself that an endpoint gives in a response: that it asks for
+ * a backoff, is draining or names a rate limit. Each kind is a row of
  * feedback_handlers.
  */
 #include <math.h>
@@ -36,7 +36,7 @@
 	return (clock_loop_ms(ex->fwd->loop));
 }
 
-/* The endpoint requests a backoff: nothing from this daemon for a while. */
+/* The endpoint asks for a backoff: nothing from this daemon for a while. */
 static void
 feedback_backoff(struct fwd_exchange *ex, const struct feedback *fb)
 {
@@ -92,7 +92,7 @@
 		ex->fwd->on_limit(ex->fwd->on_limit_arg, ep);
 }
 
-/* The endpoint sets a rate limit, shared by all daemons. */
+/* The endpoint names a rate limit, which all daemons share. */
 static void
 feedback_limit(struct fwd_exchange *ex, const struct feedback *fb)
 {
@@ -110,7 +110,7 @@
 	feedback_limit_changed(ex, "endpoint_names_limit", fb->text);
 }
 
-/* The response names no rate limit: one that was set before has ended. */
+/* The response names no rate limit: one that was named before has ended. */
 static void
 feedback_no_limit(struct fwd_exchange *ex)
 {
--- a/src/fwd-response.c
+++ b/src/fwd-response.c
@@ -238,7 +238,8 @@
 {
 	struct fwd_exchange *ex = owner;
 	struct endpoint *ep = ex->endpoint;
-	bool bad = status_is_success(ex->status) && !ex->has_signature;
+	bool lacks_signature =
+	    status_is_success(ex->status) && !ex->has_signature;
 
 	ex->upstream = NULL;
 	if (ex->has_signature && !ex->not_run)
@@ -259,7 +260,7 @@
 	fwd_estimate_add_duration(fwd_exchange_estimate(ex),
 	    (double)(clock_loop_ms(ex->fwd->loop) - ex->sent_ms));
 	endpoint_count_outcome(ep,
-	    bad || ex->status >= HTTP_STATUS_INTERNAL_SERVER_ERROR);
+	    lacks_signature || ex->status >= HTTP_STATUS_INTERNAL_SERVER_ERROR);
 	fwd_exchange_release(ex);
 	if (ex->streaming)
 		response_end_stream(ex);
@@ -267,8 +268,9 @@
 		fwd_exchange_finish(ex);
 	else if (ex->first_us > 0)
 		fwd_exchange_retry(ex, "not_resumed");
-	else if (bad || response_is_retryable(ex))
-		fwd_exchange_retry(ex, bad ? "no_proof" : "endpoint_error");
+	else if (lacks_signature || response_is_retryable(ex))
+		fwd_exchange_retry(ex,
+		    lacks_signature ? "no_proof" : "endpoint_error");
 	else
 		fwd_exchange_deliver(ex);
 }
--- a/src/fwd.c
+++ b/src/fwd.c
@@ -136,7 +136,7 @@
 /**
  * fwd_estimate_get() - find or create the estimates of a model or service.
  * @fwd: the proxy
- * @name: name of the model, or of a service without models
+ * @name: name of the model or of the plain service
  */
 struct fwd_estimate *
 fwd_estimate_get(struct fwd *fwd, const char *name)
--- a/src/fwd.h
+++ b/src/fwd.h
@@ -57,8 +57,7 @@
  *	first
  * @n_exchanges: length of @exchanges
  * @budgets: service name to struct fwd_budget
- * @estimates: name of a model, or of a service without models, to struct
- *	fwd_estimate
+ * @estimates: name of a model or of a plain service to struct fwd_estimate
  * @daemons: number of daemons that share the retry budget
  * @draining: the daemon is shutting down; connections are closed after their
  *	response
@@ -68,7 +67,7 @@
  *	judged before this loop time
  * @on_silent: called when all streams of an endpoint have fallen silent
  * @on_silent_arg: argument of @on_silent
- * @on_limit: called when an endpoint sets, changes or lifts a rate limit
+ * @on_limit: called when an endpoint names, changes or lifts a rate limit
  * @on_limit_arg: argument of @on_limit
  * @stats: counters and histograms
  */
--- a/src/registry-backoff.c
+++ b/src/registry-backoff.c
@@ -9,13 +9,13 @@
 
 #include "registry-backoff.h"
 
-/* Used if an endpoint asks for backoff and the duration can't be read: a third
- * of what endpoints were seen to ask for, so that such an endpoint is not lost
- * for long. */
+/* Used if an endpoint asks for a backoff and the duration can't be read: a
+ * third of what endpoints were seen to ask for, so that such an endpoint is not
+ * lost for long. */
 #define BACKOFF_UNREADABLE_MS 1000
 
-/* Requests sent to an endpoint after its backoff before one was answered. All
- * daemons that it asked return, each with this many. */
+/* Bound on unanswered requests to an endpoint right after its backoff: all
+ * daemons that it asked for one return, each with this many. */
 #define PROBES_MIN 1
 /* With more unanswered requests than this the endpoint counts as recovered: one
  * daemon's share of its slots is smaller. */
--- a/src/registry-backoff.h
+++ b/src/registry-backoff.h
@@ -7,11 +7,11 @@
 
 /**
  * struct endpoint_backoff - backoff from one incarnation of an endpoint.
- * @until_ms: loop time at which the backoff ends; 0 if none was asked for
+ * @until_ms: loop time at which the backoff ends; 0 if it asked for none
  * @end_unlogged: the end of this backoff is yet to be logged
  * @max_probes: most unanswered requests after the backoff; 0 for no bound
- * @probes: outstanding requests that count towards @max_probes
- * @refusals: consecutive requests that it refused without asking for backoff
+ * @probes: unanswered requests that count towards @max_probes
+ * @refusals: consecutive requests that it refused without asking for a backoff
  */
 struct endpoint_backoff {
 	uint64_t until_ms;
--- a/src/registry-catalog.h
+++ b/src/registry-catalog.h
@@ -46,7 +46,8 @@
  * @context_per_k_ms: added to a step for each 1,000 tokens of context
  * @prefill_per_ms: prompt tokens prefilled in a millisecond
  * @pairs_per_m_ms: attention time of a million pairs of tokens in prefill
- * @chunk: most prompt tokens of a pass; first events did not show it
+ * @chunk: most prompt tokens of a pass; times of first events did not
+ *	depend on it
  * @stride: steps in a pass that has decoding requests
  * @loads_per_s: most model loads that may start in a second
  * @loads_at_once: concurrent loads beyond which each slows down
@@ -80,7 +81,8 @@
  * @name: the service's name
  * @health_path: path of the health check
  * @max_connections: most connections that an endpoint takes from all clients
- * @engine: profile of the engines; NULL if the service runs no models
+ * @engine: profile of the engines; NULL for a plain service, which runs no
+ *	models
  */
 struct catalog_service {
 	char *name;
@@ -111,7 +113,7 @@
  * @objective_ms: latency objective
  * @gap_ms: longest gap between events of a stream that meets the objective
  * @priority: priority of requests; 0 is the highest
- * @max_attempts: most endpoints that one request may be sent to
+ * @max_attempts: most sends of one request that it may have run after
  * @splits: services that share the traffic, of struct catalog_split
  */
 struct catalog_route {
--- a/src/registry-fleet.c
+++ b/src/registry-fleet.c
@@ -10,7 +10,7 @@
  * replaced it. */
 #define UNREADABLE_MAX_MS 3600
 
-/* A leaving or rate-limited endpoint is remembered for this long after its
+/* A draining or rate-limited endpoint is remembered for this long after its
  * entry lapsed. It has ended by then, and with 500 of them a day only a few are
  * kept at a time. */
 #define LAPSED_KEPT_MS 120000
--- a/src/registry-fleet.h
+++ b/src/registry-fleet.h
@@ -34,7 +34,7 @@
  * @domain: its failure domain
  * @fabric: its fabric domain
  * @slots: concurrent requests that it takes
- * @draining: it is leaving
+ * @draining: it is draining: it completes what it has and accepts nothing new
  * @staged: names of the models that its host has a local copy of
  * @model: name of the model that it serves, or NULL
  * @group: name of its group, or NULL
@@ -86,8 +86,8 @@
  * @lapsed_ms: when its entry was found removed; 0 while there is one
  * @may_return: its entry lapsed during a store outage and may be written again
  * @gone: no more requests are sent to it
- * @draining: it once reported that it leaves, in its entry, to a query or in
- *	a response
+ * @draining: it has reported that it is draining, in its entry, to a query or
+ *	in a response
  * @unreadable_ms: since when its entry can't be read; 0 while it can
  * @refs: exchanges that reference it
  * @pool: connections to it
@@ -107,10 +107,11 @@
  * @limit: rate limit that it names for all daemons together
  * @cooldown_until_ms: not to be chosen before then, as this daemon or another
  *	suspects that it does not serve
- * @unfit_until_ms: not to be placed before then, as it did not answer
+ * @unfit_until_ms: not to be put into a group before then, as it did not answer
  * @excluded_epoch: it serves in no group up to this epoch, and can't come back
  *	into one, whatever its entry still says
- * @warned_ms: when this daemon found it silent or closed it; peers are warned
+ * @warned_ms: when this daemon found it silent or, as the placer, began to
+ *	dissolve its group; peers are warned
  * @avoided_ms: when a peer last warned of it
  * @heard_ms: loop time of the last byte from it in any exchange
  * @peer_heard_ms: the same of other daemons' exchanges
--- a/src/registry-follower.c
+++ b/src/registry-follower.c
@@ -75,7 +75,7 @@
 
 /* Counts a failure, logs the first of a row and schedules a retry. */
 static void
-follower_failed(struct topic_follower *f, const struct store_response *answer)
+follower_failed(struct topic_follower *f, const struct store_response *response)
 {
 	unsigned pause = RETRY_MIN_MS;
 
@@ -83,7 +83,7 @@
 		event_log(LOG_WARNING, "store_lost",
 		    "topic=%s result=%s status=%u age_ms=%llu",
 		    store_topic_name(f->topic),
-		    store_result_name(answer->result), answer->status,
+		    store_result_name(response->result), response->status,
 		    (unsigned long long)topic_follower_age(f,
 			clock_loop_ms(f->loop)));
 	for (unsigned i = 0; i < f->failures && pause < RETRY_MAX_MS; i++)
@@ -102,7 +102,7 @@
 /* Notes that the local copy is current as of the time of the call. */
 static void
 follower_succeeded(struct topic_follower *f,
-    const struct store_response *answer)
+    const struct store_response *response)
 {
 	if (f->failures > 0) {
 		f->regained_ms = clock_loop_ms(f->loop);
@@ -113,7 +113,7 @@
 			clock_loop_ms(f->loop)));
 	}
 	f->failures = 0;
-	f->proof_ms = MAX(f->proof_ms, answer->sent_ms);
+	f->proof_ms = MAX(f->proof_ms, response->sent_ms);
 }
 
 /* Passes records to the owner, and collects the keys of a snapshot. */
@@ -159,7 +159,7 @@
 }
 
 static void
-on_snapshot_page(void *arg, const struct store_response *answer)
+on_snapshot_page(void *arg, const struct store_response *response)
 {
 	struct topic_follower *f = arg;
 	const struct store_record *last;
@@ -167,49 +167,49 @@
 	f->busy = false;
 	if (f->stopped)
 		return;
-	if (answer->result != STORE_OK) {
+	if (response->result != STORE_OK) {
 		follower_restart(f);
-		follower_failed(f, answer);
+		follower_failed(f, response);
 		return;
 	}
 	if (f->after == NULL)
-		f->snapshot_end = answer->end;
-	follower_pass_records(f, answer->records);
-	if (answer->more && answer->records->len > 0) {
-		last = &g_array_index(answer->records, struct store_record,
-		    answer->records->len - 1);
+		f->snapshot_end = response->end;
+	follower_pass_records(f, response->records);
+	if (response->more && response->records->len > 0) {
+		last = &g_array_index(response->records, struct store_record,
+		    response->records->len - 1);
 		g_free(f->after);
 		f->after = g_strdup(last->key);
 		follower_read(f);
 		return;
 	}
 	follower_finish_snapshot(f);
-	follower_succeeded(f, answer);
+	follower_succeeded(f, response);
 	follower_schedule_next(f);
 }
 
 static void
-on_records(void *arg, const struct store_response *answer)
+on_records(void *arg, const struct store_response *response)
 {
 	struct topic_follower *f = arg;
 
 	f->busy = false;
 	if (f->stopped)
 		return;
-	if (answer->result == STORE_TRIMMED) {
+	if (response->result == STORE_TRIMMED) {
 		event_log(LOG_NOTICE, "store_trimmed", "topic=%s from=%llu",
 		    store_topic_name(f->topic), (unsigned long long)f->next);
 		follower_restart(f);
 		follower_read(f);
 		return;
 	}
-	if (answer->result != STORE_OK) {
-		follower_failed(f, answer);
+	if (response->result != STORE_OK) {
+		follower_failed(f, response);
 		return;
 	}
-	follower_pass_records(f, answer->records);
-	f->next = MAX(f->next, answer->end);
-	follower_succeeded(f, answer);
+	follower_pass_records(f, response->records);
+	f->next = MAX(f->next, response->end);
+	follower_succeeded(f, response);
 	/* Updates from peers may have moved f->next during the read, so the
 	 * range begins where the read did. */
 	if (f->ops->advanced != NULL)
--- a/src/registry-follower.h
+++ b/src/registry-follower.h
@@ -52,9 +52,9 @@
  * @snapshot_end: end offset of the topic as of the snapshot's first page
  * @proof_ms: loop time as of which the local copy is known to be current; 0
  *	for never
- * @failures: consecutive calls without a good answer
- * @regained_ms: loop time of the first good answer after failures; 0 if there
- *	were none
+ * @failures: consecutive failed calls
+ * @regained_ms: loop time of the first successful call after failures; 0 if
+ *	there were none
  * @held: no calls yet, as a peer may provide a snapshot
  * @stopped: no more calls
  */
--- a/src/registry-limit.h
+++ b/src/registry-limit.h
@@ -16,9 +16,10 @@
  * @since_ms: loop time as of which it names a limit
  * @as_of_ms: loop time as of which the limit, or that there is none, is known;
  *	0 for never
- * @heard_ms: when it last told this daemon itself of a limit or of its end; 0
- *	for never
- * @changed_ms: when what is known here last changed
+ * @heard_ms: loop time of the newest response to this daemon that named a limit
+ *	or ended one; 0 for never
+ * @changed_ms: loop time at which the limit or the cell's part of it last
+ *	changed
  * @cell_users: daemons of this daemon's cell that may use the endpoint
  * @cell_each_per_s: requests a second that each of these may send
  * @share_per_s: requests a second that this daemon may send
--- a/src/registry-poison.c
+++ b/src/registry-poison.c
@@ -29,7 +29,7 @@
  */
 #define POISON_BURST_MS 5000
 /* Length of the quarantine, doubled with each further crash despite it. */
-#define POISON_PERIOD_MS 600000
+#define POISON_QUARANTINE_MS 600000
 #define POISON_DOUBLINGS_MAX 5
 /* A request that was completed this lately does not crash endpoints: it ran
  * there when they ended for another reason. */
@@ -39,9 +39,9 @@
  */
 #define POISON_CLEARED_TTL_MS 600000
 #define POISON_CLEARED_RESEND_MS 1000
-/* A sign of life must be this much newer than a crash to refute it, since it
- * may be older than it looks: bytes received here, those reported by a peer,
- * and an entry that was read late. */
+/* Evidence that an endpoint is alive must be this much newer than a crash to
+ * refute it, since it may be older than it looks: bytes received here, those
+ * reported by a peer, and an entry that was read late. */
 #define HEARD_LAG_MS 100
 #define PEER_HEARD_LAG_MS 300
 #define HEARTBEAT_LAG_MS 2500
@@ -415,13 +415,13 @@
 	return (false);
 }
 
-/* Time from the newest crash to the probe, by crashes despite quarantine. */
+/* Time from the newest crash to the probe. */
 static uint64_t
-probe_delay_ms(unsigned later)
+probe_delay_ms(unsigned doublings)
 {
-	if (later == 0)
+	if (doublings == 0)
 		return (POISON_PROBE_MS);
-	return ((uint64_t)POISON_PERIOD_MS << (later - 1));
+	return ((uint64_t)POISON_QUARANTINE_MS << (doublings - 1));
 }
 
 static int
@@ -432,19 +432,19 @@
 	return (x < y ? -1 : x > y);
 }
 
-/* Counts the crashes that happened despite quarantine. */
+/* How often the quarantine doubles: once for each crash despite it. */
 static unsigned
-count_later(const uint64_t *at_ms, unsigned n)
+count_doublings(const uint64_t *at_ms, unsigned n)
 {
 	uint64_t sorted[POISON_CRASHES_MAX];
-	unsigned later = 0;
+	unsigned doublings = 0;
 
 	memcpy(sorted, at_ms, n * sizeof sorted[0]);
 	qsort(sorted, n, sizeof sorted[0], compare_times);
 	for (unsigned i = POISON_QUARANTINE_CRASHES; i < n; i++)
-		later += sorted[i] >
+		doublings += sorted[i] >
 		    sorted[POISON_QUARANTINE_CRASHES - 1] + POISON_BURST_MS;
-	return (MIN(later, POISON_DOUBLINGS_MAX));
+	return (MIN(doublings, POISON_DOUBLINGS_MAX));
 }
 
 /**
@@ -462,7 +462,7 @@
 {
 	const struct poison_crash *newest = NULL;
 	uint64_t at_ms[POISON_CRASHES_MAX], until;
-	unsigned later;
+	unsigned doublings;
 
 	memset(verdict, 0, sizeof *verdict);
 	for (unsigned i = 0; i < request->n_crashes; i++) {
@@ -485,13 +485,13 @@
 	}
 	if (verdict->settled < POISON_QUARANTINE_CRASHES)
 		return;
-	later = count_later(at_ms, verdict->crashes);
-	until = newest->at_ms + ((uint64_t)POISON_PERIOD_MS << later);
+	doublings = count_doublings(at_ms, verdict->crashes);
+	until = newest->at_ms + ((uint64_t)POISON_QUARANTINE_MS << doublings);
 	if (now_ms >= until)
 		return;
 	verdict->until_ms = until;
 	if (newest->origin == POISON_LOCAL)
-		verdict->probe_ms = newest->at_ms + probe_delay_ms(later);
+		verdict->probe_ms = newest->at_ms + probe_delay_ms(doublings);
 }
 
 /**
--- a/src/registry-poison.h
+++ b/src/registry-poison.h
@@ -20,10 +20,10 @@
 /* Crashes are remembered for a day. */
 #define POISON_CRASH_TTL_MS 86400000
 /* Requests that are remembered; the one with the fewest crashes is dropped
- * first. Twenty poison requests at once make 500 bystanders a second suspect,
- * and the next crash by each of the twenty is seconds away. */
+ * first. Twenty poison requests at once put 500 other requests per second under
+ * suspicion, and the next crash by each of the twenty is seconds away. */
 #define POISON_REQUESTS_MAX 2048
-/* Slots for requests that were completed lately. */
+/* Size of the table of requests that were completed lately. */
 #define POISON_SUCCESSES_MAX 1024
 
 /**
--- a/src/registry.c
+++ b/src/registry.c
@@ -95,7 +95,7 @@
 
 /* Whether the records being read piled up during a store outage. */
 static bool
-reads_backlog(const struct registry *registry)
+catching_up(const struct registry *registry)
 {
 	const struct topic_follower *f = &registry->endpoints;
 	uint64_t now = clock_loop_ms(registry->loop);
@@ -184,7 +184,7 @@
 
 	if (record->value == NULL) {
 		fleet_lapse(&registry->fleet, record->key, now,
-		    reads_backlog(registry));
+		    catching_up(registry));
 		relay_add(registry, record);
 		return;
 	}
@@ -220,7 +220,7 @@
 		    g_hash_table_contains(keys, ep->report.id))
 			continue;
 		fleet_lapse(&registry->fleet, ep->report.id,
-		    clock_loop_ms(registry->loop), reads_backlog(registry));
+		    clock_loop_ms(registry->loop), catching_up(registry));
 		relay_add(registry, &record);
 	}
 }
@@ -382,18 +382,20 @@
  * @from: start offset of the peer's read
  * @end: end offset of the peer's read
  * @records: the entries that changed, of struct store_record
- * @returned_ms: time since the store answered the peer again after an outage
+ * @since_regained_ms: time since the store answered the peer again after an
+ *	outage
  * @now: loop time
  *
  * Return: false if entries before @from are missing here.
  */
 bool
 registry_apply_endpoints(struct registry *registry, uint64_t from, uint64_t end,
-    const GArray *records, uint64_t returned_ms, uint64_t now)
+    const GArray *records, uint64_t since_regained_ms, uint64_t now)
 {
-	if (returned_ms < REGISTRY_RECOVERY_MS && returned_ms < now)
+	if (since_regained_ms < REGISTRY_RECOVERY_MS && since_regained_ms < now)
 		registry->endpoints.regained_ms =
-		    MAX(registry->endpoints.regained_ms, now - returned_ms);
+		    MAX(registry->endpoints.regained_ms,
+			now - since_regained_ms);
 	if (!topic_follower_apply(&registry->endpoints, from, end, records))
 		return (false);
 	topic_follower_set_updated(&registry->endpoints, now);
@@ -424,7 +426,7 @@
 registry_sweep(struct registry *registry, uint64_t now_ms)
 {
 	const struct topic_follower *f = &registry->endpoints;
-	bool returned = f->regained_ms != 0 &&
+	bool recovering = f->regained_ms != 0 &&
 	    now_ms - f->regained_ms < REGISTRY_RECOVERY_MS;
 
 	poison_sweep(&registry->poison, &registry->fleet, now_ms);
@@ -433,7 +435,7 @@
 	    now_ms - f->peer_update_ms >= REGISTRY_PEER_UPDATE_MS)
 		return;
 	/* Just after it, entries that lapsed meanwhile may be written again. */
-	fleet_sweep(&registry->fleet, now_ms, !returned);
+	fleet_sweep(&registry->fleet, now_ms, !recovering);
 }
 
 /**
--- a/src/registry.h
+++ b/src/registry.h
@@ -13,7 +13,7 @@
 /* Entries that lapsed during a store outage are written again within about 2 s
  * of its end. */
 #define REGISTRY_RECOVERY_MS 2300
-/* Lapses read this soon after an outage date from the outage; later ones are
+/* Lapses read this soon after a store outage date from it; later ones are
  * current. */
 #define REGISTRY_CATCH_UP_MS 250
 /* An update from peers counts as an answer of the store for this long. */
