--- a/tests/test-adapter.c
+++ b/tests/test-adapter.c
@@ -74,7 +74,7 @@
 	    catalog_find_service(catalog, rest)->engine;
 
 	g_string_append_printf(out,
-	    "slots %u step %.2f read %.1f/ms chunk %.0f loads %.0f/s at once "
+	    "slots %u step %.2f prefill %.1f/ms chunk %.0f loads %.0f/s at once "
 	    "%u staged %u\n",
 	    e->slots, e->step_ms, e->prefill_per_ms, e->chunk, e->loads_per_s,
 	    e->loads_at_once, e->staged_limit);
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -157,7 +157,7 @@
 	ep->slowness = (double)script_number(rest, "slow", 100) / 100;
 }
 
-/* backoff ID asked=MS at=MS [most=MS]: an endpoint asks for backoff */
+/* backoff ID asked=MS at=MS [most=MS]: an endpoint asks for a backoff */
 static void
 exec_backoff(const char *rest, GString *out)
 {
@@ -204,7 +204,7 @@
 
 	if (endpoint_limit_superseded(limit, script_number(rest, "sent", 0)))
 		endpoint_limit_clear(limit, script_number(rest, "at", 0));
-	g_string_append(out, limit->active ? "holds\n" : "none\n");
+	g_string_append(out, limit->active ? "active\n" : "none\n");
 }
 
 /* merge ID names=PER_S since=MS at=MS: a peer reports a limit, or none */
@@ -289,16 +289,16 @@
 	    script_number(rest, "accepted", 0) != 0);
 }
 
-/* leave ID: an endpoint reports in a response that it leaves */
+/* drain ID: an endpoint reports in a response that it is draining */
 static void
-exec_leave(const char *rest, GString *out)
+exec_drain(const char *rest, GString *out)
 {
 	g_autofree char *id = g_strndup(rest, strcspn(rest, " "));
 
 	fleet_find(&fleet, id)->draining = true;
 }
 
-/* The cost of a prompt for the engine. */
+/* The workload that a command's prompt is for the engine. */
 static struct fwd_workload
 workload_of(const char *rest)
 {
@@ -361,7 +361,7 @@
 	ep->pending -= (double)script_number(rest, "prompt", 0);
 }
 
-/* learn MS...: first events come this much later than the profile says */
+/* learn MS...: first events come this much later than the profile's estimate */
 static void
 exec_learn(const char *rest, GString *out)
 {
@@ -380,7 +380,7 @@
 	const struct endpoint *ep = fleet_find(&fleet, id);
 	struct fwd_workload workload = workload_of(rest);
 
-	g_string_append_printf(out, "left %.0f first %.0f\n",
+	g_string_append_printf(out, "backlog %.0f first %.0f\n",
 	    fwd_expect_backlog(ep, &workload), fwd_expect_first(ep, &workload));
 }
 
@@ -396,7 +396,8 @@
 /* Number of random draws of a choice, to see which endpoints can be chosen. */
 #define DRAWS 400
 
-/* What a request needs; the array of tried endpoints stays the caller's. */
+/* The criteria of a request; they refer to the caller's array of tried
+ * endpoints. */
 static struct fwd_criteria
 criteria_of(const char *rest, const struct fwd_tried *tried, unsigned n_tried,
     uint32_t i)
@@ -469,11 +470,11 @@
 	g_string_append_printf(out, "%u of %u\n", n, DRAWS);
 }
 
-static const char *const verdicts[] = { "send", "wait", "refuse" };
+static const char *const verdicts[] = { "send", "queue", "refuse" };
 
 /*
- * admit objective=MS [at=MS] [waited=MS] [left=MS] [sends=N] [returned=1]
- * [begun=1] [whole=MS] [ahead=N] [plain=1]: decision on a request of 1,000
+ * admit objective=MS [at=MS] [waited=MS] [left=MS] [sends=N] [resubmitted=1]
+ * [started=1] [duration=MS] [ahead=N] [plain=1]: decision on a request of 1,000
  * tokens
  */
 static void
@@ -499,10 +500,10 @@
 	a.objective_ms = (double)script_number(rest, "objective", 300);
 	a.waited_ms = (double)script_number(rest, "waited", 0);
 	a.left_ms = (double)script_number(rest, "left", 6000);
-	a.resubmitted = script_number(rest, "returned", 0) != 0;
+	a.resubmitted = script_number(rest, "resubmitted", 0) != 0;
 	a.sends = (unsigned)script_number(rest, "sends", 0);
-	a.started = script_number(rest, "begun", 0) != 0;
-	a.duration_ms = (double)script_number(rest, "whole", 800);
+	a.started = script_number(rest, "started", 0) != 0;
+	a.duration_ms = (double)script_number(rest, "duration", 800);
 	a.ahead = (double)script_number(rest, "ahead", 0);
 	a.draw = UINT32_MAX / 2;
 	at = choice.endpoint != NULL ? choice.endpoint : choice.any_usable;
@@ -537,7 +538,7 @@
 	{ "expect", exec_expect },
 	{ "load", exec_load },
 	{ "backoff", exec_backoff },
-	{ "leave", exec_leave },
+	{ "drain", exec_drain },
 	{ "probe", exec_probe },
 	{ "limit", exec_limit },
 	{ "unlimited", exec_unlimited },
--- a/tests/test-follow.c
+++ b/tests/test-follow.c
@@ -7,19 +7,19 @@
 #include "script.h"
 
 static uv_loop_t loop;
-static struct topic_follower follow;
+static struct topic_follower follower;
 static struct store store;
 static GString *printed;
-static store_fn *waiting;
-static void *waiting_arg;
+static store_fn *pending_fn;
+static void *pending_arg;
 
 static bool
 fake_newest(struct store *s, enum store_topic topic, const char *after,
     store_fn *fn, void *arg)
 {
-	waiting = fn;
-	waiting_arg = arg;
-	g_string_append(printed, "asks for all\n");
+	pending_fn = fn;
+	pending_arg = arg;
+	g_string_append(printed, "reads all\n");
 	return (true);
 }
 
@@ -27,9 +27,9 @@
 fake_read(struct store *s, enum store_topic topic, uint64_t from, store_fn *fn,
     void *arg)
 {
-	waiting = fn;
-	waiting_arg = arg;
-	g_string_append_printf(printed, "asks from %u\n", (unsigned)from);
+	pending_fn = fn;
+	pending_arg = arg;
+	g_string_append_printf(printed, "reads from %u\n", (unsigned)from);
 	return (true);
 }
 
@@ -66,29 +66,29 @@
 
 /* Closes the follower's timer, so that the next script gets a new one. */
 static void
-close_follow(void)
+close_follower(void)
 {
-	if (follow.store == NULL)
+	if (follower.store == NULL)
 		return;
-	topic_follower_stop(&follow);
-	uv_close((uv_handle_t *)&follow.timer, NULL);
+	topic_follower_stop(&follower);
+	uv_close((uv_handle_t *)&follower.timer, NULL);
 	uv_run(&loop, UV_RUN_DEFAULT);
-	g_clear_pointer(&follow.snapshot_keys, g_hash_table_destroy);
-	g_clear_pointer(&follow.after, g_free);
+	g_clear_pointer(&follower.snapshot_keys, g_hash_table_destroy);
+	g_clear_pointer(&follower.after, g_free);
 }
 
 static void
 reset(void)
 {
-	close_follow();
+	close_follower();
 	store.ops = &fake_ops;
 	g_string_truncate(printed, 0);
-	waiting = NULL;
-	topic_follower_init(&follow, &store, &loop, TOPIC_ENDPOINTS,
+	pending_fn = NULL;
+	topic_follower_init(&follower, &store, &loop, TOPIC_ENDPOINTS,
 	    &follow_ops, NULL);
-	follow.interval_ms = 1000;
-	follow.fallback_ms = 1500;
-	follow.partial = true;
+	follower.interval_ms = 1000;
+	follower.fallback_ms = 1500;
+	follower.partial = true;
 }
 
 static void
@@ -101,7 +101,7 @@
 static void
 exec_start(const char *rest, GString *out)
 {
-	topic_follower_start(&follow);
+	topic_follower_start(&follower);
 	flush(out);
 }
 
@@ -109,15 +109,15 @@
 static void
 exec_hold(const char *rest, GString *out)
 {
-	topic_follower_hold(&follow);
-	topic_follower_start(&follow);
+	topic_follower_hold(&follower);
+	topic_follower_start(&follower);
 	flush(out);
 }
 
 static void
 exec_release(const char *rest, GString *out)
 {
-	topic_follower_release(&follow);
+	topic_follower_release(&follower);
 	flush(out);
 }
 
@@ -125,7 +125,7 @@
 static void
 exec_adopt(const char *rest, GString *out)
 {
-	topic_follower_adopt(&follow, g_ascii_strtoull(rest, NULL, 10),
+	topic_follower_adopt(&follower, g_ascii_strtoull(rest, NULL, 10),
 	    uv_now(&loop));
 	flush(out);
 }
@@ -135,8 +135,8 @@
 exec_reader(const char *rest, GString *out)
 {
 	/* The least time between two reads has passed. */
-	follow.called_ms = 0;
-	topic_follower_set_reader(&follow, script_number(rest, "on", 1) != 0);
+	follower.called_ms = 0;
+	topic_follower_set_reader(&follower, script_number(rest, "on", 1) != 0);
 	flush(out);
 }
 
@@ -144,8 +144,8 @@
 static void
 exec_poll(const char *rest, GString *out)
 {
-	follow.called_ms = 0;
-	topic_follower_poll(&follow);
+	follower.called_ms = 0;
+	topic_follower_poll(&follower);
 	flush(out);
 }
 
@@ -178,22 +178,22 @@
 exec_answer(const char *rest, GString *out)
 {
 	g_autofree char *list = script_word(rest, "records");
-	struct store_response answer = { .records = records_of(list) };
-	store_fn *fn = waiting;
+	struct store_response response = { .records = records_of(list) };
+	store_fn *fn = pending_fn;
 
-	answer.end = script_number(rest, "end", 0);
-	answer.sent_ms = 1;
-	answer.more = script_number(rest, "more", 0) != 0;
+	response.end = script_number(rest, "end", 0);
+	response.sent_ms = 1;
+	response.more = script_number(rest, "more", 0) != 0;
 	if (script_number(rest, "refused", 0) != 0)
-		answer.result = STORE_REFUSED;
+		response.result = STORE_REFUSED;
 	if (script_number(rest, "trimmed", 0) != 0)
-		answer.result = STORE_TRIMMED;
-	waiting = NULL;
+		response.result = STORE_TRIMMED;
+	pending_fn = NULL;
 	if (fn != NULL)
-		fn(waiting_arg, &answer);
+		fn(pending_arg, &response);
 	else
-		g_string_append(printed, "nobody asked\n");
-	g_array_free(answer.records, TRUE);
+		g_string_append(printed, "no call pending\n");
+	g_array_free(response.records, TRUE);
 	flush(out);
 }
 
@@ -204,7 +204,7 @@
 	g_autofree char *list = script_word(rest, "records");
 	g_autoptr(GArray) records = records_of(list);
 
-	if (!topic_follower_apply(&follow, script_number(rest, "from", 0),
+	if (!topic_follower_apply(&follower, script_number(rest, "from", 0),
 		script_number(rest, "end", 0), records))
 		g_string_append(printed, "missing\n");
 	flush(out);
@@ -214,7 +214,7 @@
 static void
 exec_updated(const char *rest, GString *out)
 {
-	follow.peer_update_ms =
+	follower.peer_update_ms =
 	    uv_now(&loop) - g_ascii_strtoull(rest, NULL, 10);
 }
 
@@ -222,14 +222,14 @@
 static void
 exec_relays(const char *rest, GString *out)
 {
-	g_string_append(out, follow.relays ? "yes\n" : "no\n");
+	g_string_append(out, follower.relays ? "yes\n" : "no\n");
 }
 
 static void
 exec_complete(const char *rest, GString *out)
 {
 	g_string_append(out,
-	    topic_follower_complete(&follow) ? "yes\n" : "no\n");
+	    topic_follower_complete(&follower) ? "yes\n" : "no\n");
 }
 
 static const struct script_command commands[] = {
@@ -258,7 +258,7 @@
 	loop.time = 60000;
 	printed = g_string_new(NULL);
 	rc = script_main("follow", commands, reset);
-	close_follow();
+	close_follower();
 	g_string_free(printed, TRUE);
 	uv_loop_close(&loop);
 	return (rc);
