--- a/src/registry.c
+++ b/src/registry.c
@@ -382,7 +382,7 @@
  * @from: start offset of the peer's read
  * @end: end offset of the peer's read
  * @records: the entries that changed, of struct store_record
- * @since_regained_ms: time since the store answered the peer again after an
+ * @regained_age_ms: time since the store answered the peer again after an
  *	outage
  * @now: loop time
  *
@@ -390,12 +390,11 @@
  */
 bool
 registry_apply_endpoints(struct registry *registry, uint64_t from, uint64_t end,
-    const GArray *records, uint64_t since_regained_ms, uint64_t now)
+    const GArray *records, uint64_t regained_age_ms, uint64_t now)
 {
-	if (since_regained_ms < REGISTRY_RECOVERY_MS && since_regained_ms < now)
+	if (regained_age_ms < REGISTRY_RECOVERY_MS && regained_age_ms < now)
 		registry->endpoints.regained_ms =
-		    MAX(registry->endpoints.regained_ms,
-			now - since_regained_ms);
+		    MAX(registry->endpoints.regained_ms, now - regained_age_ms);
 	if (!topic_follower_apply(&registry->endpoints, from, end, records))
 		return (false);
 	topic_follower_set_updated(&registry->endpoints, now);
