--- a/tests/test-planner.c
+++ b/tests/test-planner.c
@@ -13,7 +13,7 @@
 static unsigned n_hosts;
 static struct replica *replicas[HOSTS_MAX];
 static unsigned n_replicas;
-static guint64 loads, serving, hosts_stable;
+static guint64 loads, served, hosts_stable;
 static struct planner_demand demand;
 
 static void
@@ -32,7 +32,7 @@
 	n_hosts = 0;
 	n_replicas = 0;
 	loads = 100;
-	serving = 0;
+	served = 0;
 	hosts_stable = 1;
 	memset(&demand, 0, sizeof demand);
 	g_clear_pointer(&catalog, catalog_unref);
@@ -101,7 +101,7 @@
 	view->largest_max = demand.largest_max;
 	planner_view_set_targets(view);
 	view->loads_free = (unsigned)loads;
-	view->serving = serving != 0;
+	view->served = served != 0;
 	view->hosts_stable = hosts_stable != 0;
 }
 
@@ -181,12 +181,12 @@
 	hosts[g_ascii_strtoull(rest, NULL, 10)].free = false;
 }
 
-/* set [loads=N] [serving=0|1] [stable=0|1]: properties of the view */
+/* set [loads=N] [served=0|1] [stable=0|1]: properties of the view */
 static void
 exec_set(const char *rest, GString *out)
 {
 	loads = script_number(rest, "loads", loads);
-	serving = script_number(rest, "serving", serving);
+	served = script_number(rest, "served", served);
 	hosts_stable = script_number(rest, "stable", hosts_stable);
 }
 
