--- a/src/evidence.c
+++ b/src/evidence.c
@@ -1,4 +1,4 @@
-/* Evidence: the newest probe answer of a host, and when it was asked for. */
+/* Evidence: the newest probe answer of a host, and when the probe was sent. */
 #include <string.h>
 #include <xxhash.h>
 
@@ -34,12 +34,12 @@
  * evidence_parse() - parse a host's answer to a probe.
  * @ev: filled in
  * @json: the answer
- * @asked_ms: monotonic time just before the probe was sent
+ * @sent_ms: monotonic time just before the probe was sent
  *
  * Return: false, with @ev untouched, when the answer is malformed.
  */
 bool
-evidence_parse(struct evidence *ev, json_t *json, uint64_t asked_ms)
+evidence_parse(struct evidence *ev, json_t *json, uint64_t sent_ms)
 {
 	const char *state, *model = "";
 	json_int_t epoch = 0, load = 0;
@@ -49,7 +49,7 @@
 		"epoch", &epoch, "model", &model, "shard", &shard, "shards",
 		&shards, "load", &load) != 0)
 		return (false);
-	ev->as_of_ms = asked_ms;
+	ev->as_of_ms = sent_ms;
 	ev->state = state_parse(state);
 	ev->epoch = (uint64_t)epoch;
 	ev->model_hash = evidence_model_hash(model);
--- a/src/evidence.h
+++ b/src/evidence.h
@@ -1,4 +1,4 @@
-/* Evidence: the newest probe answer of a host, and when it was asked for. */
+/* Evidence: the newest probe answer of a host, and when the probe was sent. */
 #ifndef BL_EVIDENCE_H
 #define BL_EVIDENCE_H
 
--- a/src/order-ops.h
+++ b/src/order-ops.h
@@ -84,7 +84,8 @@
     struct endpoint_report *);
 
 /**
- * struct order_ops - an adapter's calls to endpoints; false if not begun.
+ * struct order_ops - an adapter's calls to endpoints; each returns false if not
+ * begun.
  * @send: send an order to the endpoint with an id, over a pool
  * @query: query it for its report
  */
--- a/src/place-live.c
+++ b/src/place-live.c
@@ -4,8 +4,8 @@
 #include "group.h"
 #include "place-live.h"
 
-/* A host that leaves does not come back: it counts as lost for this long. */
-#define GONE_MS 3600000
+/* lost_ms of a host that leaves or was never listed; it does not come back. */
+#define LOST_FOR_GOOD_MS 3600000
 
 static int
 fabric_number(struct place_live *live, const char *fabric)
@@ -54,7 +54,7 @@
 /* Fills in what the evidence tells about a host. */
 static void
 host_set_evidence(struct place_host *out, const struct host *host,
-    const struct group *group, uint32_t model, int size,
+    const struct group *group, uint32_t model_hash, int size,
     const struct place_live_limits *t)
 {
 	const struct evidence *ev = &host->evidence;
@@ -64,12 +64,12 @@
 	out->lost_ms = out->alive ? 0 : age;
 	if (host_leaving(host)) {
 		out->alive = false;
-		out->lost_ms = GONE_MS;
+		out->lost_ms = LOST_FOR_GOOD_MS;
 	}
 	out->reusable = out->alive && group == NULL && !host->gone &&
 	    evidence_fresh(ev, t->now, t->evidence_ms) && evidence_idle(ev) &&
 	    t->now >= host->busy_ms + t->evidence_ms;
-	out->shard = ev->model_hash == model && ev->shards == size ?
+	out->shard = ev->model_hash == model_hash && ev->shards == size ?
 	    ev->shard :
 	    PLACE_NO_SHARD;
 }
@@ -80,7 +80,7 @@
     const char *domain, const struct place_live_limits *t)
 {
 	const char *pool = resource_string(deployment, "pool", "");
-	uint32_t model =
+	uint32_t model_hash =
 	    evidence_model_hash(resource_string(deployment, "model", ""));
 	struct host *host;
 
@@ -98,7 +98,8 @@
 		    out.group == PLACE_NO_GROUP)
 			continue;
 		out.fabric = fabric_number(live, host->fabric);
-		host_set_evidence(&out, host, group, model, live->view.size, t);
+		host_set_evidence(&out, host, group, model_hash,
+		    live->view.size, t);
 		if (out.group != PLACE_NO_GROUP && !out.alive)
 			g_array_index(live->groups, struct place_group,
 			    out.group)
@@ -107,7 +108,7 @@
 	}
 }
 
-/* Adds as lost the hosts of groups that were never in the host list. */
+/* Adds those hosts of groups that were never in the host list, as lost. */
 static void
 add_unknown_hosts(struct place_live *live, const struct state *state,
     struct inventory *inv)
@@ -122,7 +123,7 @@
 						      group->hosts->pdata[i],
 				.fabric = pg->fabric,
 				.group = (int)g,
-				.lost_ms = GONE_MS,
+				.lost_ms = LOST_FOR_GOOD_MS,
 				.shard = PLACE_NO_SHARD };
 
 			if (inventory_find(inv, out.name) != NULL)
--- a/src/place-weighted.c
+++ b/src/place-weighted.c
@@ -7,8 +7,8 @@
 #include "place-common.h"
 
 /*
- * Network pauses and restarts end within this time. Longer outages last long,
- * so waiting any longer does not pay off.
+ * Network pauses and restarts end within this time. An outage that exceeds it
+ * is a long one, so waiting any longer does not pay off.
  */
 #define SHORT_OUTAGE_MS 10000
 /* Waiting pays off only while it costs less than this share of the repair. */
--- a/src/placer-call.c
+++ b/src/placer-call.c
@@ -1,28 +1,28 @@
-/* Orders and status requests to hosts, and the handling of their answers. */
+/* Orders and queries to hosts, and the handling of their answers. */
 #include <string.h>
 
 #include "clock.h"
 #include "event-log.h"
 #include "placer.h"
 
-/* An order without an answer within this time is sent again. */
+/* An order without an answer within this time ends with ORDER_UNKNOWN. */
 #define ORDER_TIMEOUT_MS 800
-/* A host that does not answer a status request within this time is silent. */
-#define ASK_TIMEOUT_MS 250
+/* A query without an answer within this time counts as not answered. */
+#define QUERY_TIMEOUT_MS 250
 /*
- * Maximum number of orders and status requests in flight: a fleet of hundreds
- * of hosts gets its orders within some tens of round trips, and no iteration of
- * the event loop takes long.
+ * Maximum number of orders and queries in flight: a fleet of hundreds of hosts
+ * gets its orders within some tens of round trips, and no iteration of the
+ * event loop takes long.
  */
 #define CALLS_MAX 64
 /* Name prefix of groups of one host that only keeps a model in memory. */
 #define WARM_PREFIX "w"
-/* Minimum time between two status requests to one host. */
-#define ASK_INTERVAL_MS 300
+/* Minimum time between two queries to one host. */
+#define QUERY_INTERVAL_MS 300
 
 /*
- * An order or status request in flight. The group is NULL for an order to a
- * host outside a replica.
+ * An order or query in flight. The group is NULL for an order to a host outside
+ * a replica.
  */
 struct placer_call {
 	struct placer *placer;
@@ -75,8 +75,7 @@
 }
 
 /**
- * placer_call_allowed() - whether one more order or status request may be sent
- * now.
+ * placer_call_allowed() - whether one more order or query may be sent now.
  * @p: the placer
  */
 bool
@@ -147,7 +146,7 @@
 		r->head_closed = true;
 }
 
-/* Marks a member that did not answer an order, so that it is asked. */
+/* Marks a member that did not answer an order, so that it is queried. */
 static void
 member_set_unanswered(struct replica_member *m, enum order_kind order,
     uint64_t now_ms)
@@ -255,7 +254,7 @@
 	call->order = kind;
 	m->last_order = kind;
 	m->ordered_ms = clock_loop_ms(p->loop);
-	/* If this daemon ends, the results of its orders are never logged. */
+	/* Logged now: the result is never logged if this daemon ends first. */
 	event_log(LOG_INFO, "order_given",
 	    "group=%s member=%s rank=%u order=%s epoch=%lld term=%lld", r->name,
 	    m->id, index, order_kind_name(kind), (long long)r->epoch,
@@ -283,7 +282,7 @@
 	    (long long)report->started_ms);
 }
 
-/* Updates a member from its answer to a status request. */
+/* Updates a member from its answer to a query. */
 static void
 member_set_report(struct replica *r, struct replica_member *m,
     const struct endpoint_report *report, uint64_t now_ms)
@@ -295,7 +294,7 @@
 }
 
 static void
-on_report(void *arg, enum order_report_status answer,
+on_report(void *arg, enum order_report_status status,
     struct endpoint_report *report)
 {
 	struct placer_call *call = arg;
@@ -303,29 +302,29 @@
 	struct replica_member *m = call_member(call, &r);
 	uint64_t now = clock_loop_ms(call->placer->loop);
 
-	if (answer == ORDER_REPORT_ADDRESS_REUSED)
+	if (status == ORDER_REPORT_ADDRESS_REUSED)
 		host_mark_gone(call->placer, call->id);
 	if (m != NULL) {
 		m->query_pending = false;
-		if (answer == ORDER_REPORT_OK)
+		if (status == ORDER_REPORT_OK)
 			member_set_report(r, m, report, now);
 		else if (m->silent_since_ms == 0)
 			m->silent_since_ms = call->sent_ms;
-		m->address_reused = answer == ORDER_REPORT_ADDRESS_REUSED;
-		if (answer != ORDER_REPORT_OK)
+		m->address_reused = status == ORDER_REPORT_ADDRESS_REUSED;
+		if (status != ORDER_REPORT_OK)
 			event_log(LOG_INFO, "member_silent",
 			    "group=%s member=%s address_reused=%d "
 			    "silent_ms=%llu",
 			    call->group, call->id,
-			    answer == ORDER_REPORT_ADDRESS_REUSED,
+			    status == ORDER_REPORT_ADDRESS_REUSED,
 			    (unsigned long long)(now - m->silent_since_ms));
 	}
 	call_free(call);
 }
 
 /**
- * placer_query_member() - send a status request to a member, at most once per
- * ASK_INTERVAL_MS.
+ * placer_query_member() - query a member for its report, at most once per
+ * QUERY_INTERVAL_MS.
  * @p: the placer
  * @r: the replica
  * @index: index of the member
@@ -338,12 +337,12 @@
 	struct placer_call *call;
 
 	if (m->query_pending || !placer_call_allowed(p) ||
-	    (m->queried_ms != 0 && now - m->queried_ms < ASK_INTERVAL_MS))
+	    (m->queried_ms != 0 && now - m->queried_ms < QUERY_INTERVAL_MS))
 		return;
 	call = call_new(p, r, index);
 	m->queried_ms = now;
 	m->query_pending = p->orders->query(member_pool(p, m), m->id,
-	    ASK_TIMEOUT_MS, on_report, call);
+	    QUERY_TIMEOUT_MS, on_report, call);
 	if (!m->query_pending)
 		call_free(call);
 }
--- a/src/placer-copies.c
+++ b/src/placer-copies.c
@@ -3,7 +3,7 @@
 
 #include "placer.h"
 
-/* Loads are counted over this period; the platform's bound is over as long. */
+/* Loads are counted over this period, as the platform counts them. */
 #define LOADS_WINDOW_MS 5000
 /* Share of the platform's bound on loads that is used. */
 #define LOADS_USED_SHARE 0.8
@@ -120,7 +120,7 @@
  * @host: id of the host
  * @result: result of the order
  *
- * ORDER_UNFIT means that the host is making the copy already.
+ * ORDER_BAD_STATE means that the host is making the copy already.
  */
 void
 placer_copy_answered(struct placer *p, const char *host,
--- a/src/placer-form.c
+++ b/src/placer-form.c
@@ -6,11 +6,11 @@
 #include "placer.h"
 #include "planner.h"
 
-/* Epochs available under one lease; for more, the lease must be taken anew. */
+/* Epochs available under one lease; for more, it must be taken again. */
 #define EPOCHS_PER_TERM 100000
 /*
- * A host that has not loaded a model into memory within this time is told
- * again; well above the time of a join from the host's own copy.
+ * A host that has not loaded a model into memory within this time is ordered
+ * again; it is well above the time of a join from the host's own copy.
  */
 #define WARM_RETRY_MS 5000
 /*
@@ -359,7 +359,7 @@
 /* Counts the requests of each model that run now, over all heads. */
 static void
 demand_sample_service(const struct placer *p, const char *service,
-    const struct planner_view *view, struct demand_sample *seen)
+    const struct planner_view *view, struct demand_sample *samples)
 {
 	const struct replica *r;
 
@@ -372,7 +372,7 @@
 		if (head == NULL || !r->opened ||
 		    strcmp(r->service, service) != 0)
 			continue;
-		sample = &seen[planner_model_index(view, r->model)];
+		sample = &samples[planner_model_index(view, r->model)];
 		if (head->limit.active) {
 			sample->limited++;
 			continue;
@@ -391,15 +391,15 @@
     struct planner_view *view, uint64_t now_ms)
 {
 	struct planner_demand *d = &placer_usage(p, service)->demand;
-	struct demand_sample seen[PLANNER_MODELS_MAX] = { 0 };
+	struct demand_sample samples[PLANNER_MODELS_MAX] = { 0 };
 	unsigned old_max = d->largest_max;
 
 	if (!p->served)
 		return;
 	/* A pass builds many views but counts the requests once. */
 	if (d->updated_ms != now_ms) {
-		demand_sample_service(p, service, view, seen);
-		planner_demand_update(d, view, seen, now_ms);
+		demand_sample_service(p, service, view, samples);
+		planner_demand_update(d, view, samples, now_ms);
 	}
 	planner_demand_apply(d, view, now_ms);
 	if (d->largest_max == old_max)
--- a/src/placer-lease.c
+++ b/src/placer-lease.c
@@ -149,17 +149,17 @@
 };
 
 static void
-on_written(void *arg, const struct store_response *answer)
+on_written(void *arg, const struct store_response *response)
 {
 	struct placer_append *append = arg;
 	struct placer *p = append->placer;
 
 	p->store_busy = false;
 	if (p->state == PLACER_HOLDING && p->term == append->term) {
-		switch (answer->result) {
+		switch (response->result) {
 		case STORE_OK:
-			p->end_offset = answer->end;
-			p->verified_ms = answer->sent_ms;
+			p->end_offset = response->end;
+			p->verified_ms = response->sent_ms;
 			replicas_mark_recorded(p, append->records);
 			placer_schedule_pass(p);
 			break;
@@ -172,9 +172,10 @@
 		default:
 			/*
 			 * Another daemon wrote, or this write may still take
-			 * effect: the records have to be read anew.
+			 * effect: the records have to be read again.
 			 */
-			placer_step_down(p, store_result_name(answer->result));
+			placer_step_down(p,
+			    store_result_name(response->result));
 			break;
 		}
 	}
@@ -210,21 +211,21 @@
 }
 
 static void
-on_taken(void *arg, const struct store_response *answer)
+on_taken(void *arg, const struct store_response *response)
 {
 	struct placer *p = arg;
 
 	p->store_busy = false;
 	if (p->state != PLACER_TAKING)
 		return;
-	if (answer->result != STORE_OK) {
+	if (response->result != STORE_OK) {
 		event_log(LOG_NOTICE, "placer_not_taken", "term=%lld result=%s",
-		    (long long)p->term, store_result_name(answer->result));
+		    (long long)p->term, store_result_name(response->result));
 		placer_step_down(p, "not_taken");
 		return;
 	}
-	p->end_offset = answer->end;
-	p->verified_ms = answer->sent_ms;
+	p->end_offset = response->end;
+	p->verified_ms = response->sent_ms;
 	p->state = PLACER_HOLDING;
 	p->epochs_issued = 0;
 	p->mesh->self.placer = true;
@@ -286,26 +287,26 @@
 }
 
 static void
-on_read(void *arg, const struct store_response *answer)
+on_read(void *arg, const struct store_response *response)
 {
 	struct placer *p = arg;
 
 	p->store_busy = false;
 	if (p->state != PLACER_READING)
 		return;
-	if (answer->result != STORE_OK) {
-		placer_step_down(p, store_result_name(answer->result));
+	if (response->result != STORE_OK) {
+		placer_step_down(p, store_result_name(response->result));
 		return;
 	}
 	if (p->read_after == NULL)
-		p->end_offset = answer->end;
-	for (guint i = 0; i < answer->records->len; i++)
+		p->end_offset = response->end;
+	for (guint i = 0; i < response->records->len; i++)
 		record_load(p,
-		    &g_array_index(answer->records, struct store_record, i));
-	if (answer->more && answer->records->len > 0) {
+		    &g_array_index(response->records, struct store_record, i));
+	if (response->more && response->records->len > 0) {
 		const struct store_record *last =
-		    &g_array_index(answer->records, struct store_record,
-			answer->records->len - 1);
+		    &g_array_index(response->records, struct store_record,
+			response->records->len - 1);
 
 		g_free(p->read_after);
 		p->read_after = g_strdup(last->key);
@@ -375,18 +376,18 @@
 }
 
 static void
-on_checked(void *arg, const struct store_response *answer)
+on_checked(void *arg, const struct store_response *response)
 {
 	struct placer *p = arg;
 
 	p->store_busy = false;
 	if (p->state != PLACER_HOLDING)
 		return;
-	if (answer->result == STORE_OK && answer->records->len == 0) {
-		p->verified_ms = answer->sent_ms;
+	if (response->result == STORE_OK && response->records->len == 0) {
+		p->verified_ms = response->sent_ms;
 		return;
 	}
-	if (answer->result == STORE_OK || answer->result == STORE_TRIMMED)
+	if (response->result == STORE_OK || response->result == STORE_TRIMMED)
 		placer_step_down(p, "others_wrote");
 }
 
--- a/src/placer.c
+++ b/src/placer.c
@@ -36,21 +36,21 @@
 }
 
 /*
- * Sends status requests to all members while the replica is suspect, and to
- * those that have no entry or did not answer an order.
+ * Queries all members while the replica is suspect, and otherwise those that
+ * have no entry, are silent or did not answer an order.
  */
 static void
-replica_ask_members(struct placer *p, struct replica *r, uint64_t now_ms)
+replica_query_members(struct placer *p, struct replica *r, uint64_t now_ms)
 {
 	bool suspect = suspicion_active(r->suspect_ms, now_ms);
 
 	for (unsigned i = 0; i < r->n; i++) {
 		const struct replica_member *m = &r->members[i];
-		bool unlisted = m->liveness == MEMBER_LAPSED ||
+		bool lapsed = m->liveness == MEMBER_LAPSED ||
 		    m->liveness == MEMBER_SILENT;
 
 		if (m->liveness != MEMBER_DEAD &&
-		    (suspect || unlisted ||
+		    (suspect || lapsed ||
 			suspicion_active(m->suspect_ms, now_ms)))
 			placer_query_member(p, r, i);
 	}
@@ -83,11 +83,11 @@
 }
 
 /*
- * Notes that the head of a dissolved group is out of it, unless the group was
- * dissolved by a proof that covers a head that cannot be reached.
+ * Excludes the head of a dissolved group from groups up to its epoch, unless
+ * the proof also holds for a head that cannot be reached.
  */
 static void
-replica_mark_head_out(struct placer *p, const struct replica *r,
+replica_exclude_head(struct placer *p, const struct replica *r,
     enum replica_proof proof)
 {
 	struct endpoint *head =
@@ -106,7 +106,7 @@
 		struct endpoint *ep =
 		    fleet_find(&p->registry->fleet, r->members[i].id);
 
-		/* A dead host is no spare until its entry says otherwise. */
+		/* It did not answer or is dead; its entry may be current. */
 		if (ep != NULL && r->members[i].liveness >= MEMBER_SILENT)
 			ep->unfit_until_ms = now_ms + SUSPECT_MS;
 	}
@@ -151,12 +151,12 @@
 	for (unsigned i = 0; i < r->n; i++)
 		replica_member_refresh(r, &r->members[i],
 		    fleet_find(&p->registry->fleet, r->members[i].id), now_ms);
-	replica_ask_members(p, r, now_ms);
+	replica_query_members(p, r, now_ms);
 	for (unsigned orders = 0; orders < r->n; orders++) {
 		replica_next_step(r, now_ms, p->stall_ms, &step);
 		if (step.action == REPLICA_DISSOLVED) {
 			replica_log_dissolved(r, step.proof, now_ms);
-			replica_mark_head_out(p, r, step.proof);
+			replica_exclude_head(p, r, step.proof);
 			replica_remove(p, r, now_ms);
 			return;
 		}
@@ -177,7 +177,7 @@
 	}
 }
 
-/* Whether any replica is changing or suspect, or work is left to do. */
+/* Whether a replica is changing or suspect, or records or steps are left. */
 static bool
 placer_changing(const struct placer *p)
 {
--- a/src/placer.h
+++ b/src/placer.h
@@ -59,7 +59,7 @@
  * @end_offset: end offset of the placement topic, as far as this daemon knows
  * @store_busy: an append or a read of the store is in flight
  * @verified_ms: loop time as of which no other daemon had taken the lease, in
- *	ms; 0 when this has to be checked anew
+ *	ms; 0 when this has to be checked again
  * @pending: records to be written, of struct store_record
  * @replicas: all replicas that have a record or wait for one, and adopted ones
  * @served: requests have arrived since the deployment began, by its record
@@ -75,10 +75,10 @@
  *	taken
  * @dissolved: maps the name of a group that this daemon dissolved to the loop
  *	time of that, in ms
- * @pools: connections to hosts whose entries have lapsed, by address
- * @preparing: it is this daemon's turn to take the lease; it reads all entries
- *	from the store before
- * @n_calls: number of orders and status requests in flight
+ * @pools: connections to hosts that the fleet no longer has, by address
+ * @preparing: it is this daemon's turn to take the lease; it first reads all
+ *	entries from the store
+ * @n_calls: number of orders and queries in flight
  * @unfinished: the last pass left placement steps to the next
  * @pass_us: duration of the last pass, in us
  * @no_placer_ms: loop time since which no placer has been heard, in ms; 0 while
@@ -131,7 +131,7 @@
 void placer_announce_dissolve(struct placer *, struct replica *, uint64_t);
 bool placer_call_allowed(const struct placer *);
 
-/* placer-call.c: orders and status requests to hosts. */
+/* placer-call.c: orders and queries to hosts. */
 void placer_order_member(struct placer *, struct replica *, unsigned,
     enum order_kind);
 void placer_query_member(struct placer *, struct replica *, unsigned);
--- a/src/planner-replicas.c
+++ b/src/planner-replicas.c
@@ -150,7 +150,8 @@
 		return (false);
 	if (largest && f->replicas >= f->max_replicas)
 		return (false);
-	/* Hosts that have the model already may as well serve it. */
+	/* Hosts that have the model may serve it even beyond the wanted number,
+	 * since they need no load. */
 	if (c->loads == 0)
 		return (true);
 	return (c->loads <= view->loads_free &&
--- a/src/planner.h
+++ b/src/planner.h
@@ -24,7 +24,7 @@
  * @fabric_index: index of its fabric domain in the view
  * @loaded_model: model in its memory, which is that of its last group since it
  *	started, or NULL
- * @staged: models with a copy on the host, which keeps a few, the newest
+ * @staged: models with a copy on the host, which keeps the newest few
  * @copying: model that is being copied to it, or NULL
  * @warming: it is loading a model into memory without joining a replica
  * @free: it may join a new group now
--- a/src/replica-member.c
+++ b/src/replica-member.c
@@ -47,7 +47,7 @@
  * @m: the member
  *
  * Return: true where no order that may still be on its way to the member can
- * take it back.
+ * make it rejoin.
  */
 bool
 replica_member_released(const struct replica_member *m)
--- a/src/replica.c
+++ b/src/replica.c
@@ -259,8 +259,8 @@
 
 /*
  * Whether an order to join is due. A member whose only report came from an
- * answer without a name is ordered to join as well: the order names it, so
- * accepting it verifies the member.
+ * answer that does not name its incarnation is ordered to join as well: the
+ * order names it, so accepting it verifies the member.
  */
 static bool
 member_join_due(const struct replica *r, const struct replica_member *m,
@@ -304,9 +304,9 @@
 }
 
 /*
- * Whether a member that has left must leave again: an order to join took it
- * back, or it left at a time when such an order could still be carried out and
- * that time is over.
+ * Whether a member that has left must leave again: an order to join made it
+ * rejoin, or it left at a time when such an order could still be carried out
+ * and that time is over.
  */
 static bool
 member_must_leave_again(const struct replica_member *m, uint64_t now_ms)
@@ -318,8 +318,8 @@
 
 /*
  * Orders a member to leave the group for good. While an order to join may
- * still take it back, waits until that is over and has it leave again. Returns
- * whether an order is due.
+ * still make it rejoin, waits until that is over and has it leave again.
+ * Returns whether an order is due.
  */
 static bool
 step_leave(struct replica *r, unsigned i, uint64_t now_ms,
@@ -372,7 +372,7 @@
 /*
  * The next step to dissolve a group: the head is closed and then leaves. Only
  * then can no late order open it again, and only then may the members join
- * another group. A late order to join would take the head back, so it is
+ * another group. A late order to join would make the head rejoin, so it is
  * released only once no such order can be carried out any more.
  */
 static void
@@ -428,7 +428,7 @@
 
 /*
  * Whether nothing irreversible was done yet to dissolve a replica. A group that
- * was cut off and comes back complete goes on serving.
+ * was cut off and is reached again, complete, continues to serve.
  */
 static bool
 replica_can_recover(const struct replica *r)
--- a/tests/test-planner.c
+++ b/tests/test-planner.c
@@ -276,9 +276,9 @@
 
 /*
  * sample big=N small=N from=MS to=MS [unlimited=N limited=N]: requests of the
- * first two models that run during this time; those of the first run at its
- * replicas without a rate limit, and others of its replicas have one. Prints
- * each change of the bound on the largest model.
+ * first two models that run during this time. Of the first model's replicas,
+ * "unlimited" have no rate limit and run its requests, and "limited" have one.
+ * Prints each change of the bound on the largest model.
  */
 static void
 exec_sample(const char *rest, GString *out)
@@ -305,9 +305,9 @@
 	}
 }
 
-/* stage: prints the next host that should get a copy, and of which model */
+/* plan-copy: prints the next host to get a copy, and of which model */
 static void
-exec_stage(const char *rest, GString *out)
+exec_plan_copy(const char *rest, GString *out)
 {
 	const struct model_profile *model;
 	const struct planner_host *h;
@@ -335,7 +335,7 @@
 	{ "surplus", exec_surplus },
 	{ "end", exec_end },
 	{ "sample", exec_sample },
-	{ "stage", exec_stage },
+	{ "plan-copy", exec_plan_copy },
 	{ "memory", exec_memory },
 	{ "warm", exec_warm },
 	{ NULL, NULL },
--- a/tests/test-schedules.c
+++ b/tests/test-schedules.c
@@ -329,14 +329,14 @@
 {
 	struct order_limits lim = { "a", now, EVIDENCE_MS, HOSTS };
 	struct http_batch *batch = http_batch_create();
-	struct http_call *task;
+	struct http_call *call;
 
 	orders_fill(batch, d->state, &d->inv, &lim);
-	TAILQ_FOREACH(task, http_batch_calls(batch), entry) {
-		struct host *host = task->arg;
+	TAILQ_FOREACH(call, http_batch_calls(batch), entry) {
+		struct host *host = call->arg;
 		int i = atoi(host->name + 1);
-		bool join = g_str_has_suffix(task->url, "join");
-		json_t *epoch = json_object_get(task->body, "epoch");
+		bool join = g_str_has_suffix(call->url, "join");
+		json_t *epoch = json_object_get(call->body, "epoch");
 		uint64_t e = (uint64_t)json_integer_value(epoch);
 		uint64_t fate = random_below(12);
 		struct delayed *l;
