--- a/src/controller.c
+++ b/src/controller.c
@@ -59,7 +59,7 @@
 	if (config_append(&c->server->config, record, &offset, NULL) !=
 	    VERDICT_APPLIED)
 		offset = 0;
-	lease_elector_sent(&c->elector, sent_ms, offset);
+	lease_elector_note_sent(&c->elector, sent_ms, offset);
 	log_debug("lease_written", "kind=%s offset=%" G_GUINT64_FORMAT, kind,
 	    offset);
 }
--- a/src/inventory.c
+++ b/src/inventory.c
@@ -78,8 +78,8 @@
  * @list: array of entries
  * @now: monotonic time, in ms
  *
- * Hosts that are no longer listed are kept and marked as gone, since a group
- * may still name them.
+ * Hosts that are no longer listed are kept and marked as unlisted, since a
+ * group may still name them.
  *
  * Return: whether a host was added, disappeared, or began or stopped leaving.
  */
--- a/src/placer-call.c
+++ b/src/placer-call.c
@@ -359,7 +359,7 @@
 	if (result == ORDER_ADDRESS_REUSED)
 		host_mark_gone(call->placer, call->id);
 	if (call->order == ORDER_STAGE)
-		placer_copy_answered(call->placer, call->id, result);
+		placer_copy_note_result(call->placer, call->id, result);
 	call_free(call);
 }
 
--- a/src/placer.c
+++ b/src/placer.c
@@ -21,7 +21,10 @@
 #define WAKEUP_PASS_FACTOR 4
 /* A longer pass is logged: nothing else runs on the event loop meanwhile. */
 #define PASS_SLOW_US 50000
-/* How long a replica or member stays suspect. */
+/*
+ * How long a replica or member stays suspect, and how long a host that was
+ * silent or dead is not used after its replica was dissolved.
+ */
 #define SUSPECT_MS 3000
 /* How long the head of a replica that is being dissolved gets no requests. */
 #define AVOID_HEAD_MS 2500
--- a/src/placer.h
+++ b/src/placer.h
@@ -163,7 +163,7 @@
 void placer_copies_update(struct placer *, uint64_t);
 void placer_copy_start(struct placer *, const char *,
     const struct model_profile *, uint64_t);
-void placer_copy_answered(struct placer *, const char *, enum order_result);
+void placer_copy_note_result(struct placer *, const char *, enum order_result);
 const char *placer_copying(const struct placer *, const char *);
 unsigned placer_loads_available(struct placer *, const struct engine_profile *,
     uint64_t);
