--- a/src/planner.h
+++ b/src/planner.h
@@ -24,7 +24,7 @@
  * @fabric_index: index of its fabric domain in the view
  * @loaded_model: model in its memory, which is that of its last group since it
  *	started, or NULL
- * @staged: models with a copy on the host, which keeps a few, the newest
+ * @staged: models with a copy on the host, which keeps the newest few
  * @copying: model that is being copied to it, or NULL
  * @warming: it is loading a model into memory without joining a replica
  * @free: it may join a new group now
@@ -91,7 +91,8 @@
  *	domain for every 2 x its size hosts there; the other hosts form
  *	replicas that can donate hosts to it
  * @loads_free: number of loads from the weight store that may begin now
- * @served: requests have come, so loads take their full time
+ * @served: requests have arrived since the deployment began, so loads take
+ *	their full time
  * @hosts_stable: no new host has appeared for a while
  */
 struct planner_view {
