--- a/src/call-end.h
+++ b/src/call-end.h
@@ -45,6 +45,13 @@
 	bool resumable;
 };
 
+/**
+ * enum call_action - what follows the end of a call.
+ * @CALL_PASS: pass the response on to the client
+ * @CALL_RETRY: retry at another endpoint
+ * @CALL_RESUME: resume the stream at another endpoint
+ * @CALL_FAIL: fail the request
+ */
 enum call_action {
 	CALL_PASS,
 	CALL_RETRY,
@@ -53,9 +60,8 @@
 };
 
 /**
- * struct call_verdict - what to do after the end of a call.
- * @action: pass the response on, retry at another endpoint, resume the
- *	stream at another endpoint, or fail
+ * struct call_verdict - decision on the end of a call.
+ * @action: what follows
  * @outcome: outcome to report if there is no further attempt
  * @error: error to report if there is no further attempt
  */
--- a/src/claim-index.c
+++ b/src/claim-index.c
@@ -145,9 +145,9 @@
 
 /**
  * claim_index_expire() - drop the claims and releases whose records the log no
- * longer keeps.
+ * longer retains.
  * @index: the index
- * @first: oldest offset that the log keeps
+ * @first: oldest offset that the log retains
  */
 void
 claim_index_expire(struct claim_index *index, uint64_t first)
--- a/src/claim-index.h
+++ b/src/claim-index.h
@@ -1,6 +1,7 @@
 /*
- * Index of the claims on request ids. Its content is determined by the records
- * of one claim stream up to an offset, so all daemons compute the same.
+ * Index of the claims on request ids of one partition. Its content is a
+ * function of the records of the partition's log stream up to an offset, so all
+ * daemons compute the same.
  */
 #ifndef BL_CLAIM_INDEX_H
 #define BL_CLAIM_INDEX_H
@@ -15,7 +16,7 @@
 
 /**
  * enum claim_op_kind - operations on a request id.
- * @CLAIM_OP_CLAIM: claim it; the first in the stream wins
+ * @CLAIM_OP_CLAIM: claim it; the first in the log stream wins
  * @CLAIM_OP_FINISH: record the response; needs the claim's token
  * @CLAIM_OP_RELEASE: release it, as the request did not run; needs the claim's
  *	token
@@ -28,7 +29,7 @@
 
 /**
  * enum claim_verdict - verdict on an operation.
- * @CLAIM_PENDING: not decided yet; ask again
+ * @CLAIM_PENDING: not decided yet; wait for the decision or send it again
  * @CLAIM_GRANTED: the token holds the id, or the operation is recorded
  * @CLAIM_RUNNING: another token holds the id, and no response is recorded
  * @CLAIM_DONE: another token holds the id, and its response is recorded
@@ -66,7 +67,7 @@
 };
 
 /**
- * struct claim_index - the claims of one stream.
+ * struct claim_index - the claims of one partition.
  * @next: first offset that is not applied yet
  * @by_id: id to struct claim
  * @released: released tokens, to the offset of the release; a released token
--- a/src/claim-partition.c
+++ b/src/claim-partition.c
@@ -2,8 +2,8 @@
  * One partition of the claims, with a log stream of its own. A thread takes the
  * operations from the queue, appends them as one record (group commit), reads
  * the stream up to that record, and only then decides them. Any daemon may do
- * so for any partition at any time; that one daemon does it for most requests
- * only saves appends and reads.
+ * so for any partition at any time. Most operations are sent to one daemon,
+ * only to save appends and reads.
  */
 #include <inttypes.h>
 #include <string.h>
--- a/src/claims.c
+++ b/src/claims.c
@@ -120,7 +120,7 @@
 		peer_send_decision(item->reply_ip, item->reply_port, &decision);
 }
 
-/* Returns the partition of a number; creates it at its first use. */
+/* Returns the partition with a number; creates it at its first use. */
 static struct claim_partition *
 claims_partition(struct claims *claims, unsigned number)
 {
--- a/src/client-api-completion.c
+++ b/src/client-api-completion.c
@@ -232,11 +232,11 @@
 {
 	CLEANUP(failure_clear) struct failure f = { 0 };
 	g_autofree char *text = NULL;
-	enum completion_result step;
+	enum completion_result result;
 	struct completion_stream *s;
 
-	step = completion_next(c, &text, &f);
-	if (step == COMPLETION_FAILED) {
+	result = completion_next(c, &text, &f);
+	if (result == COMPLETION_FAILED) {
 		http_reply_failure(res, &f, req->id);
 		completion_free(c);
 		return;
@@ -246,7 +246,7 @@
 	s->id = g_strdup(req->id);
 	s->chat = chat;
 	s->pending = g_string_new(NULL);
-	if (step == COMPLETION_CHUNK) {
+	if (result == COMPLETION_CHUNK) {
 		stream_append_event(s,
 		    response_json(s->id, chat,
 			choice_json(chat, true, text, NULL)));
@@ -266,14 +266,14 @@
 {
 	g_autoptr(GString) output = g_string_new(NULL);
 	CLEANUP(failure_clear) struct failure f = { 0 };
-	enum completion_result step;
+	enum completion_result result;
 	char *text;
 
-	while ((step = completion_next(c, &text, &f)) == COMPLETION_CHUNK) {
+	while ((result = completion_next(c, &text, &f)) == COMPLETION_CHUNK) {
 		g_string_append(output, text);
 		g_free(text);
 	}
-	if (step == COMPLETION_END)
+	if (result == COMPLETION_END)
 		http_reply_json(res, 200,
 		    response_json(req->id, chat,
 			choice_json(chat, false, output->str, "stop")));
--- a/src/client-api.c
+++ b/src/client-api.c
@@ -192,11 +192,11 @@
 client_api_set_service(struct request *req, const char *service,
     bool is_service, struct failure *f)
 {
-	bool leaving;
+	bool refusing;
 
 	req->service = g_strdup(service);
 	req->is_service = is_service;
-	if (request_service_declared(req, &leaving))
+	if (request_service_declared(req, &refusing))
 		return (true);
 	failure_set(f, ERROR_NOT_FOUND, OUTCOME_NOT_RUN, 0,
 	    is_service ? "no such service" : "no such deployment");
--- a/src/gossip.c
+++ b/src/gossip.c
@@ -15,9 +15,12 @@
  */
 #define REMOTE_POLL_MS 50
 #define REMOTE_PAUSE_MS 500
-/* Period, in rounds, of queries to one other failure domain, */
+/* Period, in rounds, of queries to one other failure domain. */
 #define REMOTE_ROUNDS 3
-/* unless a request needed one within this time: then all, in every round. */
+/*
+ * Time after a request needed another failure domain during which all of them
+ * are queried in every round.
+ */
 #define REMOTE_USED_MS 30000
 
 /* Adds the seed peers of the settings. */
--- a/src/log-http.c
+++ b/src/log-http.c
@@ -7,7 +7,7 @@
 #include "log-client.h"
 
 #define APPEND_TIMEOUT_MS 2000
-/* Time-out of a read, in addition to the time that the log may wait. */
+/* Timeout of a read, in addition to the time that the log may wait. */
 #define READ_TIMEOUT_MS 2000
 #define READ_MAX_RECORDS 1000
 
@@ -21,19 +21,19 @@
     uint64_t *offset, GError **error)
 {
 	struct log_http *log = (struct log_http *)client;
-	CLEANUP(http_response_clear) struct http_response reply = { 0 };
+	CLEANUP(http_response_clear) struct http_response response = { 0 };
 	g_autofree char *url = NULL;
 
 	url = g_strdup_printf("%s/streams/%s/records", log->url, stream);
 	if (!http_client_send("POST", url, record, NULL, APPEND_TIMEOUT_MS,
-		&reply, NULL) ||
-	    reply.status != 200) {
+		&response, NULL) ||
+	    response.status != 200) {
 		error_set(error, ERROR_LOG_UNAVAILABLE,
-		    "log: append unconfirmed, status %ld", reply.status);
+		    "log: append unconfirmed, status %ld", response.status);
 		return (false);
 	}
-	*offset =
-	    (uint64_t)json_integer_value(json_object_get(reply.json, "offset"));
+	*offset = (uint64_t)json_integer_value(
+	    json_object_get(response.json, "offset"));
 	return (true);
 }
 
@@ -60,30 +60,30 @@
     unsigned wait_ms, struct log_batch *batch, GError **error)
 {
 	struct log_http *log = (struct log_http *)client;
-	CLEANUP(http_response_clear) struct http_response reply = { 0 };
+	CLEANUP(http_response_clear) struct http_response response = { 0 };
 	g_autofree char *url = NULL;
 
 	log_batch_init(batch);
 	url = g_strdup_printf("%s/streams/%s/records?from=%" PRIu64
 			      "&max=%d&wait_ms=%u",
 	    log->url, stream, from, READ_MAX_RECORDS, wait_ms);
-	if (!http_client_get(url, READ_TIMEOUT_MS + (long)wait_ms, &reply,
+	if (!http_client_get(url, READ_TIMEOUT_MS + (long)wait_ms, &response,
 		NULL) ||
-	    (reply.status != 200 && reply.status != 410)) {
+	    (response.status != 200 && response.status != 410)) {
 		error_set(error, ERROR_LOG_UNAVAILABLE,
-		    "log: read failed, status %ld", reply.status);
+		    "log: read failed, status %ld", response.status);
 		return (false);
 	}
-	batch->first =
-	    (uint64_t)json_integer_value(json_object_get(reply.json, "first"));
-	batch->next =
-	    (uint64_t)json_integer_value(json_object_get(reply.json, "next"));
-	if (reply.status == 410) {
+	batch->first = (uint64_t)json_integer_value(
+	    json_object_get(response.json, "first"));
+	batch->next = (uint64_t)json_integer_value(
+	    json_object_get(response.json, "next"));
+	if (response.status == 410) {
 		error_set(error, ERROR_LOG_TRIMMED,
 		    "log: offset %" PRIu64 " is no longer kept", from);
 		return (false);
 	}
-	batch_fill(batch, json_object_get(reply.json, "records"));
+	batch_fill(batch, json_object_get(response.json, "records"));
 	return (true);
 }
 
--- a/src/members.c
+++ b/src/members.c
@@ -100,14 +100,14 @@
  * members_update() - update a daemon's entry, or add it.
  * @ms: the members
  * @update: what was received of the daemon
- * @seen_ms: lower bound, in local time, of the evidence that it is alive
+ * @as_of_ms: local time; the daemon was alive at this time or later
  *
  * An update with older evidence than the entry's is ignored, so delayed and
  * duplicate ones do no harm.
  */
 void
 members_update(struct members *ms, const struct member *update,
-    uint64_t seen_ms)
+    uint64_t as_of_ms)
 {
 	struct member *m;
 
@@ -117,8 +117,8 @@
 	m = members_find(ms, update->name);
 	if (m == NULL)
 		m = members_add(ms, update);
-	if (seen_ms > m->as_of_ms) {
-		m->as_of_ms = seen_ms;
+	if (as_of_ms > m->as_of_ms) {
+		m->as_of_ms = as_of_ms;
 		m->ip = update->ip;
 		m->port = update->port;
 		m->incarnation = update->incarnation;
@@ -133,21 +133,21 @@
  * domain.
  * @ms: the members
  * @hash: low bits of its name hash; ignored when no daemon has it
- * @leaving: it is draining
- * @seen_ms: lower bound, in local time, of the evidence that it is alive
+ * @draining: it is draining
+ * @as_of_ms: local time; the daemon was alive at this time or later
  */
 void
-members_refresh(struct members *ms, uint32_t hash, bool leaving,
-    uint64_t seen_ms)
+members_refresh(struct members *ms, uint32_t hash, bool draining,
+    uint64_t as_of_ms)
 {
 	struct member *m;
 
 	g_mutex_lock(&ms->lock);
 	TAILQ_FOREACH(m, &ms->others, entry) {
-		if ((uint32_t)m->name_hash != hash || seen_ms <= m->as_of_ms)
+		if ((uint32_t)m->name_hash != hash || as_of_ms <= m->as_of_ms)
 			continue;
-		m->as_of_ms = seen_ms;
-		m->draining = leaving;
+		m->as_of_ms = as_of_ms;
+		m->draining = draining;
 	}
 	g_mutex_unlock(&ms->lock);
 }
--- a/src/members.h
+++ b/src/members.h
@@ -19,9 +19,9 @@
  * @incarnation: number of its run, new at every start
  * @next_offset: first configuration offset that it has not applied
  * @draining: it is draining
- * @as_of_ms: lower bound, in local time, of the newest evidence that it is
- *	alive
+ * @as_of_ms: local time; it is known to have been alive at this time or later
  * @name_hash: stable hash of its name
+ * @entry: link in the list of members
  */
 struct member {
 	char *name;
@@ -41,7 +41,7 @@
 /**
  * struct members - this daemon and the others.
  * @lock: guards the fields below
- * @self: this daemon; its @seen_ms is not used
+ * @self: this daemon; its @as_of_ms is not used
  * @others: the other daemons
  * @by_name: the other daemons by name
  * @dead_ms: silence after which a daemon counts as dead
--- a/src/peer-client.c
+++ b/src/peer-client.c
@@ -191,7 +191,7 @@
  * @port: the peer's port
  * @req: the operation
  * @answer: filled in; free with xdr_free()
- * @timeout_ms: time-out of the call
+ * @timeout_ms: timeout of the call, in ms
  */
 bool
 peer_claim(uint32_t ip, uint16_t port, struct claim_request *req,
@@ -209,7 +209,7 @@
  * @decision: the decision
  *
  * Waits for the reply for DECIDED_TIMEOUT_MS only. Losing the message does no
- * harm, since the daemon queries again.
+ * harm, since the daemon sends the operation again.
  */
 void
 peer_send_decision(uint32_t ip, uint16_t port, struct claim_decision *decision)
--- a/src/peer-gossip.c
+++ b/src/peer-gossip.c
@@ -26,11 +26,11 @@
 	out->leaving = atomic_load(&server->draining);
 }
 
-/* Returns the age of a time, in ms, as messages carry it. */
+/* Returns how long ago a time was, in ms, as messages carry it. */
 static unsigned
-age_ms_since(uint64_t seen_ms, uint64_t now)
+age_ms_since(uint64_t as_of_ms, uint64_t now)
 {
-	return (now > seen_ms ? (unsigned)MIN(now - seen_ms, UINT32_MAX) : 0);
+	return (now > as_of_ms ? (unsigned)MIN(now - as_of_ms, UINT32_MAX) : 0);
 }
 
 /* Fills in the targets of this failure domain that have recent evidence. */
@@ -47,15 +47,18 @@
 	while (n < PEER_TARGETS_MAX &&
 	    g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct target *target = value;
-		uint64_t seen_ms = atomic_load(&target->evidence_as_of_ms);
+		uint64_t as_of_ms = atomic_load(&target->evidence_as_of_ms);
 		peer_target *out = &reply->targets.targets_val[n];
 		struct peer_pack pack;
 
-		/* Only this domain's, and only what most daemons lack. */
+		/*
+		 * Only targets of this domain, and only evidence so recent
+		 * that most daemons lack it.
+		 */
 		if (strcmp(target->domain, server->set.domain) != 0 ||
-		    now >= seen_ms + (uint64_t)server->set.evidence_ms * 3 / 4)
+		    now >= as_of_ms + (uint64_t)server->set.evidence_ms * 3 / 4)
 			continue;
-		pack.age_ms = age_ms_since(seen_ms, now);
+		pack.age_ms = age_ms_since(as_of_ms, now);
 		pack.flag = atomic_load(&target->valid_until_ms) > 0;
 		pack.load = atomic_load(&target->reported_load);
 		out->key = target->key;
@@ -186,8 +189,7 @@
 	fill_lives(server, now, reply);
 }
 
-/* Applies a member's entry, with the age that it had when the query was sent.
- */
+/* Applies a member's entry, whose age counts from the time of the query. */
 static void
 apply_member(struct server *server, const struct peer_member *in,
     uint64_t sent_ms)
@@ -230,17 +232,17 @@
 	for (unsigned i = 0; i < reply->targets.targets_len; i++) {
 		const peer_target *in = &reply->targets.targets_val[i];
 		struct peer_pack pack = peer_unpack(in->news);
-		uint64_t key = in->key, seen_ms;
+		uint64_t key = in->key, as_of_ms;
 
 		target = g_hash_table_lookup(server->tables.targets, &key);
 		if (target == NULL || pack.age_ms >= sent_ms)
 			continue;
-		seen_ms = sent_ms - pack.age_ms;
-		if (seen_ms <= atomic_load(&target->evidence_as_of_ms))
+		as_of_ms = sent_ms - pack.age_ms;
+		if (as_of_ms <= atomic_load(&target->evidence_as_of_ms))
 			continue;
-		target_update_evidence(target, seen_ms, pack.flag,
+		target_update_evidence(target, as_of_ms, pack.flag,
 		    (uint64_t)server->set.evidence_ms);
-		target_update_load(target, seen_ms, pack.load);
+		target_update_load(target, as_of_ms, pack.load);
 	}
 	g_mutex_unlock(&server->view_lock);
 }
@@ -248,11 +250,11 @@
 /**
  * peer_gossip_introduce() - add the daemon that sent a query to the members.
  * @server: this daemon
- * @from: the daemon that sent it
+ * @from: the sender's entry
  *
  * The query may have been queued while this daemon was paused, so it does not
- * prove that the daemon is alive now: it becomes known, and is then queried
- * itself.
+ * prove that the sender is alive now: the sender becomes known, and is then
+ * queried itself.
  */
 void
 peer_gossip_introduce(struct server *server, const struct peer_member *from)
@@ -290,11 +292,11 @@
 	struct peer_pack pack = peer_unpack(in->news);
 	struct peer_host_state held = peer_unpack_host_state(in->held);
 	struct evidence *ev = &host->evidence;
-	uint64_t seen_ms = sent_ms - MIN(pack.age_ms, sent_ms);
+	uint64_t as_of_ms = sent_ms - MIN(pack.age_ms, sent_ms);
 
-	if (seen_ms <= ev->seen_ms)
+	if (as_of_ms <= ev->seen_ms)
 		return;
-	ev->seen_ms = seen_ms;
+	ev->seen_ms = as_of_ms;
 	ev->state = (enum host_state)held.state;
 	ev->epoch = in->epoch;
 	ev->model = in->model;
--- a/src/peer_rpc.x
+++ b/src/peer_rpc.x
@@ -80,7 +80,7 @@
 	opaque chunk<PEER_CHUNK_MAX>;
 };
 
-/* One operation on a request id; see claim.h. */
+/* One operation on a request id; see claim-index.h. */
 struct claim_op {
 	unsigned int op;
 	string id<PEER_ID_MAX>;
--- a/src/publish.c
+++ b/src/publish.c
@@ -8,16 +8,16 @@
 
 /*
  * Whether every host of a group has reported that it is ready in the group.
- * seen_ms is set to the time of their oldest evidence, contradicted_ms to that
- * of the newest evidence to the contrary, 0 for none.
+ * as_of_ms is set to the time as of which their oldest evidence is known,
+ * contradicted_ms to that of the newest evidence to the contrary, 0 for none.
  */
 static bool
 group_intact(struct inventory *inv, const struct group *group,
-    uint64_t *seen_ms, uint64_t *contradicted_ms)
+    uint64_t *as_of_ms, uint64_t *contradicted_ms)
 {
 	bool intact = true;
 
-	*seen_ms = UINT64_MAX;
+	*as_of_ms = UINT64_MAX;
 	*contradicted_ms = 0;
 	for (guint i = 0; i < group->hosts->len; i++) {
 		struct host *host = inventory_find(inv, group->hosts->pdata[i]);
@@ -28,7 +28,7 @@
 			continue;
 		}
 		ev = &host->evidence;
-		*seen_ms = MIN(*seen_ms, ev->seen_ms);
+		*as_of_ms = MIN(*as_of_ms, ev->seen_ms);
 		if (evidence_ready_in(ev, group->epoch))
 			continue;
 		intact = false;
@@ -42,15 +42,15 @@
 publish_group(struct inventory *inv, struct view_tables *tables,
     const struct group *group, uint64_t max_age_ms)
 {
-	uint64_t seen_ms, contradicted_ms;
+	uint64_t as_of_ms, contradicted_ms;
 	struct target *target;
 	struct host *leader;
 
 	target = g_hash_table_lookup(tables->targets, &group->epoch);
 	if (target == NULL)
 		return;
-	if (group_intact(inv, group, &seen_ms, &contradicted_ms))
-		target_update_evidence(target, seen_ms, true, max_age_ms);
+	if (group_intact(inv, group, &as_of_ms, &contradicted_ms))
+		target_update_evidence(target, as_of_ms, true, max_age_ms);
 	else if (contradicted_ms > 0)
 		target_update_evidence(target, contradicted_ms, false,
 		    max_age_ms);
--- a/src/request.c
+++ b/src/request.c
@@ -91,10 +91,10 @@
 /**
  * request_service_declared() - whether the deployment or service is declared.
  * @req: the request
- * @leaving: set to whether this daemon refuses new requests
+ * @refusing: set to whether this daemon refuses new requests
  */
 bool
-request_service_declared(struct request *req, bool *leaving)
+request_service_declared(struct request *req, bool *refusing)
 {
 	bool known;
 
@@ -102,7 +102,7 @@
 	known =
 	    request_route_set(req, rcu_dereference(req->server->view)) != NULL;
 	rcu_read_unlock();
-	*leaving = atomic_load(&req->server->refusing);
+	*refusing = atomic_load(&req->server->refusing);
 	return (known);
 }
 
@@ -228,9 +228,9 @@
  * request_next_target() - choose the next target.
  * @req: the request
  *
- * Gossip from other failure domains is exchanged rarely, since it is rarely
- * needed. If no target in the daemon's own failure domain is left, it is
- * requested, once per request.
+ * Daemons of other failure domains are queried for gossip rarely, since it is
+ * rarely needed. If no target in the daemon's own failure domain is left, they
+ * are queried at once, but not again for the same request.
  *
  * Return: a target that the request was not sent to before, owned by @tried;
  * NULL if there is none or the deadline has passed.
@@ -303,7 +303,7 @@
 
 /**
  * request_end() - count and log the end of a request, and record it if the id
- * is claimed. Does nothing if the request was ended before.
+ * is claimed. Does nothing if the request has ended before.
  * @req: the request
  * @outcome: its outcome
  * @status: HTTP status of the response
--- a/src/request.h
+++ b/src/request.h
@@ -27,12 +27,13 @@
  * @prefix: hash of the first bytes of the prompt, or 0
  * @tried: targets that the request was sent to, with references
  * @policy: routing policy that chose the latest target
- * @queried_remote: gossip was requested from the other failure domains
+ * @queried_remote: gossip was requested from the other failure domains; done
+ *	at most once
  * @may_have_run: a call ended in such a way that the request may have run
  * @admission: queue that granted a slot, or NULL; a reference
  * @ticket: entry in that queue
  * @slot_ms: monotonic time at which the slot was granted, in ms
- * @ended: the end of the request was counted
+ * @ended: the end of the request was counted, logged and recorded
  */
 struct request {
 	struct server *server;
--- a/src/route-set.h
+++ b/src/route-set.h
@@ -34,7 +34,7 @@
  * @split: shares of the routing policies
  * @n_split: number of entries in @split
  * @idempotent_methods: names of methods (char *); NULL for the default ones
- * @timeout_ms: time-out of a request that sets none; 0 for the daemon's
+ * @timeout_ms: timeout of a request that sets none; 0 for the daemon's
  * @admission: admission control, with a reference; NULL if there is none
  * @daemons: number of daemons that send to the targets, at least 1
  * @sequence: number of choices made
--- a/src/target-feedback.c
+++ b/src/target-feedback.c
@@ -1,4 +1,4 @@
-/* What a target tells about itself in a response: a backoff, a rate limit. */
+/* Applies what an endpoint tells about itself in a response. */
 #include <glib.h>
 
 #include "call.h"
--- a/src/target.c
+++ b/src/target.c
@@ -7,11 +7,11 @@
 #define LATENCY_SHIFT 3
 /* Upper bound on the latency of a straggler in percent of the median. */
 #define SLOW_MAX_PERCENT 1000
-/* Up to this, a target is no straggler: latencies differ by chance. */
+/* Up to this percentage a target is no straggler; latencies vary by chance. */
 #define SLOW_MIN_PERCENT 200
-/* A target is no straggler either if it exceeds the median by less. */
+/* Nor is a target that exceeds the median by less than this. */
 #define SLOW_MIN_EXCESS_US 5000
-/* Nor if it has fewer samples: the first requests find cold caches. */
+/* Nor is one with fewer samples: the first requests find cold caches. */
 #define SLOW_MIN_SAMPLES 4
 /* Bounds of the cooldown in which other targets are preferred. */
 #define COOLDOWN_MIN_MS 250
--- a/src/view.c
+++ b/src/view.c
@@ -5,7 +5,7 @@
 #include "group.h"
 #include "view.h"
 
-/* State shared by the steps of one build. */
+/* State shared by the steps of one build; used: keys of the targets in it. */
 struct build {
 	struct view_tables *tables;
 	const struct state *state;
--- a/src/view.h
+++ b/src/view.h
@@ -12,7 +12,7 @@
 /**
  * struct view - one published view.
  * @next: next offset of the configuration that it was built from
- * @by_key: SHA-256 of a customer's key to struct customer
+ * @by_key: SHA-256 of a customer's API key, in hex, to struct customer
  * @deployments: name to struct route_set
  * @services: name to struct route_set
  */
--- a/tests/test-claims.c
+++ b/tests/test-claims.c
@@ -44,7 +44,7 @@
 	g_string_append_c(out, '\n');
 }
 
-/* expire FIRST: the log keeps no record before this offset */
+/* expire FIRST: the log retains no record before this offset */
 static void
 exec_expire(const char *rest, GString *out)
 {
--- a/tests/test-rebuild.c
+++ b/tests/test-rebuild.c
@@ -20,7 +20,7 @@
 	return (NULL);
 }
 
-/* The next rebuild may free a view as soon as it has been published. */
+/* A view may be freed by another thread's rebuild once it is published. */
 static void
 test_rebuild(void)
 {
@@ -49,7 +49,10 @@
 	CU_pSuite suite;
 	int failures;
 
-	/* It was the log line of a rebuild that read a freed view. */
+	/*
+	 * The log line of a rebuild is written too: it once read a view that
+	 * another thread had freed.
+	 */
 	event_log_open("test", LOG_DEBUG);
 	if (null < 0 || dup2(null, STDERR_FILENO) < 0)
 		return (1);
