--- a/src/claim-index.h
+++ b/src/claim-index.h
@@ -54,7 +54,8 @@
  * @offset: offset of the record that claimed the id
  * @done: the response is recorded
  * @status: HTTP status of the recorded response
- * @body: body of the recorded response, NULL if it was too long to be kept
+ * @body: body of the recorded response, NULL if it was not recorded, since it
+ *	was too long or not UTF-8
  */
 struct claim {
 	char *id;
--- a/src/claim-partition.c
+++ b/src/claim-partition.c
@@ -134,7 +134,7 @@
 		json_t *op = claim_op_dump(item->kind, item->id, item->token,
 		    item->fingerprint, item->status, item->body);
 
-		/* A response that is not UTF-8 is not kept, its status is. */
+		/* Without the body: one that is not UTF-8 is not recorded. */
 		if (op == NULL)
 			op = claim_op_dump(item->kind, item->id, item->token,
 			    item->fingerprint, item->status, NULL);
--- a/src/log-client.h
+++ b/src/log-client.h
@@ -48,6 +48,11 @@
 	void (*close)(struct log_client *);
 };
 
+/**
+ * struct log_client - client of the log; the first member of each protocol's
+ * own struct.
+ * @ops: functions of the protocol
+ */
 struct log_client {
 	const struct log_ops *ops;
 };
--- a/src/members.c
+++ b/src/members.c
@@ -24,10 +24,11 @@
  * members_init() - initialize a membership of this daemon alone.
  * @ms: the members
  * @set: validated settings
- * @boot: identifier of this run, of which the incarnation is a hash
+ * @incarnation: identifier of this run; hashed to the number that peers get
  */
 void
-members_init(struct members *ms, const struct settings *set, const char *boot)
+members_init(struct members *ms, const struct settings *set,
+    const char *incarnation)
 {
 	g_autofree char *ip = NULL;
 	uint16_t port;
@@ -40,7 +41,7 @@
 	ms->self.name = g_strdup(set->name);
 	ms->self.domain = g_strdup(set->domain);
 	ms->self.name_hash = member_name_hash(set->name);
-	ms->self.incarnation = XXH64(boot, strlen(boot), 0);
+	ms->self.incarnation = XXH64(incarnation, strlen(incarnation), 0);
 	if (setting_split_address(set->peer_address, &ip, &port)) {
 		ms->self.ip = ntohl(inet_addr(ip));
 		ms->self.port = port;
