--- a/src/peer-gossip.c
+++ b/src/peer-gossip.c
@@ -154,7 +154,7 @@
 		if (n == PEER_HOSTS_MAX ||
 		    !evidence_fresh(ev, now, (uint64_t)server->set.evidence_ms))
 			continue;
-		pack.age_ms = age_ms_since(ev->seen_ms, now);
+		pack.age_ms = age_ms_since(ev->as_of_ms, now);
 		pack.load = ev->load;
 		held.state = ev->state;
 		held.shard = ev->shard;
@@ -163,7 +163,7 @@
 		out->news = peer_pack(&pack);
 		out->epoch = ev->epoch;
 		out->held = peer_pack_host_state(&held);
-		out->model = (uint32_t)ev->model;
+		out->model = (uint32_t)ev->model_hash;
 		n++;
 	}
 	g_mutex_unlock(&server->inv.lock);
@@ -294,12 +294,12 @@
 	struct evidence *ev = &host->evidence;
 	uint64_t as_of_ms = sent_ms - MIN(pack.age_ms, sent_ms);
 
-	if (as_of_ms <= ev->seen_ms)
+	if (as_of_ms <= ev->as_of_ms)
 		return;
-	ev->seen_ms = as_of_ms;
+	ev->as_of_ms = as_of_ms;
 	ev->state = (enum host_state)held.state;
 	ev->epoch = in->epoch;
-	ev->model = in->model;
+	ev->model_hash = in->model;
 	ev->shard = held.shard;
 	ev->shards = held.shards;
 	ev->load = pack.load;
--- a/src/prober.c
+++ b/src/prober.c
@@ -55,7 +55,7 @@
 host_probe_stopped(const struct host *host, uint64_t now)
 {
 	return (host->unlisted &&
-	    now > host->evidence.seen_ms + UNLISTED_PROBE_MS &&
+	    now > host->evidence.as_of_ms + UNLISTED_PROBE_MS &&
 	    now > host->last_in_group_ms + UNLISTED_PROBE_MS);
 }
 
@@ -104,7 +104,7 @@
 
 	if (call->status != 200 && call->status != 503)
 		return (false);
-	if (call->json == NULL || call->sent_ms < ev->seen_ms ||
+	if (call->json == NULL || call->sent_ms < ev->as_of_ms ||
 	    !response_is_from(host, call->json))
 		return (false);
 	evidence_parse(ev, call->json, call->sent_ms);
