--- a/src/claim-index.h
+++ b/src/claim-index.h
@@ -54,8 +54,8 @@
  * @offset: offset of the record that claimed the id
  * @done: the response is recorded
  * @status: HTTP status of the recorded response
- * @body: body of the recorded response, NULL if it was not recorded, since it
- *	was too long or not UTF-8
+ * @body: recorded body of the response, or NULL; one that is too long or not
+ *	UTF-8 is not recorded
  */
 struct claim {
 	char *id;
