--- a/src/claim-partition.c
+++ b/src/claim-partition.c
@@ -2,8 +2,8 @@
  * One partition of the claims, with a log stream of its own. A thread takes the
  * operations from the queue, appends them as one record (group commit), reads
  * the stream up to that record, and only then decides them. Any daemon may do
- * so for any partition at any time; that one daemon does it for most requests
- * only saves appends and reads.
+ * so for any partition at any time. Most operations are sent to one daemon,
+ * only to save appends and reads.
  */
 #include <inttypes.h>
 #include <string.h>
@@ -134,7 +134,7 @@
 		json_t *op = claim_op_dump(item->kind, item->id, item->token,
 		    item->fingerprint, item->status, item->body);
 
-		/* A response that is not UTF-8 is not kept, its status is. */
+		/* Without the body: one that is not UTF-8 is not recorded. */
 		if (op == NULL)
 			op = claim_op_dump(item->kind, item->id, item->token,
 			    item->fingerprint, item->status, NULL);
