--- a/tests/test-placer-copies.c
+++ b/tests/test-placer-copies.c
@@ -182,7 +182,7 @@
 	int rc;
 
 	uv_loop_init(&loop);
-	rc = script_main("stage", commands, reset);
+	rc = script_main("placer-copies", commands, reset);
 	pending_lose();
 	g_hash_table_destroy(pending);
 	fleet_clear(&registry.fleet);
