--- a/src/edge.c
+++ b/src/edge.c
@@ -194,7 +194,7 @@
 	e->draining_since_ms = clock_loop_ms(e->loop);
 	event_log(LOG_NOTICE, "leaving", "exchanges=%u", e->fwd.n_exchanges);
 	placer_stop(&e->placer);
-	e->mesh.self.leaving = true;
+	e->mesh.self.draining = true;
 	mesh_send_now(&e->mesh);
 	fwd_drain(&e->fwd);
 	uv_timer_start(&e->drain_timer, on_drain_timer, DRAIN_POLL_MS,
--- a/src/mesh-peers.c
+++ b/src/mesh-peers.c
@@ -190,7 +190,7 @@
 							 MESH_PEER_TIMEOUT_MS;
 
 	return (
-	    within(mesh, peer->relay_heard_ms, bound) && !peer->self.leaving);
+	    within(mesh, peer->relay_heard_ms, bound) && !peer->self.draining);
 }
 
 /**
--- a/src/poison-model.h
+++ b/src/poison-model.h
@@ -37,7 +37,7 @@
 
 /**
  * struct poison_model - clients that send such requests, and the endpoints that
- *crash.
+ * crash.
  * @fleet: the daemons
  * @scheme: how they bound the damage
  * @per_s: attempts per second of each request, at daemons drawn at random
