--- a/src/edge.c
+++ b/src/edge.c
@@ -18,8 +18,8 @@
 #define COUNTER_LOG_TICKS 40
 /* Bound on a call to the store; slow stores respond within some hundred ms. */
 #define STORE_TIMEOUT_MS 1200
-/* Subtracted from key-proof-ms: a proof that the configuration is the newest is
- * used this much shorter. */
+/* A proof that the configuration is the newest is used for this much less than
+ * key-proof-ms, but for half of that at least. */
 #define KEY_PROOF_MARGIN_MS 500
 /* Reads of the configuration within key-proof-ms, so that a proof is still
  * young when it arrives by way of other daemons. */
@@ -233,9 +233,9 @@
 
 /* Returns a fraction of a setting in milliseconds. */
 static unsigned
-fraction_ms(int64_t bound_ms, double part)
+fraction_ms(int64_t bound_ms, double fraction)
 {
-	return ((unsigned)((double)bound_ms * part));
+	return ((unsigned)((double)bound_ms * fraction));
 }
 
 /* Sets how old updates from peers may get before this daemon reads the store
--- a/src/fleet-model.c
+++ b/src/fleet-model.c
@@ -23,7 +23,7 @@
 #define FEED_STALE_MIN_MS 2000
 #define FEED_STALE_MAX_MS 2800
 /* Records of hosts per second. An entry is written only when more than its
- * heartbeat changed, so a calm fleet writes none. */
+ * heartbeat changed, so a fleet without changes writes none. */
 #define RECORDS_PER_S 0
 /* Daemons of each failure domain with a larger capacity. */
 #define LARGE_PER_DOMAIN 3
@@ -247,16 +247,16 @@
  * fleet_model_start() - start a daemon.
  * @model: the model
  * @index: index of the daemon
- * @in_ms: delay until it starts, in ms
+ * @delay_ms: delay until it starts, in ms
  */
 void
-fleet_model_start(struct fleet_model *model, unsigned index, uint64_t in_ms)
+fleet_model_start(struct fleet_model *model, unsigned index, uint64_t delay_ms)
 {
-	model->daemons[index].start_ms = model->now_ms + in_ms;
+	model->daemons[index].start_ms = model->now_ms + delay_ms;
 }
 
 /**
- * fleet_model_stop() - stop a daemon without a farewell message.
+ * fleet_model_stop() - stop a daemon without a message to the others.
  * @model: the model
  * @index: index of the daemon
  */
@@ -334,14 +334,15 @@
 	mesh_send_entries(&daemon->mesh, from, f->next, none);
 }
 
-/* Whether a daemon queries the store, given when it last received its state
- * from others. */
+/* Whether a daemon queries the store, given the time at which it last received
+ * the store's state from others. */
 static bool
-daemon_queries_store(struct model_daemon *daemon, uint64_t fed_ms,
+daemon_queries_store(struct model_daemon *daemon, uint64_t updated_ms,
     unsigned min_ms, unsigned max_ms)
 {
 	unsigned stale_ms = mesh_stale_after_ms(&daemon->mesh, min_ms, max_ms);
-	bool stale = fed_ms != 0 && daemon->model->now_ms - fed_ms >= stale_ms;
+	bool stale =
+	    updated_ms != 0 && daemon->model->now_ms - updated_ms >= stale_ms;
 
 	daemon->store_queries += stale;
 	return (stale || mesh_is_reader(&daemon->mesh));
--- a/src/http-batch.c
+++ b/src/http-batch.c
@@ -9,7 +9,8 @@
 #define RESPONSE_MAX_BYTES 65536
 #define POLL_TIMEOUT_MS 20
 
-/* A call in progress; @text is the encoded body of the request. */
+/* A call in progress; @body collects the response's body, @text is the encoded
+ * body of the request. */
 struct transfer {
 	struct http_call *call;
 	CURL *easy;
--- a/src/limit-model.c
+++ b/src/limit-model.c
@@ -14,8 +14,8 @@
 #define STABLE_MS 3000
 /* Requests that a daemon sent before it was notified have arrived by then. */
 #define CROSSING_MS 500
-/* Time until an answer of the endpoint arrives. */
-#define ANSWER_MS 5
+/* Time until a response of the endpoint arrives. */
+#define RESPONSE_MS 5
 #define MS_PER_S 1000.0
 
 static struct endpoint *
@@ -109,7 +109,7 @@
 		model_check_window(m);
 	m->n_uninformed += d->notified_ms == 0;
 	if (d->notified_ms == 0)
-		d->notified_ms = now + ANSWER_MS;
+		d->notified_ms = now + RESPONSE_MS;
 	m->scheme->notified(m, index, now);
 }
 
--- a/src/limit-model.h
+++ b/src/limit-model.h
@@ -13,7 +13,7 @@
  * @step: updates the shares, once a millisecond; may be NULL
  * @admit: whether a daemon may send a request now; if so, the request is
  *	counted
- * @notified: called when the endpoint's answer told a daemon of the limit, or
+ * @notified: called when the endpoint's response told a daemon of the limit, or
  *	that there is none
  */
 struct limit_scheme {
--- a/src/limit-schemes.c
+++ b/src/limit-schemes.c
@@ -74,10 +74,10 @@
 
 	for (unsigned i = 0; i < m->fleet->n; i++) {
 		struct limit_daemon *d = &m->daemons[i];
-		double now =
+		double current =
 		    m->fleet->daemons[i].up && i % m->busy == 0 ? m->demand : 0;
 
-		d->demand += DEMAND_ALPHA * (now - d->demand);
+		d->demand += DEMAND_ALPHA * (current - d->demand);
 		sum += d->demand;
 	}
 	for (unsigned i = 0; i < m->fleet->n && sum > 0; i++)
--- a/src/mesh-config.c
+++ b/src/mesh-config.c
@@ -21,18 +21,18 @@
 /* Applies a fetched configuration, with the peer's proof that it was the
  * newest. */
 static void
-on_fetched(void *arg, const struct net_response *answer)
+on_fetched(void *arg, const struct net_response *response)
 {
 	struct mesh *mesh = arg;
 
 	mesh->fetching_config = false;
-	if (answer->status != HTTP_STATUS_OK) {
+	if (response->status != HTTP_STATUS_OK) {
 		event_log(LOG_INFO, "config_not_fetched", "status=%u",
-		    answer->status);
+		    response->status);
 		return;
 	}
-	if (!registry_apply_config(mesh->registry, answer->body->data,
-		answer->body->len, mesh->fetched_offset))
+	if (!registry_apply_config(mesh->registry, response->body->data,
+		response->body->len, mesh->fetched_offset))
 		return;
 	if (mesh->registry->config.held)
 		topic_follower_adopt(&mesh->registry->config,
--- a/src/mesh-message.h
+++ b/src/mesh-message.h
@@ -20,6 +20,7 @@
 /* Members of one cell: the daemons of one failure domain that report to its
  * relay. */
 #define MESH_MEMBERS_MAX 512
+/* Size of a name, in bytes, with its terminating NUL. */
 #define MESH_NAME_MAX 64
 /* Largest datagram, in bytes. */
 #define MESH_DATAGRAM_MAX 16384
@@ -52,6 +53,7 @@
 	MESH_FLEET_SUMMARY,
 };
 
+/* Size of an array that is indexed by enum mesh_kind. */
 #define MESH_KINDS (MESH_FLEET_SUMMARY + 1)
 
 /**
@@ -83,7 +85,7 @@
  * @id_hash: hash of the endpoint's id
  * @milli_per_s: limit for all daemons together, in thousandths of a request per
  *	second; MESH_NO_LIMIT where the endpoint no longer names one
- * @age_ms: time since an answer of the endpoint said so, in ms
+ * @age_ms: time since a response of the endpoint said so, in ms
  * @users: daemons of the sender's cell that may use the endpoint
  * @each_micro_per_s: rate of each of these, in millionths of a request per
  *	second
@@ -141,7 +143,7 @@
 /**
  * struct mesh_self - what a daemon reports about itself.
  * @placer: it holds the placer's lease
- * @draining: it is shutting down
+ * @draining: it completes its requests and shuts down
  * @store_ok: the store answers it
  * @serving: it, or a daemon that it reports on, has received requests from
  *	clients
@@ -161,7 +163,7 @@
  * @name_hash: hash of the daemon's name
  * @term: term of its lease
  * @age_ms: time since it was last heard, in ms; MESH_NEVER for never
- * @can_place: it reaches the store and is not shutting down
+ * @can_place: it reaches the store and is not draining
  */
 struct mesh_placer {
 	uint32_t name_hash;
--- a/src/mesh-peers.c
+++ b/src/mesh-peers.c
@@ -14,8 +14,8 @@
 
 /**
  * mesh_init() - initialize a mesh without peers.
- * @mesh: the mesh; dir, name, domain, capacity, send_datagram and send_arg
- *	are filled in
+ * @mesh: the mesh; registry, name, domain, capacity, send_datagram and
+ *	send_arg are filled in
  * @now_ms: loop time, in ms
  * @incarnation: random number of this run
  */
--- a/src/mesh-poison.c
+++ b/src/mesh-poison.c
@@ -9,8 +9,8 @@
 #define CHANGE_SEND_MS 300
 #define RELAY_CHANGE_SEND_MS 600
 /* Unchanged requests are repeated at this interval, in rotation. A request with
- * a single crash, which is most often a bystander, is repeated only for
- * SINGLE_REPEAT_MS. */
+ * a single crash is repeated only for SINGLE_REPEAT_MS: it is most often a
+ * bystander, which ran at an endpoint that another request crashed. */
 #define REPEAT_INTERVAL_MS 1000
 #define REPEAT_MAX 8
 #define SINGLE_REPEAT_MS 60000
@@ -143,8 +143,8 @@
  * @mesh: the mesh
  * @msg: the datagram; its kind is set
  *
- * Requests that crashed several endpoints go first: most of those that crashed
- * one are innocent.
+ * Requests with several crashes go first: most of those with one crash are
+ * bystanders.
  */
 void
 mesh_fill_poison(struct mesh *mesh, struct mesh_message *msg)
--- a/src/mesh-receive.c
+++ b/src/mesh-receive.c
@@ -18,17 +18,17 @@
 
 /*
  * Time as of which a peer's configuration was the newest. The peer answered a
- * message that left here at @asked_ms, so its proof is at least as recent as
+ * message that left here at @sent_ms, so its proof is at least as recent as
  * that time less the age that it states; the transit time of the answer can
  * only make it more recent.
  */
 static uint64_t
-proof_ms(const struct mesh_message *msg, uint64_t asked_ms)
+proof_ms(const struct mesh_message *msg, uint64_t sent_ms)
 {
-	if (asked_ms == 0 || msg->config_age_ms == MESH_NEVER ||
-	    msg->config_age_ms >= asked_ms)
+	if (sent_ms == 0 || msg->config_age_ms == MESH_NEVER ||
+	    msg->config_age_ms >= sent_ms)
 		return (0);
-	return (asked_ms - msg->config_age_ms);
+	return (sent_ms - msg->config_age_ms);
 }
 
 /*
--- a/src/mesh-role.c
+++ b/src/mesh-role.c
@@ -1,6 +1,6 @@
 /*
  * Choice of relays, of the daemon that reads the store for the others, and of
- * the placer. Pure.
+ * the placer. No function here does I/O.
  *
  * The full state of hundreds of daemons can't be sent from each to every other.
  * The daemons of a failure domain therefore form a cell and report to one of
@@ -104,8 +104,7 @@
 	    !trial_failed(mesh, peer) && !peer->self.draining);
 }
 
-/* Finds the most preferred daemon of this cell that satisfies a predicate.
- */
+/* Finds the most preferred daemon of this cell that satisfies a predicate. */
 static struct mesh_peer *
 cell_find_first(const struct mesh *mesh,
     bool (*matches)(const struct mesh *, const struct mesh_peer *))
@@ -237,7 +236,7 @@
 
 /* Whether a daemon is a relay and the store answers it. */
 static bool
-peer_able(const struct mesh *mesh, const struct mesh_peer *peer)
+relay_reaches_store(const struct mesh *mesh, const struct mesh_peer *peer)
 {
 	return (mesh_peer_is_relay(mesh, peer) && peer->self.store_ok);
 }
@@ -256,7 +255,7 @@
 	unsigned ahead = 0, relays = 0;
 
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
-		bool able = peer_able(mesh, peer);
+		bool able = relay_reaches_store(mesh, peer);
 
 		relays += able;
 		ahead += able && !mesh_outranks(mesh, peer);
@@ -283,7 +282,7 @@
 	if (mesh->relay != NULL || mesh->records_read_ms == 0)
 		return (false);
 	TAILQ_FOREACH(peer, &mesh->peers, entry)
-		reached = reached || peer_able(mesh, peer);
+		reached = reached || relay_reaches_store(mesh, peer);
 	if (reached && !mesh->self.store_ok)
 		return (false);
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
--- a/src/mesh-serve.c
+++ b/src/mesh-serve.c
@@ -10,7 +10,8 @@
 /* Entries of some hundred endpoints at some hundred bytes each, served to a
  * cell of daemons that all start at once. */
 #define FETCH_TIMEOUT_MS 1500
-/* Room for the header of an answer with entries. */
+/* Room for the header of a response with entries, and for each record's fixed
+ * part. */
 #define HEADER_BYTES 256
 
 /* Serves the configuration in force here. */
@@ -70,7 +71,7 @@
 }
 
 /**
- * mesh_serve() - answer a request of another daemon.
+ * mesh_serve() - respond to a request of another daemon.
  * @arg: the struct mesh
  * @path: path of the request
  * @body: filled in
@@ -91,21 +92,21 @@
 
 /* Applies fetched entries. */
 static void
-on_entries(void *arg, const struct net_response *answer)
+on_entries(void *arg, const struct net_response *response)
 {
 	struct mesh *mesh = arg;
 	struct mesh_entries entries;
 
 	mesh->fetching_entries = false;
-	if (answer->status != HTTP_STATUS_OK) {
+	if (response->status != HTTP_STATUS_OK) {
 		event_log(LOG_INFO, "entries_not_fetched", "status=%u",
-		    answer->status);
+		    response->status);
 		return;
 	}
-	if (!mesh_entries_decode(&entries, (char *)answer->body->data,
-		answer->body->len))
+	if (!mesh_entries_decode(&entries, (char *)response->body->data,
+		response->body->len))
 		event_log(LOG_WARNING, "entries_ignored",
-		    "bytes=%u reason=format", answer->body->len);
+		    "bytes=%u reason=format", response->body->len);
 	else
 		registry_apply_snapshot(mesh->registry, entries.end,
 		    entries.records, mesh->now_ms);
--- a/src/mesh-shares.c
+++ b/src/mesh-shares.c
@@ -1,5 +1,6 @@
 /*
- * Shares of the limits that endpoints name for all daemons together. Pure.
+ * Shares of the limits that endpoints name for all daemons together. No
+ * function here does I/O.
  *
  * Endpoints may name a limit of few requests per second to many daemons. Equal
  * shares would give each daemon one request in minutes, and allow as many at
@@ -57,7 +58,7 @@
  * @cells: by failure domain; this daemon's own first
  * @n_cells: number of @cells
  * @n_alive: number of live daemons
- * @part: that number as a fraction of the recent peak
+ * @alive_ratio: that number as a fraction of the recent peak
  * @others: hashes of the names of the other members of this daemon's cell
  * @n_others: number of @others
  */
@@ -65,7 +66,7 @@
 	struct limit_cell cells[CELLS_MAX];
 	unsigned n_cells;
 	unsigned n_alive;
-	double part;
+	double alive_ratio;
 	uint32_t others[MESH_MEMBERS_MAX];
 	unsigned n_others;
 };
@@ -142,7 +143,7 @@
 
 /* Live daemons as a fraction of the recent peak. */
 static double
-view_part(struct mesh *mesh, unsigned n_alive)
+view_alive_ratio(struct mesh *mesh, unsigned n_alive)
 {
 	unsigned peak = peak_update(mesh, n_alive);
 
@@ -169,7 +170,7 @@
 		    mesh_peer_is_relay(mesh, peer))
 			view_add(view, peer->domain, MAX(peer->n_alive, 1));
 	}
-	view->part = view_part(mesh,
+	view->alive_ratio = view_alive_ratio(mesh,
 	    mesh->relay == NULL ? view->n_alive : 1 + mesh->n_others);
 }
 
@@ -222,10 +223,10 @@
 	struct endpoint_limit *limit = &ep->limit;
 	double rate = endpoint_limit_rate(limit);
 	double max_users =
-	    floor((USERS_PER_RATE * rate + USERS_BASE) * view->part);
+	    floor((USERS_PER_RATE * rate + USERS_BASE) * view->alive_ratio);
 	unsigned users = cells_share(view, ep->id_hash,
 	    (unsigned)CLAMP(max_users, 1, (double)view->n_alive));
-	double each = rate * view->part / users;
+	double each = rate * view->alive_ratio / users;
 
 	if (limit->cell_users == view->cells[0].users &&
 	    limit->cell_each_per_s == each)
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -99,7 +99,7 @@
 
 /**
  * mesh_open() - start to listen and to send.
- * @mesh: the mesh; dir, name, domain and capacity are filled in
+ * @mesh: the mesh; registry, name, domain and capacity are filled in
  * @loop: the event loop
  * @addr: address to listen on
  *
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -108,7 +108,7 @@
  * @name_hash: hash of its name
  * @term: term of its lease
  * @heard_ms: time as of which it was last known to hold it; 0 for never
- * @can_place: it reaches the store and is not shutting down
+ * @can_place: it reaches the store and is not draining
  * @gap_ms: moving average of the interval between such times, in ms
  */
 struct mesh_holder {
@@ -199,8 +199,8 @@
  * @limits_sent_ms: when unchanged limits were last repeated, by kind of
  *	datagram; 0 for never
  * @limits_next: index of the limit that is repeated next, by kind of datagram
- * @poison_sent_ms: when unchanged suspected requests was last repeated, by kind
- *	of datagram; 0 for never
+ * @poison_sent_ms: when unchanged suspected requests were last repeated, by
+ *	kind of datagram; 0 for never
  * @poison_next: index of the suspected request that is repeated next, by kind
  *	of datagram
  * @missed: called when entries are missing and no peer supplied them
--- a/src/poison-model.c
+++ b/src/poison-model.c
@@ -11,10 +11,10 @@
  * have passed. */
 #define LATE_AFTER_CRASHES 3
 #define STABLE_MS 3000
-/* Bystanders on an endpoint, and how many of these, in thousandths, met the
- * previous crash as well. */
+/* Bystanders on an endpoint that crashes, and how many of these, in
+ * thousandths, were on the endpoint that crashed before as well. */
 #define BYSTANDERS_PER_CRASH 25
-#define MEET_THOUSANDTHS 100
+#define REPEAT_THOUSANDTHS 100
 #define MS_PER_S 1000
 /* First fingerprint of bystanders. */
 #define FIRST_BYSTANDER 1000000u
@@ -81,8 +81,8 @@
 		    &crash, m->fleet->now_ms);
 }
 
-/* Adds the crash to the bystanders: some that met the previous one, the rest
- * new. */
+/* Adds the crash to its bystanders: some of the previous crash, the rest new.
+ */
 static void
 model_crash_bystanders(struct poison_model *m)
 {
@@ -94,7 +94,7 @@
 		uint64_t fingerprint = m->next_fingerprint;
 
 		if (i < previous->len &&
-		    fleet_model_random(m->fleet, MS_PER_S) < MEET_THOUSANDTHS)
+		    fleet_model_random(m->fleet, MS_PER_S) < REPEAT_THOUSANDTHS)
 			fingerprint = g_array_index(previous, uint64_t, i);
 		else
 			m->next_fingerprint++;
--- a/src/poison-model.h
+++ b/src/poison-model.h
@@ -48,8 +48,7 @@
  * @n_crashes: number of crashes
  * @third_crash_ms: time of the third crash by each request; 0 before
  * @crashes: number of crashes by each request
- * @n_late: sends of each request later than the settling time after its third
- *	crash
+ * @n_late: sends of each request at least 3 s after its third crash
  * @last_crash_ms: time of the newest crash
  * @next_fingerprint: fingerprint of the next bystander
  */
