--- a/src/edge-announce.c
+++ b/src/edge-announce.c
@@ -72,8 +72,8 @@
 	    store_result_name(response->result),
 	    (unsigned long long)response->end);
 	/* If two daemons start together, at least the one that writes later
-	 * reads the other's record. A daemon that a relay has told of the
-	 * others need not read again. */
+	 * reads the other's record. A daemon that hears a relay learns of
+	 * the others from it and need not read again. */
 	if (!mesh_relay_alive(mesh))
 		topic_follower_resync(&e->daemons);
 }
--- a/src/edge-setting.h
+++ b/src/edge-setting.h
@@ -7,8 +7,9 @@
 /**
  * struct edge_settings - the checked settings.
  *
- * Each field is a setting of the same name; see the table in edge-setting.c for
- * meanings, units, ranges and defaults.
+ * Each field but @check is a setting of the same name; see the table in
+ * edge-setting.c for meanings, units, ranges and defaults. With @check the
+ * daemon checks its settings and exits.
  */
 struct edge_settings {
 	char *config;
--- a/src/limit-model.c
+++ b/src/limit-model.c
@@ -187,8 +187,8 @@
 	return (sum);
 }
 
-/* The scheme in use: a few daemons share the whole limit, chosen from what they
- * tell each other. */
+/* The scheme in use: a few daemons share the whole limit, chosen from the
+ * state that daemons exchange. */
 static bool
 users_admit(struct limit_model *m, unsigned index)
 {
--- a/src/mesh-feed.c
+++ b/src/mesh-feed.c
@@ -3,8 +3,8 @@
  * the store, and forwarded by relays to their cells.
  *
  * This saves hundreds of daemons from each reading the store. A lost datagram
- * is made good by the repetition of its records with the next one, then by
- * asking a peer to resend, and only then by a read of the store.
+ * is compensated for by the repetition of its records with the next one, then
+ * by a peer that resends it on request, and only then by a read of the store.
  */
 #include <string.h>
 
@@ -13,8 +13,8 @@
 
 /* Records in one datagram; at about 400 bytes each it stays below 5 KB. */
 #define ENTRIES_PER_DATAGRAM 12
-/* Missing entries may still arrive within this time: they leave the reader just
- * before other daemons' messages can say that they exist. */
+/* Missing entries may still arrive within this time: the reader sends them just
+ * before other daemons' messages can show that they exist. */
 #define GAP_WAIT_MS 100
 /* Interval between two resend requests. */
 #define RESEND_RETRY_MS 150
--- a/src/mesh-limits.c
+++ b/src/mesh-limits.c
@@ -16,8 +16,8 @@
 #define REPEAT_MAX 16
 /* The removal of a limit is repeated for this long. */
 #define REMOVAL_SEND_MS 10000
-/* A daemon reports to its relay what endpoints told it directly within this
- * time. */
+/* A daemon reports a limit to its relay for this long after the endpoint named
+ * it to the daemon itself. */
 #define DIRECT_REPORT_MS 2000
 #define MILLI 1000.0
 #define MICRO 1e6
--- a/src/mesh-poison.c
+++ b/src/mesh-poison.c
@@ -24,7 +24,7 @@
 }
 
 /* Whether a datagram of a kind carries what is known from an origin: the
- * receivers are told of the rest by others. */
+ * receivers get the rest from others. */
 static bool
 origin_sent(enum mesh_kind kind, enum poison_origin origin)
 {
--- a/src/mesh-send.c
+++ b/src/mesh-send.c
@@ -480,8 +480,8 @@
 			mesh_send(mesh);
 		return;
 	}
-	/* Rounds to the nearest round: half a round early is as good as half a
-	 * round late. */
+	/* Sends in the round nearest to the due time: half a round early is as
+	 * good as half a round late. */
 	if (mesh->now_ms - mesh->sent_ms + MESH_ROUND_MS / 2 >=
 	    mesh->send_interval_ms)
 		mesh_send(mesh);
--- a/src/net-call.c
+++ b/src/net-call.c
@@ -1,6 +1,6 @@
 /*
  * HTTP calls whose response is kept in memory until it is complete; used for
- * the store, and for orders and status requests to endpoints.
+ * the store, and for orders and queries to endpoints.
  */
 #include <arpa/inet.h>
 
--- a/src/net-stream.c
+++ b/src/net-stream.c
@@ -50,7 +50,8 @@
 
 /*
  * libuv reports a hang-up that arrives together with data as an end of file,
- * even if the peer reset the connection, so the socket is asked.
+ * even if the peer reset the connection, so the socket itself is
+ * checked.
  */
 static bool
 stream_was_reset(struct net_stream *stream)
--- a/src/poison-model.c
+++ b/src/poison-model.c
@@ -160,8 +160,8 @@
 	}
 }
 
-/* For schemes in which daemons do not tell each other: marks everything as
- * sent. */
+/* For schemes in which daemons do not share what they suspect: marks all
+ * suspected requests as sent. */
 static void
 model_suppress_sends(struct poison_model *m)
 {
--- a/tests/test-mesh.c
+++ b/tests/test-mesh.c
@@ -334,7 +334,7 @@
 	return (catalog);
 }
 
-static const struct registry_decoders fake_decode = { .config = fake_config };
+static const struct registry_decoders fake_decoders = { .config = fake_config };
 
 /* set-config NAME version=N: a daemon obtains a newer configuration from
  * elsewhere */
@@ -348,7 +348,7 @@
 	/* Keeps the other daemons from fetching it. */
 	for (unsigned i = 0; i < model->n; i++)
 		model->daemons[i].mesh.fetching_config = true;
-	registry->decode = &fake_decode;
+	registry->decode = &fake_decoders;
 	registry_apply_config(registry, version, strlen(version), 0);
 	g_clear_pointer(&registry->config_bytes, g_bytes_unref);
 }
