--- a/src/edge.c
+++ b/src/edge.c
@@ -347,7 +347,7 @@
 		e->fwd.set.retry.window_ms, clock_loop_ms(e->loop));
 	edge_choose_reader(e);
 	edge_update_fallback(e);
-	e->mesh.self.serving = e->fwd.stats.counts[COUNT_REQUESTS] > 0;
+	e->mesh.self.served = e->fwd.stats.counts[COUNT_REQUESTS] > 0;
 	registry_sweep(&e->registry, clock_loop_ms(e->loop));
 	fwd_poison_sweep(&e->fwd);
 	edge_quarantine_update(e);
--- a/src/mesh-message.c
+++ b/src/mesh-message.c
@@ -40,7 +40,7 @@
 {
 	return (xdr_flag(xdr, &self->placer) &&
 	    xdr_flag(xdr, &self->draining) && xdr_flag(xdr, &self->store_ok) &&
-	    xdr_flag(xdr, &self->serving) && xdr_int64_t(xdr, &self->term));
+	    xdr_flag(xdr, &self->served) && xdr_int64_t(xdr, &self->term));
 }
 
 static bool_t
--- a/src/mesh-message.h
+++ b/src/mesh-message.h
@@ -145,7 +145,7 @@
  * @placer: it holds the placer's lease
  * @draining: it completes its requests and shuts down
  * @store_ok: the store answers it
- * @serving: it, or a daemon that it reports on, has received requests from
+ * @served: it, or a daemon that it reports on, has received requests from
  *	clients
  * @term: newest term of the placer's lease that it knows of
  */
@@ -153,7 +153,7 @@
 	bool placer;
 	bool draining;
 	bool store_ok;
-	bool serving;
+	bool served;
 	int64_t term;
 };
 
--- a/src/mesh-send.c
+++ b/src/mesh-send.c
@@ -172,7 +172,7 @@
 	msg->ping = mesh->now_ms;
 	msg->self = mesh->self;
 	if (kind == MESH_CELL_SUMMARY || kind == MESH_FLEET_SUMMARY)
-		msg->self.serving = mesh_serving(mesh);
+		msg->self.served = mesh_has_served(mesh);
 	fill_placer(mesh, &msg->placer);
 	fill_relay(mesh, &msg->relay);
 	fill_config(mesh, msg);
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -296,7 +296,7 @@
 bool mesh_peer_maybe_alive(const struct mesh *, const struct mesh_peer *);
 bool mesh_relay_alive(const struct mesh *);
 unsigned mesh_count_alive(const struct mesh *);
-bool mesh_serving(const struct mesh *);
+bool mesh_has_served(const struct mesh *);
 
 /* mesh-role.c: choice of relays, of the store's reader and of the placer. */
 bool mesh_flat(const struct mesh *);
