--- a/src/gossip.c
+++ b/src/gossip.c
@@ -79,7 +79,7 @@
 static bool
 remote_needed(struct server *server)
 {
-	uint64_t used = atomic_load(&server->remote_ms);
+	uint64_t used = atomic_load(&server->remote_used_ms);
 
 	return (used != 0 && clock_now_ms() < used + REMOTE_USED_MS);
 }
@@ -99,7 +99,7 @@
 	if (selected->len == 0 || round % GOSSIP_SEED_ROUNDS == 0)
 		select_seeds(server, selected);
 	pull_all(server, selected);
-	if (controller_holds(server))
+	if (controller_holds_lease(server))
 		pull_hosts(server, round);
 }
 
