--- a/src/http-batch.c
+++ b/src/http-batch.c
@@ -138,7 +138,7 @@
 	curl_multi_add_handle(batch->multi, t->easy);
 }
 
-/* Counts the bytes of a call in the cost of probes. */
+/* Counts the bytes of a call as control traffic of probes. */
 static void
 transfer_count_bytes(CURL *easy, const struct transfer *t)
 {
