--- a/src/registry-catalog.h
+++ b/src/registry-catalog.h
@@ -44,14 +44,14 @@
  * @step_ms: base time of a decoding step
  * @per_seq_ms: added to a step for each request that is decoding
  * @context_per_k_ms: added to a step for each 1,000 tokens of context
- * @read_per_ms: prompt tokens prefilled in a millisecond
+ * @prefill_per_ms: prompt tokens prefilled in a millisecond
  * @pairs_per_m_ms: attention time of a million pairs of tokens in prefill
  * @chunk: most prompt tokens of a pass; first events did not show it
  * @stride: steps in a pass that has decoding requests
  * @loads_per_s: most model loads that may start in a second
  * @loads_at_once: concurrent loads beyond which each slows down
  * @usual_prompt: mean length of a prompt, in tokens
- * @usual_answer: mean length of a response, in tokens
+ * @usual_response: mean length of a response, in tokens
  * @staged_limit: number of models that a host keeps local copies of
  * @form_ms: time from the order to open until a group serves
  * @models: models that the engines can serve, of struct model_profile
@@ -62,14 +62,14 @@
 	double step_ms;
 	double per_seq_ms;
 	double context_per_k_ms;
-	double read_per_ms;
+	double prefill_per_ms;
 	double pairs_per_m_ms;
 	double chunk;
 	double stride;
 	double loads_per_s;
 	unsigned loads_at_once;
 	double usual_prompt;
-	double usual_answer;
+	double usual_response;
 	unsigned staged_limit;
 	double form_ms;
 	GPtrArray *models;
--- a/src/registry-follower.c
+++ b/src/registry-follower.c
@@ -155,8 +155,7 @@
 	f->synced = true;
 	/* Daemons that follow peers have not read this snapshot. */
 	if (known && f->ops->advanced != NULL)
-		f->ops->advanced(f->owner, MIN(f->asked_from, f->next),
-		    f->next);
+		f->ops->advanced(f->owner, MIN(f->read_from, f->next), f->next);
 }
 
 static void
@@ -214,7 +213,7 @@
 	/* Updates from peers may have moved f->next during the read, so the
 	 * range begins where the read did. */
 	if (f->ops->advanced != NULL)
-		f->ops->advanced(f->owner, f->asked_from, f->next);
+		f->ops->advanced(f->owner, f->read_from, f->next);
 	follower_schedule_next(f);
 }
 
@@ -236,14 +235,14 @@
 	if (f->stopped || f->busy || f->held)
 		return;
 	uv_timer_stop(&f->timer);
-	f->asked_ms = clock_loop_ms(f->loop);
+	f->called_ms = clock_loop_ms(f->loop);
 	f->relays = f->reader || follower_lacks_updates(f);
 	if (f->snapshot_due && f->snapshot_keys == NULL)
 		follower_restart(f);
 	f->snapshot_due = false;
 	/* All pages of a snapshot have the start offset of the first. */
 	if (f->snapshot_keys == NULL || f->after == NULL)
-		f->asked_from = f->next;
+		f->read_from = f->next;
 	if (f->snapshot_keys != NULL)
 		started = f->store->ops->newest(f->store, f->topic, f->after,
 		    on_snapshot_page, f);
@@ -365,7 +364,7 @@
 void
 topic_follower_poll(struct topic_follower *f)
 {
-	uint64_t due = f->asked_ms + POLL_MIN_MS, now = clock_loop_ms(f->loop);
+	uint64_t due = f->called_ms + POLL_MIN_MS, now = clock_loop_ms(f->loop);
 	bool sooner = !uv_is_active((uv_handle_t *)&f->timer) ||
 	    uv_timer_get_due_in(&f->timer) > due - MIN(now, due);
 
@@ -475,7 +474,7 @@
 bool
 topic_follower_overtaken(const struct topic_follower *f)
 {
-	return (f->snapshot_keys == NULL && f->next > f->asked_from);
+	return (f->snapshot_keys == NULL && f->next > f->read_from);
 }
 
 /**
--- a/src/registry-follower.h
+++ b/src/registry-follower.h
@@ -39,8 +39,8 @@
  * @partial: updates from peers leave out records that only a reader needs
  * @snapshot_due: the local copy lacks records that peers left out, so a
  *	snapshot is to be read
- * @asked_ms: loop time of the newest call to the store
- * @asked_from: offset at which the newest read began; for a snapshot, the
+ * @called_ms: loop time of the newest call to the store
+ * @read_from: offset at which the newest read began; for a snapshot, the
  *	offset up to which the topic was known before
  * @peer_update_ms: loop time as of which updates from peers are complete
  * @timer: runs out when the next read is due
@@ -71,8 +71,8 @@
 	bool relays;
 	bool partial;
 	bool snapshot_due;
-	uint64_t asked_ms;
-	uint64_t asked_from;
+	uint64_t called_ms;
+	uint64_t read_from;
 	uint64_t peer_update_ms;
 	uv_timer_t timer;
 	uint64_t next;
--- a/src/registry.h
+++ b/src/registry.h
@@ -15,7 +15,7 @@
 #define REGISTRY_RECOVERY_MS 2300
 /* Lapses read this soon after an outage date from the outage; later ones are
  * current. */
-#define REGISTRY_BACKLOG_MS 250
+#define REGISTRY_CATCH_UP_MS 250
 /* An update from peers counts as an answer of the store for this long. */
 #define REGISTRY_PEER_UPDATE_MS 1500
 /* Largest accepted lead of an endpoint's clock over the clock here: no clock
--- a/tests/test-follow.c
+++ b/tests/test-follow.c
@@ -135,7 +135,7 @@
 exec_reader(const char *rest, GString *out)
 {
 	/* The least time between two reads has passed. */
-	follow.asked_ms = 0;
+	follow.called_ms = 0;
 	topic_follower_set_reader(&follow, script_number(rest, "on", 1) != 0);
 	flush(out);
 }
@@ -144,7 +144,7 @@
 static void
 exec_poll(const char *rest, GString *out)
 {
-	follow.asked_ms = 0;
+	follow.called_ms = 0;
 	topic_follower_poll(&follow);
 	flush(out);
 }
