--- a/src/mesh-entries.h
+++ b/src/mesh-entries.h
@@ -22,7 +22,7 @@
  * @from: the records are all that changed from this store offset on
  * @end: up to this one
  * @regained_age_ms: time since the store answered the sender again after an
- *outage, in ms; UINT32_MAX for never
+ *	outage, in ms; UINT32_MAX for never
  * @records: the changed records, of struct store_record
  */
 struct mesh_entries {
