--- a/src/bench-limits.c
+++ b/src/bench-limits.c
@@ -30,8 +30,8 @@
 	&limit_scheme_demand, &limit_scheme_owner, &limit_scheme_users };
 
 /*
- * Prints the requests beyond what the limit allows, and the part of it that is
- * used, with a scheme. Every busy-th daemon has requests.
+ * Prints, for a scheme, the number of requests over the limit and the part of
+ * the limit that is used. Every busy-th daemon has requests.
  */
 static void
 print_scheme(const struct limit_scheme *scheme, unsigned daemons, unsigned busy,
@@ -63,7 +63,7 @@
 	fflush(stdout);
 }
 
-/* Sets limits of some endpoints; each tells another daemon every second. */
+/* Sets limits of some endpoints; each tells a different daemon each second. */
 static void
 set_limits(struct fleet_model *fleet, unsigned limited, unsigned second)
 {
@@ -80,7 +80,7 @@
 	}
 }
 
-/* Prints traffic and CPU time with that many endpoints that have a limit. */
+/* Prints traffic and CPU time; limited is how many endpoints have a limit. */
 static void
 print_cost(unsigned daemons, unsigned domains, unsigned endpoints,
     unsigned limited)
@@ -120,8 +120,7 @@
 		print_cost(9, 3, 18, MIN(limited[i], 18));
 }
 
-/* bench limits [DAEMONS]: requests beyond the limit, part of it that is used.
- */
+/* bench limits [DAEMONS]: requests over the limit, and the part of it used. */
 static int
 bench_limits_exec(int argc, const char **argv)
 {
--- a/src/bench-placement.c
+++ b/src/bench-placement.c
@@ -12,16 +12,18 @@
 #include "place.h"
 
 #define TICK_MS 500
-/* A host that is silent for this long is not alive any more. */
+/* A host that has been silent for this long counts as dead. */
 #define DEAD_MS 5000
-/* Older evidence about a host has expired after this. */
+/* A host that left a group or came back without memory is reusable only after
+ * this time, when older evidence about it has expired. */
 #define EVIDENCE_MS 2500
 /* Time to set up a group anew for a host that still has its shard. */
 #define REINIT_MS 5000
 /* Accelerators of each host. */
 #define ACCELERATORS 2
-/* Time for which a leaving host counts as lost already. */
+/* A leaving host counts as lost for this long already. */
 #define LEAVING_LOST_MS 3600000
+/* Length of the arrays of hosts and of groups, of which there is one more. */
 #define HOSTS_MAX 64
 /* Weights of downtime against stranded time in the two columns of scores. */
 #define DOWNTIME_WEIGHT_CARRERA 0.8
--- a/src/bench-routing.c
+++ b/src/bench-routing.c
@@ -25,12 +25,14 @@
 #define PREFILL_PER_S 8000
 #define TOKEN_BASE_US 12000
 #define TOKEN_BATCH_US 350
+/* Maximum number of completions that an engine decodes at once. */
 #define BATCH_MAX 64
+/* Prefixes that an engine's cache holds. */
 #define CACHE_PREFIXES 24
 /* Index of the engine that is slower, and by which factor. */
 #define STRAGGLER 5
 #define STRAGGLER_FACTOR 3
-/* Requests per second that the engines sustain; see the calibration. */
+/* Requests per second that the engines sustain, by calibration. */
 #define CAPACITY_PER_S 130.0
 
 /*
@@ -78,7 +80,7 @@
 	unsigned cache_hits, done;
 };
 
-/* Reads a trace; lines that are no prompt are skipped. */
+/* Reads a trace; other lines than prompts are skipped. */
 static GArray *
 prompts_read(const char *path)
 {
@@ -288,16 +290,16 @@
 	}
 }
 
-/* Returns a percentile in ms of times in us, which it sorts. */
+/* Returns a quantile, in ms, of times in us, which it sorts. */
 static double
-percentile_ms(GArray *values, double share)
+percentile_ms(GArray *values, double quantile)
 {
 	size_t i;
 
 	if (values->len == 0)
 		return (0);
 	qsort(values->data, values->len, sizeof(uint64_t), compare_u64);
-	i = (size_t)(share * (values->len - 1));
+	i = (size_t)(quantile * (values->len - 1));
 	return ((double)g_array_index(values, uint64_t, i) / 1000);
 }
 
--- a/src/bench-slopes.c
+++ b/src/bench-slopes.c
@@ -30,6 +30,7 @@
 	return (info.uordblks + info.hblkhd);
 }
 
+/* Prints time, memory kept and bytes sent, each for one more item. */
 static void
 print_row(const char *what, double us, double memory, double wire)
 {
--- a/src/bench-trace.c
+++ b/src/bench-trace.c
@@ -14,6 +14,7 @@
 static bool
 read_event(struct trace *t, const char *line)
 {
+	/* In the order of enum trace_kind. */
 	static const char *const kinds[] = { "down", "up", "resume", "leave" };
 	struct trace_event e;
 	unsigned long long at;
@@ -42,7 +43,7 @@
 	t->n_fabrics++;
 }
 
-/* Reads any line; false if it is malformed. */
+/* Reads one line of any sort; false if it is malformed. */
 static bool
 read_line(struct trace *t, const char *line)
 {
--- a/src/cmd-call.c
+++ b/src/cmd-call.c
@@ -64,7 +64,8 @@
  * @arg: argument of @write
  *
  * Return: CMD_OK at the end of the body, and when the time limit has passed,
- * which is how a watch ends.
+ * which is how a watch ends; otherwise CMD_UNAVAILABLE, after a message on
+ * standard error.
  */
 enum cmd_exit
 cmd_stream(const struct cmd_context *ctx, const char *url,
--- a/src/cmd-explain.c
+++ b/src/cmd-explain.c
@@ -11,7 +11,8 @@
  * before its first line until this long after its last.
  */
 #define MARGIN_MS 2000
-/* Feedback of an endpoint stays in force, so it is shown from this early on. */
+/* Feedback of an endpoint stays in force, so it is shown from this long before
+ * the request's first line. */
 #define FEEDBACK_BEFORE_MS 60000
 
 /* Log events that tell why an endpoint is or is not used. */
@@ -73,7 +74,8 @@
 	return (false);
 }
 
-/* Whether a line is about the request's fingerprint and not after its end. */
+/* Whether a line is about a fingerprint of the request and not later than the
+ * request's last line. */
 static bool
 line_about_fingerprint(const struct log_line *line,
     const struct explain_scope *scope)
@@ -85,7 +87,8 @@
 	    g_hash_table_contains(scope->fingerprints, fingerprint));
 }
 
-/* Whether a line is shown: the request's own, or one that may explain them. */
+/* Whether a line is shown: one of the request's own, or one that may explain
+ * these. */
 static bool
 line_in_timeline(const struct log_line *line, const char *id,
     const struct explain_scope *scope)
--- a/src/cmd-status.c
+++ b/src/cmd-status.c
@@ -1,4 +1,4 @@
-/* bankliftctl status: shows one daemon's view of daemons and endpoints. */
+/* bankliftctl status: shows a daemon's view of daemons and targets. */
 #include <stdio.h>
 
 #include "cleanup.h"
--- a/src/cmd-wait.c
+++ b/src/cmd-wait.c
@@ -1,4 +1,4 @@
-/* bankliftctl wait VERSION: waits until it is in force at all daemons given. */
+/* bankliftctl wait VERSION: waits until all daemons given have it in force. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -8,6 +8,8 @@
 
 /* Pause between two polls of the daemons. */
 #define POLL_MS 50
+/* Time limit of one request for a daemon's status. */
+#define STATUS_TIMEOUT_MS 1000
 
 /* Returns the version in force at a daemon, -1 if it does not respond. */
 static long long
@@ -16,8 +18,8 @@
 	CLEANUP(http_response_clear) struct http_response response = { 0 };
 	g_autofree char *url = g_strconcat(base, "/status", NULL);
 
-	if (!http_client_send("GET", url, NULL, ctx->token, 1000, &response,
-		NULL) ||
+	if (!http_client_send("GET", url, NULL, ctx->token, STATUS_TIMEOUT_MS,
+		&response, NULL) ||
 	    response.status != 200)
 		return (-1);
 	return (json_integer_value(json_object_get(response.json, "in_force")));
--- a/src/cmd-watch.c
+++ b/src/cmd-watch.c
@@ -3,7 +3,7 @@
 
 #include "cmd.h"
 
-/* Flushes each piece, so that a pipe sees a change at once. */
+/* Prints what arrives and flushes it, so that a pipe gets a change at once. */
 static size_t
 watch_write(char *data, size_t size, size_t n, void *arg)
 {
--- a/src/controller.c
+++ b/src/controller.c
@@ -18,6 +18,7 @@
 #include "server.h"
 #include "usage.h"
 
+/* Time between two rounds of the controller. */
 #define TICK_MS 200
 /* Shorter than lease-wait-ms less lease-hold-ms (4 s by default): the holder's
  * last orders time out before a successor may take over. */
@@ -69,7 +70,7 @@
 
 /* Decides what is to be done about the lease; sets *term to its term. */
 static enum lease_step
-lease_step(struct controller *c, uint64_t *term)
+lease_decide(struct controller *c, uint64_t *term)
 {
 	struct server *server = c->server;
 	uint64_t now = clock_now_ms();
@@ -91,22 +92,22 @@
 lease_maintain(struct controller *c)
 {
 	uint64_t term;
-	enum lease_step step = lease_step(c, &term);
+	enum lease_step step = lease_decide(c, &term);
 
 	if (atomic_load(&c->server->draining)) {
 		if (lease_elector_holds(&c->elector, clock_now_ms())) {
 			lease_write(c, "lease", "", term);
-			lease_step(c, &term);
+			lease_decide(c, &term);
 		}
 	} else if (step == LEASE_TAKE) {
 		lease_write(c, "lease", c->server->holder, term);
-		lease_step(c, &term);
+		lease_decide(c, &term);
 		if (lease_elector_holds(&c->elector, clock_now_ms()))
 			event_log(LOG_NOTICE, "lease_taken", "domain=%s",
 			    c->server->set.domain);
 	} else if (step == LEASE_RENEW) {
 		lease_write(c, "renew", c->server->holder, term);
-		lease_step(c, &term);
+		lease_decide(c, &term);
 	}
 	atomic_store(&hold_until_ms, c->elector.hold_until_ms);
 }
--- a/src/event-log.c
+++ b/src/event-log.c
@@ -146,7 +146,8 @@
 	memmove(log_buffer.bytes, log_buffer.bytes + n, log_buffer.used);
 }
 
-/* Writes a line by a single write(2), so that lines of threads do not mix. */
+/* Buffers a line, or writes it by a single write(2), so that the lines of
+ * several threads do not mix. */
 static void
 event_log_write(int level, const char *event, const char *fmt, va_list ap)
 {
--- a/src/operator-status.c
+++ b/src/operator-status.c
@@ -11,6 +11,9 @@
 #include "policy-series.h"
 #include "usage.h"
 
+/* The log counts as reachable this long after the last successful read. */
+#define LOG_OK_AGE_MS 5000
+
 /* Lists the other daemons. */
 static json_t *
 status_members(struct server *server, uint64_t now)
@@ -92,7 +95,7 @@
 		(json_int_t)server_view_next(server) - 1, "digest", hex,
 		"ready", server_ready(server), "leaving",
 		atomic_load(&server->draining), "log_ok",
-		config_log_ok(&server->config, 5000), "controller",
+		config_log_ok(&server->config, LOG_OK_AGE_MS), "controller",
 		controller_holds_lease(server), "active",
 		(json_int_t)atomic_load(&server->active), "members",
 		status_members(server, now), "targets",
--- a/src/orders.c
+++ b/src/orders.c
@@ -115,7 +115,7 @@
 
 /*
  * Chooses the host that joins next, from the group that lacks the fewest hosts:
- * with the limited loads from the weight store it is complete soonest.
+ * loads from the weight store are limited, and this group is complete soonest.
  */
 static struct host *
 next_join(const struct state *state, struct inventory *inv,
--- a/src/prober.c
+++ b/src/prober.c
@@ -15,7 +15,7 @@
 #include "publish.h"
 #include "server.h"
 
-/* Number of daemons that probe each group, free host or endpoint. */
+/* Number of daemons that probe each group, and each host in no group. */
 #define PROBERS_PER_KEY 2
 #define PROBE_TIMEOUT_MS 800
 /* An unlisted host that is silent and in no group for this long is no longer
@@ -50,7 +50,7 @@
 	return (group != NULL ? group->epoch : host->name_hash);
 }
 
-/* An unlisted host is probed for as long as it answers. */
+/* Whether an unlisted host is no longer probed, as UNLISTED_PROBE_MS says. */
 static bool
 host_probe_stopped(const struct host *host, uint64_t now)
 {
@@ -127,7 +127,8 @@
 	g_mutex_unlock(&server->view_lock);
 }
 
-/* Updates the medians that stragglers are judged against, once per round. */
+/* Updates the median latencies that stragglers are judged against, once per
+ * round. */
 static void
 update_medians(struct server *server)
 {
--- a/src/resource-check.c
+++ b/src/resource-check.c
@@ -118,13 +118,13 @@
 check_split(json_t *value)
 {
 	const char *policy;
-	json_t *share;
+	json_t *percent;
 	json_int_t sum = 0;
 
-	json_object_foreach(value, policy, share) {
+	json_object_foreach(value, policy, percent) {
 		if (route_policy_find(policy) == NULL)
 			return (false);
-		sum += json_integer_value(share);
+		sum += json_integer_value(percent);
 	}
 	return (sum == 100);
 }
--- a/src/setting-table.c
+++ b/src/setting-table.c
@@ -92,7 +92,7 @@
 	return (true);
 }
 
-/* Parses a number, which deployments may write with fraction or exponent. */
+/* Parses a number, which installations may write with fraction or exponent. */
 static bool
 setting_read_number(const struct setting *s, const char *value, double *n,
     GError **error)
@@ -118,7 +118,7 @@
 	return (true);
 }
 
-/* Stores whole milliseconds; no timer here is finer. */
+/* Stores whole milliseconds, as no timer is finer. */
 static bool
 setting_store_millis(const struct setting *s, void *set, const char *value,
     GError **error)
@@ -233,7 +233,8 @@
 	return (ok);
 }
 
-/* Returns the value from flag, environment, file or default, or NULL. */
+/* Returns the value of the first that has one, of flag, environment, file and
+ * default; NULL if none has. */
 static char *
 setting_find(const struct setting *s, const char *flag, GKeyFile *file)
 {
@@ -279,7 +280,8 @@
  * @set: struct to fill in by the offsets; free with setting_table_free()
  * @source: where values are looked up
  * @check: set to whether --check was given
- * @error: ERROR_BAD_SETTING with the setting and its allowed range
+ * @error: ERROR_BAD_SETTING with the setting and its allowed range, or GLib's
+ *	error if the file cannot be read
  */
 bool
 setting_table_parse(const struct setting *table, void *set,
--- a/src/status-server.c
+++ b/src/status-server.c
@@ -79,7 +79,8 @@
 	net_stream_close(stream);
 }
 
-/* Each response is queued as a whole, so there is nothing more to write. */
+/* Each response is queued as a whole, so there is nothing more to write; a new
+ * connection has nothing to write either. */
 static void
 conn_drained(struct net_stream *stream)
 {
