--- a/src/bench-fleet.c
+++ b/src/bench-fleet.c
@@ -30,8 +30,8 @@
 	fleet_model_run(model, MEASURE_MS);
 	fleet_model_measure(model, &stats);
 	printf("%7u %7u %9u %6u %6u-%u %6.1f %8.1f %9.1f %9.0f %9.0f %6u\n",
-	    daemons, domains, endpoints, stats.relays, stats.alive_least,
-	    stats.alive_most, stats.sent_s, stats.sent_max_s, stats.received_s,
+	    daemons, domains, endpoints, stats.relays, stats.alive_min,
+	    stats.alive_max, stats.sent_s, stats.sent_max_s, stats.received_s,
 	    stats.received_bytes_s, stats.sent_bytes_max_s,
 	    stats.relay_changes);
 	fleet_model_free(model);
--- a/src/peer-gossip.c
+++ b/src/peer-gossip.c
@@ -7,12 +7,12 @@
 #include "server.h"
 
 /**
- * peer_gossip_self() - fill in the entry of this daemon.
+ * peer_gossip_fill_self() - fill in the entry of this daemon.
  * @server: this daemon
  * @out: filled in; the strings remain owned by @server
  */
 void
-peer_gossip_self(struct server *server, struct peer_member *out)
+peer_gossip_fill_self(struct server *server, struct peer_member *out)
 {
 	const struct member *self = &server->members.self;
 
@@ -93,8 +93,8 @@
 		out->port = m->port;
 		out->boot = m->incarnation;
 		out->applied = m->next_offset;
-		out->age_ms = age_ms_since(m->seen_ms, now);
-		out->leaving = m->leaving;
+		out->age_ms = age_ms_since(m->as_of_ms, now);
+		out->leaving = m->draining;
 		n++;
 	}
 	g_mutex_unlock(&ms->lock);
@@ -118,8 +118,8 @@
 		if (n == PEER_LIVES_MAX || !member_alive(ms, m, now) ||
 		    strcmp(m->domain, server->set.domain) != 0)
 			continue;
-		pack.age_ms = age_ms_since(m->seen_ms, now);
-		pack.flag = m->leaving;
+		pack.age_ms = age_ms_since(m->as_of_ms, now);
+		pack.flag = m->draining;
 		out->key = (uint32_t)m->name_hash;
 		out->news = peer_pack(&pack);
 		n++;
@@ -178,7 +178,7 @@
 	uint64_t now = clock_now_ms();
 
 	memset(reply, 0, sizeof *reply);
-	peer_gossip_self(server, &reply->self);
+	peer_gossip_fill_self(server, &reply->self);
 	reply->self.name = g_strdup(reply->self.name);
 	reply->self.domain = g_strdup(reply->self.domain);
 	fill_targets(server, now, reply);
@@ -198,7 +198,7 @@
 		.port = (uint16_t)in->port,
 		.incarnation = in->boot,
 		.next_offset = in->applied,
-		.leaving = in->leaving };
+		.draining = in->leaving };
 
 	if (in->name[0] != '\0' && in->age_ms < sent_ms)
 		members_update(&server->members, &update, sent_ms - in->age_ms);
--- a/src/placer-form.c
+++ b/src/placer-form.c
@@ -486,7 +486,7 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	if (mesh_serving(p->mesh))
+	if (mesh_has_served(p->mesh))
 		placer_record_served(p);
 	placer_copies_update(p, now_ms);
 	if (hosts > p->n_hosts)
--- a/tests/test-fuzz.c
+++ b/tests/test-fuzz.c
@@ -214,7 +214,7 @@
 {
 	static struct mesh_message msg;
 
-	mesh_message_clear(&msg);
+	mesh_message_init(&msg);
 	msg.kind = MESH_FLEET_SUMMARY;
 	g_strlcpy(msg.name, "d1", sizeof msg.name);
 	g_strlcpy(msg.domain, "z1", sizeof msg.domain);
