--- a/soak/soak-caller.c
+++ b/soak/soak-client.c
@@ -2,7 +2,7 @@
  * Callers of the soak: each keeps its connection open, sends one request after
  * another to its daemon, and checks what it sees.
  *
- *	soak-caller SEED SECONDS CALLERS IP...
+ *	soak-client SEED SECONDS CALLERS IP...
  *
  * One line per request on standard output:
  *	ID KIND IP STATUS OUTCOME SENT-MS END-MS
--- a/tests/fake-log.c
+++ b/tests/fake-log.c
@@ -22,15 +22,15 @@
 	bool ok = false;
 
 	g_mutex_lock(&log->lock);
-	g_atomic_int_inc(&log->asked);
-	if (!log->down && log->refuse == 0) {
+	g_atomic_int_inc(&log->append_calls);
+	if (!log->down && log->fail_appends == 0) {
 		*offset = fake_log_add(log, record);
-		ok = log->lose == 0;
+		ok = log->lose_responses == 0;
 	}
-	if (!ok && log->refuse > 0)
-		log->refuse--;
-	else if (!ok && log->lose > 0)
-		log->lose--;
+	if (!ok && log->fail_appends > 0)
+		log->fail_appends--;
+	else if (!ok && log->lose_responses > 0)
+		log->lose_responses--;
 	g_mutex_unlock(&log->lock);
 	if (!ok)
 		error_set(error, ERROR_LOG_UNAVAILABLE, "fake");
--- a/tests/fake-log.h
+++ b/tests/fake-log.h
@@ -10,9 +10,9 @@
  * @records: texts, from offset 1
  * @first: oldest offset that is kept
  * @down: every call fails
- * @lose: the next appends that take effect without an answer
- * @asked: appends that were asked for
- * @refuse: the next appends that fail without effect
+ * @lose_responses: the next appends that take effect without an answer
+ * @append_calls: appends that were asked for
+ * @fail_appends: the next appends that fail without effect
  */
 struct fake_log {
 	struct log_client client;
@@ -20,9 +20,9 @@
 	GPtrArray *records;
 	uint64_t first;
 	bool down;
-	unsigned lose;
-	int asked;
-	unsigned refuse;
+	unsigned lose_responses;
+	int append_calls;
+	unsigned fail_appends;
 };
 
 void fake_log_init(struct fake_log *);
--- a/tests/fake-platform.h
+++ b/tests/fake-platform.h
@@ -91,7 +91,7 @@
 void topic_add(enum topic, const char *, const void *, size_t);
 void store_request(struct conn *);
 
-/* fake-points.c: engines that form groups, and plain endpoints. */
+/* fake-endpoints.c: engines that form groups, and plain endpoints. */
 void point_beat(struct point *);
 void point_request(struct conn *);
 char *point_says(const struct conn *);
@@ -100,7 +100,8 @@
 void group_order(struct conn *);
 void group_beat(struct point *);
 
-/* fake-rest.c: endpoints that rest or leave, and what they get all the same. */
+/* fake-backoff.c: endpoints that rest or leave, and what they get all the same.
+ */
 uint32_t conn_caller(const struct conn *);
 void rest_judge(const struct conn *);
 bool rest_refuse(struct conn *);
