--- a/Makefile
+++ b/Makefile
@@ -19,7 +19,7 @@
 	$(wildcard src/*.c))
 STANDIN = $(patsubst tests/%.c,%,$(wildcard tests/standin-*.c))
 UNIT = $(patsubst tests/%.c,%,$(wildcard tests/test-*.c))
-PROGRAMS = bankliftd banklift-edge bankliftctl banklift-bench load-streams edge-suspended $(STANDIN) $(UNIT) soak-proxy soak-caller
+PROGRAMS = bankliftd banklift-edge bankliftctl banklift-bench load-streams edge-suspended $(STANDIN) $(UNIT) soak-proxy soak-client
 
 LIB_OBJ = $(LIB_SRC:%.c=$(BUILD)/%.o) $(PLATFORM_SRC:%.c=$(BUILD)/%.o) $(RPC_SRC:%.c=$(BUILD)/%.o)
 
@@ -59,8 +59,8 @@
 $(BUILD)/standin-%: $(BUILD)/tests/standin-%.o $(BUILD)/tests/fault.o \
 	$(BUILD)/libbanklift.a
 	@$(CC) -o $@ $^ $(LIBS)
-$(BUILD)/standin-platform: $(BUILD)/tests/fake-store.o $(BUILD)/tests/fake-points.o \
-	$(BUILD)/tests/fake-group.o $(BUILD)/tests/fake-rest.o \
+$(BUILD)/standin-platform: $(BUILD)/tests/fake-store.o $(BUILD)/tests/fake-endpoints.o \
+	$(BUILD)/tests/fake-group.o $(BUILD)/tests/fake-backoff.o \
 	$(BUILD)/tests/fake-limit.o $(BUILD)/tests/fake-crash.o
 $(BUILD)/test-%: $(BUILD)/tests/test-%.o $(BUILD)/tests/script.o \
 	$(BUILD)/tests/fake-log.o \
--- a/soak/soak-caller.c
+++ b/soak/soak-client.c
@@ -1,15 +1,21 @@
 /*
- * Callers of the soak: each keeps its connection open, sends one request after
- * another to its daemon, and checks what it sees.
+ * Load generator and checker of the soak: each client keeps its connection
+ * open, sends one request after another to its daemon, and checks each
+ *response.
  *
- *	soak-caller SEED SECONDS CALLERS IP...
+ *	soak-client SEED SECONDS CLIENTS IP...
  *
- * One line per request on standard output:
+ * It prints one line per request:
  *	ID KIND IP STATUS OUTCOME SENT-MS END-MS
- * with the outcomes ok, refused (with when to come back), not-run (refused,
- * and said not to have run), failed (it may have run), cut (the connection
- *ended first), unsent (it could not be made), late (no end in time) and
- *bad-WHAT (a broken promise).
+ * The outcomes are:
+ *	ok		complete and correct response
+ *	refused		refused, with Retry-After
+ *	not-run		refused, with Retry-After, and reported not to have run
+ *	failed		failed; it may have run
+ *	cut		the connection ended before the response
+ *	unsent		the connection could not be made
+ *	late		no complete response within TIMEOUT_MS
+ *	bad-WHAT	the response breaks a guarantee
  */
 #include <glib.h>
 #include <signal.h>
@@ -21,13 +27,13 @@
 #include "net-stream.h"
 
 #define PORT 8080
-/* Events of one stream of the stand-in. */
-#define EVENTS 8
-/* Longest time budget of the soak's routes, and what a pause may add. */
-#define LATE_MS 7000
-/* Between two requests of one caller, and before it connects again. */
+/* Number of events of a stream of the stand-in. */
+#define STREAM_EVENTS 8
+/* Longest time budget of the soak's routes, plus what a pause may add. */
+#define TIMEOUT_MS 7000
+/* Delay between requests of a client, and before it reconnects. */
 #define THINK_MS 30
-#define AGAIN_MS 100
+#define RECONNECT_MS 100
 
 enum kind {
 	KIND_LOOK,
@@ -38,8 +44,8 @@
 
 static const char *const kind_names[KINDS] = { "look", "once", "write" };
 
-/* One caller and its request. */
-struct caller {
+/* A client and its request. */
+struct client {
 	struct net_stream stream;
 	uv_timer_t timer;
 	http_parser parser;
@@ -51,15 +57,15 @@
 	int64_t sent_ms;
 	unsigned status;
 	bool connected;
-	bool busy;
+	bool in_flight;
 };
 
 static uv_loop_t *loop;
-static GRand *dice;
+static GRand *rng;
 static int64_t stop_ms;
 static unsigned serial;
 
-static void caller_think(struct caller *, uint64_t);
+static void client_think(struct client *, uint64_t);
 
 static int64_t
 wall_ms(void)
@@ -68,38 +74,38 @@
 }
 
 static void
-caller_log(struct caller *c, const char *outcome)
+client_log(struct client *c, const char *outcome)
 {
 	printf("%s %s %s %u %s %lld %lld\n", c->id, kind_names[c->kind], c->ip,
 	    c->status, outcome, (long long)c->sent_ms, (long long)wall_ms());
-	c->busy = false;
+	c->in_flight = false;
 }
 
-/* Whether the events of a stream are all there, once and in order. */
+/* Returns whether a stream has all of its events once and in order. */
 static bool
-stream_whole(const char *body)
+stream_is_complete(const char *body)
 {
 	g_autoptr(GString) want = g_string_new(NULL);
 
-	for (int i = 0; i < EVENTS; i++)
+	for (int i = 0; i < STREAM_EVENTS; i++)
 		g_string_append_printf(want, "id: %d\ndata: e%d\n\n", i, i);
 	return (strcmp(want->str, body) == 0);
 }
 
-/* Judges a whole answer. */
+/* Checks a complete response; returns the outcome. */
 static const char *
-caller_judge(struct caller *c)
+client_check_response(struct client *c)
 {
 	const char *id = net_head_find(&c->head, "attempt-id");
 
 	if (id != NULL && strcmp(id, c->id) != 0)
 		return ("bad-other");
 	if (c->status == HTTP_STATUS_OK && c->kind == KIND_WRITE)
-		return (stream_whole(c->body->str) ? "ok" : "bad-stream");
+		return (stream_is_complete(c->body->str) ? "ok" : "bad-stream");
 	if (c->status == HTTP_STATUS_OK)
 		return (strcmp(c->body->str, "whole answer") == 0 ? "ok" :
 								    "bad-body");
-	/* What may have run; when to come back isn't promised for these. */
+	/* It may have run; Retry-After is not guaranteed for these. */
 	if (c->status == HTTP_STATUS_INTERNAL_SERVER_ERROR ||
 	    c->status == HTTP_STATUS_BAD_GATEWAY ||
 	    c->status == HTTP_STATUS_GATEWAY_TIMEOUT)
@@ -114,7 +120,7 @@
 static int
 on_begin(http_parser *parser)
 {
-	struct caller *c = parser->data;
+	struct client *c = parser->data;
 
 	net_head_reset(&c->head);
 	g_string_truncate(c->body, 0);
@@ -124,21 +130,21 @@
 static int
 on_field(http_parser *parser, const char *at, size_t length)
 {
-	net_head_add_name(&((struct caller *)parser->data)->head, at, length);
+	net_head_add_name(&((struct client *)parser->data)->head, at, length);
 	return (0);
 }
 
 static int
 on_value(http_parser *parser, const char *at, size_t length)
 {
-	net_head_add_value(&((struct caller *)parser->data)->head, at, length);
+	net_head_add_value(&((struct client *)parser->data)->head, at, length);
 	return (0);
 }
 
 static int
 on_body(http_parser *parser, const char *at, size_t length)
 {
-	g_string_append_len(((struct caller *)parser->data)->body, at,
+	g_string_append_len(((struct client *)parser->data)->body, at,
 	    (gssize)length);
 	return (0);
 }
@@ -146,17 +152,17 @@
 static int
 on_complete(http_parser *parser)
 {
-	struct caller *c = parser->data;
+	struct client *c = parser->data;
 
 	net_head_close_value(&c->head);
 	c->status = parser->status_code;
-	if (!c->busy) {
-		caller_log(c, "bad-unasked");
+	if (!c->in_flight) {
+		client_log(c, "bad-unasked");
 		return (0);
 	}
-	caller_log(c, caller_judge(c));
+	client_log(c, client_check_response(c));
 	if (http_should_keep_alive(parser))
-		caller_think(c, THINK_MS);
+		client_think(c, THINK_MS);
 	else
 		net_stream_close(&c->stream);
 	return (0);
@@ -171,20 +177,20 @@
 };
 
 static void
-on_late(uv_timer_t *timer)
+on_timeout(uv_timer_t *timer)
 {
-	struct caller *c = timer->data;
+	struct client *c = timer->data;
 
-	caller_log(c, "late");
+	client_log(c, "late");
 	net_stream_close(&c->stream);
 }
 
 static void
-caller_send(struct caller *c)
+client_send(struct client *c)
 {
 	g_autofree char *text = NULL;
 
-	c->kind = (enum kind)g_rand_int_range(dice, 0, KINDS);
+	c->kind = (enum kind)g_rand_int_range(rng, 0, KINDS);
 	snprintf(c->id, sizeof c->id, "s%u", ++serial);
 	text = g_strdup_printf("POST /%s/x HTTP/1.1\r\nHost: h\r\n"
 			       "X-Api-Key: k1\r\nAttempt-Id: %s\r\nModel: m\r\n"
@@ -193,13 +199,13 @@
 	    kind_names[c->kind], c->id);
 	c->sent_ms = wall_ms();
 	c->status = 0;
-	c->busy = true;
+	c->in_flight = true;
 	net_stream_write(&c->stream, text, strlen(text));
-	uv_timer_start(&c->timer, on_late, LATE_MS, 0);
+	uv_timer_start(&c->timer, on_timeout, TIMEOUT_MS, 0);
 }
 
 static void
-caller_connect(struct caller *c)
+client_connect(struct client *c)
 {
 	struct sockaddr_in addr;
 
@@ -213,84 +219,84 @@
 static void
 on_think(uv_timer_t *timer)
 {
-	struct caller *c = timer->data;
+	struct client *c = timer->data;
 
 	if (wall_ms() >= stop_ms)
 		net_stream_close(&c->stream);
 	else
-		caller_send(c);
+		client_send(c);
 }
 
 static void
-caller_think(struct caller *c, uint64_t ms)
+client_think(struct client *c, uint64_t ms)
 {
 	uv_timer_start(&c->timer, on_think, ms, 0);
 }
 
 static void
-caller_connected(struct net_stream *stream)
+client_connected(struct net_stream *stream)
 {
-	struct caller *c = stream->owner;
+	struct client *c = stream->owner;
 
 	c->connected = true;
-	caller_send(c);
+	client_send(c);
 }
 
 static void
-caller_readable(struct net_stream *stream, const char *at, size_t length)
+client_readable(struct net_stream *stream, const char *at, size_t length)
 {
-	struct caller *c = stream->owner;
+	struct client *c = stream->owner;
 
 	if (http_parser_execute(&c->parser, &settings, at, length) == length)
 		return;
-	if (c->busy)
-		caller_log(c, "bad-http");
+	if (c->in_flight)
+		client_log(c, "bad-http");
 	net_stream_close(stream);
 }
 
 static void
-caller_ended(struct net_stream *stream, bool clean)
+client_ended(struct net_stream *stream, bool clean)
 {
-	struct caller *c = stream->owner;
+	struct client *c = stream->owner;
 
-	if (c->busy)
-		caller_log(c, c->connected ? "cut" : "unsent");
+	if (c->in_flight)
+		client_log(c, c->connected ? "cut" : "unsent");
 	net_stream_close(stream);
 }
 
 static void
-caller_drained(struct net_stream *stream)
+client_drained(struct net_stream *stream)
 {
 }
 
-static const struct net_stream_ops caller_ops;
+static const struct net_stream_ops client_ops;
 
 static void
-on_again(uv_timer_t *timer)
+on_reconnect(uv_timer_t *timer)
 {
-	struct caller *c = timer->data;
+	struct client *c = timer->data;
 
-	net_stream_init(&c->stream, loop, &caller_ops, c);
-	caller_connect(c);
+	net_stream_init(&c->stream, loop, &client_ops, c);
+	client_connect(c);
 }
 
 static void
-caller_closed(struct net_stream *stream)
+client_closed(struct net_stream *stream)
 {
-	struct caller *c = stream->owner;
+	struct client *c = stream->owner;
 
 	if (wall_ms() < stop_ms)
-		uv_timer_start(&c->timer, on_again, AGAIN_MS, 0);
+		uv_timer_start(&c->timer, on_reconnect, RECONNECT_MS, 0);
 	else
 		uv_timer_stop(&c->timer);
 }
 
-static const struct net_stream_ops caller_ops = {
-	.connected = caller_connected,
-	.readable = caller_readable,
-	.ended = caller_ended,
-	.drained = caller_drained,
-	.closed = caller_closed,
+static const struct net_stream_ops client_ops = {
+	.connected = client_connected,
+	.readable = client_readable,
+	.ended = client_ended,
+	.drained = client_drained,
+	.closed = client_closed,
 };
 
 int
@@ -299,17 +305,17 @@
 	int n;
 
 	if (argc < 5) {
-		fprintf(stderr, "usage: %s SEED SECONDS CALLERS IP...\n",
+		fprintf(stderr, "usage: %s SEED SECONDS CLIENTS IP...\n",
 		    argv[0]);
 		return (2);
 	}
 	signal(SIGPIPE, SIG_IGN);
 	loop = uv_default_loop();
-	dice = g_rand_new_with_seed((guint32)strtoul(argv[1], NULL, 10));
+	rng = g_rand_new_with_seed((guint32)strtoul(argv[1], NULL, 10));
 	stop_ms = wall_ms() + 1000 * atoi(argv[2]);
 	n = atoi(argv[3]);
 	for (int i = 0; i < n; i++) {
-		struct caller *c = g_new0(struct caller, 1);
+		struct client *c = g_new0(struct client, 1);
 
 		c->ip = argv[4 + i % (argc - 4)];
 		c->body = g_string_new(NULL);
@@ -317,8 +323,8 @@
 		c->parser.data = c;
 		uv_timer_init(loop, &c->timer);
 		c->timer.data = c;
-		net_stream_init(&c->stream, loop, &caller_ops, c);
-		caller_connect(c);
+		net_stream_init(&c->stream, loop, &client_ops, c);
+		client_connect(c);
 	}
 	return (uv_run(loop, UV_RUN_DEFAULT));
 }
--- a/soak/soak-proxy.c
+++ b/soak/soak-proxy.c
@@ -1,13 +1,18 @@
 /*
- * Loopback proxy of the soak: forwards connections, and spoils them on order.
+ * Loopback proxy of the soak: forwards connections and injects faults.
  *
  *	soak-proxy LISTEN-IP TARGET-IP
  *
- * Both sides use port 9000. Orders come on standard input, one a line:
- * pass, delay MS, hold-up (what clients send is kept back), hold-down (what
- * the target sends is), silent (both), reset (all connections, then pass),
- * refuse (new connections are closed at once). What is held is sent on when
- * the order ends, unless its connection has gone.
+ * Both sides use port 9000. Commands are read from standard input, one per
+ * line; each replaces the one before:
+ *	pass		forward all data
+ *	delay MS	forward data after a delay
+ *	hold-up		hold back data from clients
+ *	hold-down	hold back data from the target
+ *	silent		hold back both
+ *	reset		reset all connections, then pass
+ *	refuse		close new connections at once
+ * Data that was held back is forwarded later if its connection still exists.
  */
 #include <glib.h>
 #include <signal.h>
@@ -21,7 +26,7 @@
 
 struct link;
 
-/* One of the two sides of a link. */
+/* One side of a link; held: received data not yet forwarded. */
 struct side {
 	struct net_stream stream;
 	struct link *link;
@@ -42,8 +47,8 @@
 static GPtrArray *links;
 static bool hold_up, hold_down, refuse;
 static uint64_t delay_ms;
-static char order[64];
-static size_t order_length;
+static char command[64];
+static size_t command_length;
 
 static void
 link_release(struct link *l)
@@ -81,14 +86,14 @@
 	}
 }
 
-/* Whether bytes that this side sent are kept back. */
+/* Returns whether data received from this side is held back. */
 static bool
 side_held(const struct side *s)
 {
 	return (s == &s->link->client ? hold_up : hold_down);
 }
 
-/* Passes on what this side sent. */
+/* Forwards the data received from this side. */
 static void
 side_flush(struct side *s)
 {
@@ -130,7 +135,7 @@
 }
 
 static void
-side_nothing(struct net_stream *stream)
+side_ignore(struct net_stream *stream)
 {
 }
 
@@ -143,10 +148,10 @@
 }
 
 static const struct net_stream_ops side_ops = {
-	.connected = side_nothing,
+	.connected = side_ignore,
 	.readable = side_readable,
 	.ended = side_ended,
-	.drained = side_nothing,
+	.drained = side_ignore,
 	.closed = side_closed,
 };
 
@@ -176,16 +181,17 @@
 }
 
 static void
-order_run(void)
+command_run(void)
 {
-	hold_up = strcmp(order, "hold-up") == 0 || strcmp(order, "silent") == 0;
+	hold_up =
+	    strcmp(command, "hold-up") == 0 || strcmp(command, "silent") == 0;
 	hold_down =
-	    strcmp(order, "hold-down") == 0 || strcmp(order, "silent") == 0;
-	refuse = strcmp(order, "refuse") == 0;
+	    strcmp(command, "hold-down") == 0 || strcmp(command, "silent") == 0;
+	refuse = strcmp(command, "refuse") == 0;
 	delay_ms = 0;
-	if (g_str_has_prefix(order, "delay "))
-		delay_ms = strtoull(order + 6, NULL, 10);
-	while (strcmp(order, "reset") == 0 && links->len > 0)
+	if (g_str_has_prefix(command, "delay "))
+		delay_ms = strtoull(command + 6, NULL, 10);
+	while (strcmp(command, "reset") == 0 && links->len > 0)
 		link_close(links->pdata[links->len - 1], true);
 	for (guint i = links->len; i-- > 0;) {
 		struct link *l = links->pdata[i];
@@ -196,15 +202,15 @@
 }
 
 static void
-on_order(uv_stream_t *in, ssize_t n, const uv_buf_t *buf)
+on_command(uv_stream_t *in, ssize_t n, const uv_buf_t *buf)
 {
 	for (ssize_t i = 0; i < n; i++) {
 		if (buf->base[i] == '\n') {
-			order[order_length] = '\0';
-			order_length = 0;
-			order_run();
-		} else if (order_length < sizeof order - 1) {
-			order[order_length++] = buf->base[i];
+			command[command_length] = '\0';
+			command_length = 0;
+			command_run();
+		} else if (command_length < sizeof command - 1) {
+			command[command_length++] = buf->base[i];
 		}
 	}
 }
@@ -241,6 +247,6 @@
 	}
 	uv_pipe_init(loop, &in, 0);
 	if (uv_pipe_open(&in, 0) == 0)
-		uv_read_start((uv_stream_t *)&in, on_alloc, on_order);
+		uv_read_start((uv_stream_t *)&in, on_alloc, on_command);
 	return (uv_run(loop, UV_RUN_DEFAULT));
 }
--- a/tests/fake-crash.c
+++ b/tests/fake-crash.c
@@ -1,6 +1,7 @@
 /*
- * Endpoints that end in the stand-in for the users' platform: a marked request
- * ends each endpoint that runs it, and how often it is sent on is judged.
+ * Crashes of endpoints in the stand-in for the users' platform: a marked
+ * request crashes each endpoint that runs it. Requests that daemons send too
+ * often after that are reported in the journal.
  */
 #include <arpa/inet.h>
 #include <string.h>
@@ -9,42 +10,45 @@
 
 #define MARK_RESET "ends-endpoint"
 #define MARK_SILENT "silences-endpoint"
-/* From the begin of a marked request to the end of its endpoint. */
-#define CRASH_MS 60
-/* Until an endpoint that ended is back, unless a switch says otherwise. */
-#define BACK_MS 2500
-/* An entry lapses after three beats that didn't come. */
-#define LAPSE_MS 900
-/* So many ends tell; what comes this much later counts, from callers that had
- * not been started or stood still in so long; and so many more may come. */
-#define ENDS_TOLD 3
-#define STABLE_MS 3000
-#define MORE_MOST 3
+/* From the start of a marked request to the crash of its endpoint. */
+#define CRASH_DELAY_MS 60
+/* Time after which a crashed endpoint restarts, unless a switch sets it. */
+#define RESTART_MS 2500
+/* An entry lapses after three missed heartbeats. */
+#define ENTRY_LAPSE_MS 900
+/*
+ * From GRACE_MS after a request's third crash on, daemons must recognize it:
+ * three more arrivals are allowed, from all daemons. Daemons that were started
+ * or paused within GRACE_MS are not counted.
+ */
+#define CRASHES_THRESHOLD 3
+#define GRACE_MS 3000
+#define EXTRA_ARRIVALS_MAX 3
 #define FINGERPRINT_SHORT 8
 
-/* What one work did. */
-struct crash_work {
-	char *work;
-	unsigned ends;
-	uint64_t told_ms;
-	unsigned more;
+/* A request that crashes endpoints, and its arrivals after GRACE_MS. */
+struct crash_request {
+	char *fingerprint;
+	unsigned n_crashes;
+	uint64_t threshold_ms;
+	unsigned n_extra;
 };
 
-/* An endpoint that is about to end. */
+/* A crash that is scheduled. */
 struct crash {
 	uv_timer_t timer;
-	struct point *point;
-	enum point_end how;
-	char *work;
+	struct fake_endpoint *endpoint;
+	enum crash_mode mode;
+	char *fingerprint;
 	char *id;
 };
 
-static GPtrArray *works;
-static GHashTable *excused;
+static GPtrArray *requests;
+static GHashTable *grace_starts;
 
-/* The same for the same work: where, who and what. */
+/* Returns a hash of path, customer and body; equal for equal requests. */
 static char *
-crash_name(const struct conn *c)
+crash_fingerprint(const struct conn *c)
 {
 	g_autoptr(GChecksum) sum = g_checksum_new(G_CHECKSUM_SHA256);
 	const char *tenant = net_head_find(&c->head, "tenant");
@@ -58,38 +62,39 @@
 	return (g_strndup(g_checksum_get_string(sum), FINGERPRINT_SHORT));
 }
 
-static struct crash_work *
-crash_find(const char *name)
+/* Returns the state of a fingerprint, which is added if it is new. */
+static struct crash_request *
+crash_request_find(const char *fingerprint)
 {
-	struct crash_work *w;
-
-	if (works == NULL)
-		works = g_ptr_array_new();
-	for (guint i = 0; i < works->len; i++) {
-		w = works->pdata[i];
-		if (strcmp(w->work, name) == 0)
-			return (w);
+	struct crash_request *req;
+
+	if (requests == NULL)
+		requests = g_ptr_array_new();
+	for (guint i = 0; i < requests->len; i++) {
+		req = requests->pdata[i];
+		if (strcmp(req->fingerprint, fingerprint) == 0)
+			return (req);
 	}
-	w = g_new0(struct crash_work, 1);
-	w->work = g_strdup(name);
-	g_ptr_array_add(works, w);
-	return (w);
+	req = g_new0(struct crash_request, 1);
+	req->fingerprint = g_strdup(fingerprint);
+	g_ptr_array_add(requests, req);
+	return (req);
 }
 
-/* How a request's body says that its endpoint is to end. */
-static enum point_end
-crash_mark(const struct conn *c)
+/* Returns how a request crashes its endpoint, by the mark in its body. */
+static enum crash_mode
+crash_marked_mode(const struct conn *c)
 {
 	const void *body = c->body->data;
 
 	if (c->body->len == 0 || get_switch("harmless") != 0)
-		return (END_NONE);
+		return (CRASH_NONE);
 	if (memmem(body, c->body->len, MARK_RESET, strlen(MARK_RESET)) != NULL)
-		return (END_RESET);
+		return (CRASH_RESET);
 	if (memmem(body, c->body->len, MARK_SILENT, strlen(MARK_SILENT)) !=
 	    NULL)
-		return (END_SILENT);
-	return (END_NONE);
+		return (CRASH_SILENT);
+	return (CRASH_NONE);
 }
 
 static void
@@ -99,11 +104,11 @@
 }
 
 static void
-point_hang_up(struct point *p)
+fake_endpoint_reset_conns(struct fake_endpoint *ep)
 {
 	struct conn *c, *next;
 
-	for (c = TAILQ_FIRST(&p->conns); c != NULL; c = next) {
+	for (c = TAILQ_FIRST(&ep->conns); c != NULL; c = next) {
 		next = TAILQ_NEXT(c, entry);
 		if (!c->stream.closing)
 			net_stream_reset(&c->stream);
@@ -111,15 +116,15 @@
 }
 
 static void
-point_end(struct point *p, enum point_end how)
+fake_endpoint_crash(struct fake_endpoint *ep, enum crash_mode mode)
 {
-	p->end = how;
-	p->ended_ms = uv_now(fake_loop);
-	if (how == END_SILENT)
+	ep->crash_mode = mode;
+	ep->crashed_ms = uv_now(fake_loop);
+	if (mode == CRASH_SILENT)
 		return;
-	uv_close((uv_handle_t *)p->listener, on_listener_closed);
-	p->listener = NULL;
-	point_hang_up(p);
+	uv_close((uv_handle_t *)ep->listener, on_listener_closed);
+	ep->listener = NULL;
+	fake_endpoint_reset_conns(ep);
 }
 
 static void
@@ -127,7 +132,7 @@
 {
 	struct crash *crash = handle->data;
 
-	g_free(crash->work);
+	g_free(crash->fingerprint);
 	g_free(crash->id);
 	g_free(crash);
 }
@@ -136,104 +141,107 @@
 on_crash(uv_timer_t *timer)
 {
 	struct crash *crash = timer->data;
-	struct crash_work *w = crash_find(crash->work);
+	struct crash_request *req = crash_request_find(crash->fingerprint);
 
-	if (crash->point->end == END_NONE) {
-		w->ends++;
-		if (w->ends == ENDS_TOLD)
-			w->told_ms = uv_now(fake_loop);
+	if (crash->endpoint->crash_mode == CRASH_NONE) {
+		req->n_crashes++;
+		if (req->n_crashes == CRASHES_THRESHOLD)
+			req->threshold_ms = uv_now(fake_loop);
 		g_string_append_printf(fake_journal, "ended %s %s %u %s\n",
-		    crash->point->id, w->work, w->ends, crash->id);
-		point_end(crash->point, crash->how);
+		    crash->endpoint->id, req->fingerprint, req->n_crashes,
+		    crash->id);
+		fake_endpoint_crash(crash->endpoint, crash->mode);
 	}
 	uv_close((uv_handle_t *)timer, on_crash_closed);
 }
 
-/* Begins to run a request; true where it will end its endpoint. */
+/* Schedules the crash if the request is marked; returns whether it is. */
 bool
-crash_begin(struct conn *c)
+crash_schedule(struct conn *c)
 {
-	enum point_end how = crash_mark(c);
+	enum crash_mode mode = crash_marked_mode(c);
 	struct crash *crash;
 
-	if (how == END_NONE)
+	if (mode == CRASH_NONE)
 		return (false);
 	crash = g_new0(struct crash, 1);
-	crash->point = c->point;
-	crash->how = how;
-	crash->work = crash_name(c);
+	crash->endpoint = c->endpoint;
+	crash->mode = mode;
+	crash->fingerprint = crash_fingerprint(c);
 	crash->id = g_strdup(c->id);
 	uv_timer_init(fake_loop, &crash->timer);
 	crash->timer.data = crash;
-	uv_timer_start(&crash->timer, on_crash, CRASH_MS, 0);
+	uv_timer_start(&crash->timer, on_crash, CRASH_DELAY_MS, 0);
 	return (true);
 }
 
-/* Whether a caller was started, or stood still, a short while ago. */
+/* Returns whether a daemon was started or paused within GRACE_MS. */
 static bool
-crash_excused(uint32_t caller, uint64_t now)
+crash_in_grace(uint32_t source_ip, uint64_t now)
 {
-	const uint64_t *at = excused != NULL ?
-	    g_hash_table_lookup(excused, GUINT_TO_POINTER(caller)) :
+	const uint64_t *at = grace_starts != NULL ?
+	    g_hash_table_lookup(grace_starts, GUINT_TO_POINTER(source_ip)) :
 	    NULL;
 
-	return (at != NULL && now - *at < STABLE_MS);
+	return (at != NULL && now - *at < GRACE_MS);
 }
 
-/* Counts a marked request, and complains where it comes too often. */
+/* Counts a marked request, and reports it if there were too many. */
 void
-crash_judge(const struct conn *c)
+crash_check(const struct conn *c)
 {
-	g_autofree char *name = NULL;
+	g_autofree char *fingerprint = NULL;
 	uint64_t now = uv_now(fake_loop);
-	struct crash_work *w;
+	struct crash_request *req;
 
-	if (crash_mark(c) == END_NONE || crash_excused(conn_caller(c), now))
+	if (crash_marked_mode(c) == CRASH_NONE ||
+	    crash_in_grace(conn_source_ip(c), now))
 		return;
-	name = crash_name(c);
-	w = crash_find(name);
-	if (w->ends < ENDS_TOLD || now - w->told_ms < STABLE_MS ||
-	    ++w->more <= MORE_MOST)
+	fingerprint = crash_fingerprint(c);
+	req = crash_request_find(fingerprint);
+	if (req->n_crashes < CRASHES_THRESHOLD ||
+	    now - req->threshold_ms < GRACE_MS ||
+	    ++req->n_extra <= EXTRA_ARRIVALS_MAX)
 		return;
 	g_string_append_printf(fake_journal, "over-crash %s %u %u %s\n",
-	    w->work, w->more, w->ends, c->id);
+	    req->fingerprint, req->n_extra, req->n_crashes, c->id);
 }
 
-/* Lets time pass for an endpoint that has ended. */
+/* Lets the entry of a crashed endpoint lapse, and restarts it in time. */
 void
-crash_beat(struct point *p)
+crash_tick(struct fake_endpoint *ep)
 {
-	uint64_t since = uv_now(fake_loop) - p->ended_ms;
-	int back = get_switch("back") != 0 ? get_switch("back") : BACK_MS;
+	uint64_t since = uv_now(fake_loop) - ep->crashed_ms;
+	int restart_ms =
+	    get_switch("back") != 0 ? get_switch("back") : RESTART_MS;
 
-	if (p->end == END_NONE)
+	if (ep->crash_mode == CRASH_NONE)
 		return;
-	if (since >= LAPSE_MS)
-		topic_add(TOPIC_SERVERS, p->id, "", 0);
-	if (since < (uint64_t)MAX(back, LAPSE_MS))
+	if (since >= ENTRY_LAPSE_MS)
+		topic_add(TOPIC_SERVERS, ep->id, "", 0);
+	if (since < (uint64_t)MAX(restart_ms, ENTRY_LAPSE_MS))
 		return;
-	if (p->end == END_SILENT)
-		point_end(p, END_RESET);
-	p->end = END_NONE;
-	g_clear_pointer(&p->group, g_free);
-	g_clear_pointer(&p->model, g_free);
-	p->epoch = 0;
-	p->seen_epoch = 0;
-	rest_forget(p);
-	limit_forget(p);
-	point_listen(p);
+	if (ep->crash_mode == CRASH_SILENT)
+		fake_endpoint_crash(ep, CRASH_RESET);
+	ep->crash_mode = CRASH_NONE;
+	g_clear_pointer(&ep->group, g_free);
+	g_clear_pointer(&ep->model, g_free);
+	ep->epoch = 0;
+	ep->max_epoch = 0;
+	backoff_forget_endpoint(ep);
+	limit_forget_endpoint(ep);
+	fake_endpoint_listen(ep);
 }
 
-/* What comes soon from a caller that is started, or stood still, is not judged.
- */
+/* Begins the grace time of a daemon that was started or paused. */
 void
-crash_excuse(const char *ip)
+crash_begin_grace(const char *ip)
 {
 	uint64_t *at = g_new(uint64_t, 1);
 
-	if (excused == NULL)
-		excused = g_hash_table_new_full(g_direct_hash, g_direct_equal,
-		    NULL, g_free);
+	if (grace_starts == NULL)
+		grace_starts = g_hash_table_new_full(g_direct_hash,
+		    g_direct_equal, NULL, g_free);
 	*at = uv_now(fake_loop);
-	g_hash_table_insert(excused, GUINT_TO_POINTER(inet_addr(ip)), at);
+	g_hash_table_insert(grace_starts, GUINT_TO_POINTER(inet_addr(ip)), at);
 }
--- a/tests/fake-log.c
+++ b/tests/fake-log.c
@@ -1,10 +1,10 @@
-/* A log in memory, as a table of function pointers, with faults. */
+/* A log client that keeps its records in memory and can simulate faults. */
 #include <string.h>
 
 #include "error.h"
 #include "fake-log.h"
 
-/* Adds a record; returns its offset. */
+/* Appends a record; returns its offset. */
 uint64_t
 fake_log_add(struct fake_log *log, json_t *record)
 {
@@ -22,15 +22,15 @@
 	bool ok = false;
 
 	g_mutex_lock(&log->lock);
-	g_atomic_int_inc(&log->asked);
-	if (!log->down && log->refuse == 0) {
+	g_atomic_int_inc(&log->append_calls);
+	if (!log->down && log->fail_appends == 0) {
 		*offset = fake_log_add(log, record);
-		ok = log->lose == 0;
+		ok = log->lose_responses == 0;
 	}
-	if (!ok && log->refuse > 0)
-		log->refuse--;
-	else if (!ok && log->lose > 0)
-		log->lose--;
+	if (!ok && log->fail_appends > 0)
+		log->fail_appends--;
+	else if (!ok && log->lose_responses > 0)
+		log->lose_responses--;
 	g_mutex_unlock(&log->lock);
 	if (!ok)
 		error_set(error, ERROR_LOG_UNAVAILABLE, "fake");
--- a/tests/fake-log.h
+++ b/tests/fake-log.h
@@ -1,18 +1,19 @@
-/* A log in memory, as a table of function pointers, with faults. */
+/* A log client that keeps its records in memory and can simulate faults. */
 #ifndef TESTS_FAKE_LOG_H
 #define TESTS_FAKE_LOG_H
 
 #include "log-client.h"
 
 /**
- * struct fake_log - one stream in memory.
- * @client: what the code under test sees
- * @records: texts, from offset 1
- * @first: oldest offset that is kept
- * @down: every call fails
- * @lose: the next appends that take effect without an answer
- * @asked: appends that were asked for
- * @refuse: the next appends that fail without effect
+ * struct fake_log - one log stream in memory
+ * @client: interface for the code under test
+ * @lock: protects the other fields
+ * @records: JSON texts; the first has offset 1
+ * @first: oldest offset that is retained
+ * @down: all calls fail
+ * @lose_responses: number of next appends that take effect but return a failure
+ * @append_calls: number of append calls so far
+ * @fail_appends: number of next appends that fail without effect
  */
 struct fake_log {
 	struct log_client client;
@@ -20,9 +21,9 @@
 	GPtrArray *records;
 	uint64_t first;
 	bool down;
-	unsigned lose;
-	int asked;
-	unsigned refuse;
+	unsigned lose_responses;
+	int append_calls;
+	unsigned fail_appends;
 };
 
 void fake_log_init(struct fake_log *);
--- a/tests/fake-platform.h
+++ b/tests/fake-platform.h
@@ -1,4 +1,4 @@
-/* What the parts of the stand-in for the users' platform share. */
+/* Shared declarations of the stand-in for the users' platform. */
 #ifndef TESTS_FAKE_PLATFORM_H
 #define TESTS_FAKE_PLATFORM_H
 
@@ -8,10 +8,10 @@
 #include "net-head.h"
 #include "net-stream.h"
 
-/* Where the store and each endpoint listen. */
+/* Port of the store and of each endpoint. */
 #define FAKE_PORT 9000
-/* Events of a stream. */
-#define EVENTS 8
+/* Number of events of a stream. */
+#define STREAM_EVENTS 8
 
 enum topic {
 	TOPIC_OP,
@@ -21,29 +21,32 @@
 	TOPICS,
 };
 
-/* How an endpoint has ended, until it is back. */
-enum point_end {
-	END_NONE,
-	END_RESET,
-	END_SILENT,
+/* How an endpoint has crashed; CRASH_NONE while it runs. */
+enum crash_mode {
+	CRASH_NONE,
+	CRASH_RESET,
+	CRASH_SILENT,
 };
 
 TAILQ_HEAD(conn_list, conn);
 
-/* An engine or plain endpoint. */
-struct point {
+/*
+ * An engine or plain endpoint. max_epoch: highest epoch of a join so far;
+ * stalled_ms: when the head's group lost a member; n_runs: requests run.
+ */
+struct fake_endpoint {
 	char ip[32];
 	char id[32];
 	char name[16];
 	unsigned starts;
-	enum point_end end;
-	uint64_t ended_ms;
+	enum crash_mode crash_mode;
+	uint64_t crashed_ms;
 	uv_tcp_t *listener;
 	struct conn_list conns;
 	bool engine;
 	char *group;
 	int64_t epoch;
-	int64_t seen_epoch;
+	int64_t max_epoch;
 	int rank;
 	unsigned size;
 	uint64_t stalled_ms;
@@ -51,73 +54,77 @@
 	char *staged;
 	const char *state;
 	uint64_t ready_ms;
-	unsigned ran;
+	unsigned n_runs;
 };
 
-/* A connection to any of the addresses. */
+/*
+ * A connection to any of the addresses. endpoint: NULL at the store's;
+ * handles: libuv handles not yet closed; event: next event of the stream;
+ * mute_at_accept: value of the switch "mute" when it was accepted.
+ */
 struct conn {
 	struct net_stream stream;
 	http_parser parser;
 	struct net_head head;
 	GByteArray *body;
-	struct point *point;
+	struct fake_endpoint *endpoint;
 	uv_timer_t timer;
 	int handles;
 	char *id;
-	bool streams;
+	bool streaming;
 	int event;
 	int last;
-	int mute;
+	int mute_at_accept;
 	TAILQ_ENTRY(conn) entry;
 };
 
 extern uv_loop_t *fake_loop;
-extern GPtrArray *fake_points;
+extern GPtrArray *fake_endpoints;
 extern GHashTable *fake_switches;
 extern GString *fake_journal;
 
-/* standin-platform.c: switches and answers. */
+/* standin-platform.c: switches and responses. */
 int get_switch(const char *);
-int point_switch(const char *, const struct point *);
-bool take_switch(const char *);
+int fake_endpoint_switch(const char *, const struct fake_endpoint *);
+bool consume_switch(const char *);
 void conn_reply(struct conn *, unsigned, const char *, const void *, size_t);
 void conn_json(struct conn *, unsigned, json_t *);
-void point_listen(struct point *);
+void fake_endpoint_listen(struct fake_endpoint *);
 
 /* fake-store.c: the store with keyed topics. */
 void store_init(void);
-void store_forget(const struct conn *);
-void waiters_look(void);
+void store_drop_conn(const struct conn *);
+void waiters_check(void);
 void topic_add(enum topic, const char *, const void *, size_t);
 void store_request(struct conn *);
 
-/* fake-points.c: engines that form groups, and plain endpoints. */
-void point_beat(struct point *);
-void point_request(struct conn *);
-char *point_says(const struct conn *);
-
-/* fake-group.c: engines' groups, and the rules that joins must keep. */
-void group_order(struct conn *);
-void group_beat(struct point *);
-
-/* fake-rest.c: endpoints that rest or leave, and what they get all the same. */
-uint32_t conn_caller(const struct conn *);
-void rest_judge(const struct conn *);
-bool rest_refuse(struct conn *);
-const char *rest_leaving(const struct conn *);
-void rest_excuse(const char *);
-void rest_forget(const struct point *);
-
-/* fake-limit.c: endpoints that name limits, and what they get all the same. */
-void limit_judge(const struct conn *);
+/* fake-endpoints.c: engines that form groups, and plain endpoints. */
+void fake_endpoint_write_entry(struct fake_endpoint *);
+void fake_endpoint_request(struct conn *);
+char *fake_endpoint_headers(const struct conn *);
+
+/* fake-group.c: groups of engines, and checks of joins. */
+void group_handle_order(struct conn *);
+void group_tick(struct fake_endpoint *);
+
+/* fake-backoff.c: backoff and leaving of endpoints, and checks of daemons. */
+uint32_t conn_source_ip(const struct conn *);
+void backoff_check(const struct conn *);
+bool backoff_refuse(struct conn *);
+const char *backoff_leaving_header(const struct conn *);
+void backoff_forget_daemon(const char *);
+void backoff_forget_endpoint(const struct fake_endpoint *);
+
+/* fake-limit.c: rate limits of endpoints, and checks of daemons. */
+void limit_check(const struct conn *);
 char *limit_header(const struct conn *);
-void limit_excuse(const char *);
-void limit_forget(const struct point *);
-
-/* fake-crash.c: endpoints that end when they run a marked request. */
-void crash_judge(const struct conn *);
-bool crash_begin(struct conn *);
-void crash_beat(struct point *);
-void crash_excuse(const char *);
+void limit_forget_daemon(const char *);
+void limit_forget_endpoint(const struct fake_endpoint *);
+
+/* fake-crash.c: crashes of endpoints that run a marked request. */
+void crash_check(const struct conn *);
+bool crash_schedule(struct conn *);
+void crash_tick(struct fake_endpoint *);
+void crash_begin_grace(const char *);
 
 #endif
--- a/tests/fake-store.c
+++ b/tests/fake-store.c
@@ -1,4 +1,4 @@
-/* The store of the stand-in for the users' platform: keyed topics. */
+/* The store of the stand-in for the users' platform, with keyed topics. */
 #include <string.h>
 
 #include "fake-platform.h"
@@ -12,7 +12,7 @@
 	GBytes *value;
 };
 
-/* A read that waits for a record. */
+/* A long poll that waits for a record. */
 struct waiter {
 	struct conn *conn;
 	enum topic topic;
@@ -23,7 +23,7 @@
 static GPtrArray *records[TOPICS];
 static GArray *waiters;
 
-/* Empty topics. */
+/* Creates the topics, which are empty. */
 void
 store_init(void)
 {
@@ -32,9 +32,9 @@
 	waiters = g_array_new(FALSE, FALSE, sizeof(struct waiter));
 }
 
-/* A connection has ended; nothing is read for it any more. */
+/* Drops the pending reads of a connection that has ended. */
 void
-store_forget(const struct conn *c)
+store_drop_conn(const struct conn *c)
 {
 	for (guint i = waiters->len; i-- > 0;) {
 		if (g_array_index(waiters, struct waiter, i).conn == c)
@@ -74,8 +74,9 @@
 	conn_reply(c, 200, "", out->data, out->len);
 }
 
+/* Answers the reads that have records or whose time is up. */
 void
-waiters_look(void)
+waiters_check(void)
 {
 	uint64_t now = uv_now(fake_loop);
 
@@ -100,7 +101,7 @@
 	g_ptr_array_add(records[t], r);
 }
 
-/* The newest record of each key, as JSON. */
+/* Returns the newest record of each key, as JSON. */
 static json_t *
 topic_newest(enum topic t)
 {
@@ -155,9 +156,10 @@
 	}
 	conn_json(c, 200,
 	    json_pack("{s:i}", "end_offset", (int)records[t]->len));
-	waiters_look();
+	waiters_check();
 }
 
+/* Sets a switch: the body is "NAME NUMBER". */
 static void
 store_control(struct conn *c)
 {
@@ -168,9 +170,9 @@
 	g_hash_table_replace(fake_switches, g_strdup(w[0]),
 	    GINT_TO_POINTER(atoi(w[1])));
 	if (g_str_has_prefix(w[0], "excuse-")) {
-		rest_excuse(w[0] + strlen("excuse-"));
-		limit_excuse(w[0] + strlen("excuse-"));
-		crash_excuse(w[0] + strlen("excuse-"));
+		backoff_forget_daemon(w[0] + strlen("excuse-"));
+		limit_forget_daemon(w[0] + strlen("excuse-"));
+		crash_begin_grace(w[0] + strlen("excuse-"));
 	}
 	conn_reply(c, 200, "", "", 0);
 }
@@ -192,7 +194,7 @@
 	if (g_str_has_prefix(target, "/config")) {
 		topic_add(TOPIC_OP, "config", c->body->data, c->body->len);
 		conn_reply(c, 200, "", "", 0);
-		waiters_look();
+		waiters_check();
 		return;
 	}
 	if (get_switch("silent"))
@@ -214,6 +216,6 @@
 		w.until =
 		    uv_now(fake_loop) + query_number(target, "wait_ms", 0);
 		g_array_append_val(waiters, w);
-		waiters_look();
+		waiters_check();
 	}
 }
--- a/tests/fault.c
+++ b/tests/fault.c
@@ -1,6 +1,6 @@
 /*
- * What the stand-ins share: a small HTTP server and fault switches. A fault
- * is a named number, set by PUT /fault {"name": number}.
+ * Shared by the stand-ins: an HTTP server, faults and a journal. A fault is a
+ * named number, set by PUT /fault {"name": number}.
  */
 #include <arpa/inet.h>
 #include <glib.h>
@@ -17,7 +17,7 @@
 static char **standin_argv;
 static int standin_argc;
 
-/* The number of a fault, 0 when it is not set. */
+/* Returns the number of a fault; 0 if it is not set. */
 int64_t
 fault_get(const char *name)
 {
@@ -29,9 +29,9 @@
 	return (n);
 }
 
-/* Whether a counted fault strikes now; takes one off its count. */
+/* Returns whether a counted fault applies, and decrements it. */
 bool
-fault_take(const char *name)
+fault_consume(const char *name)
 {
 	int n;
 
@@ -44,7 +44,7 @@
 	return (n > 0);
 }
 
-/* Waits for as many milliseconds as the fault says. */
+/* Sleeps for the number of the fault, in ms. */
 void
 fault_sleep(const char *name)
 {
@@ -52,22 +52,22 @@
 }
 
 static ssize_t
-cut_read(void *arg, uint64_t offset, char *out, size_t max)
+drop_read(void *arg, uint64_t offset, char *out, size_t max)
 {
 	return (U_STREAM_ERROR);
 }
 
-/* Ends the connection without an answer. */
+/* Closes the connection without a response. */
 int
-fault_cut(struct _u_response *res)
+fault_drop_connection(struct _u_response *res)
 {
-	ulfius_set_stream_response(res, 200, cut_read, NULL, 4096, 16, NULL);
+	ulfius_set_stream_response(res, 200, drop_read, NULL, 4096, 16, NULL);
 	return (U_CALLBACK_COMPLETE);
 }
 
-/* Turns a request away and asks for rest. */
+/* Refuses a request and asks for a backoff of "rest_ms". */
 int
-fault_rest(struct _u_response *res)
+fault_backoff(struct _u_response *res)
 {
 	int64_t ms = fault_get("rest_ms");
 	g_autofree char *seconds =
@@ -98,7 +98,7 @@
 	return (U_CALLBACK_COMPLETE);
 }
 
-/* Notes that a request was begun, by its id. */
+/* Adds a line to the journal: the id of a request that was started. */
 void
 journal_add(const char *id)
 {
@@ -116,6 +116,7 @@
 	return (U_CALLBACK_COMPLETE);
 }
 
+/* Sends a response with a JSON body; takes the reference to it. */
 void
 standin_reply(struct _u_response *res, int status, json_t *json)
 {
@@ -123,21 +124,23 @@
 	json_decref(json);
 }
 
+/* Adds a handler for a method and path. */
 void
-standin_add(struct _u_instance *inst, const char *method, const char *path,
+standin_add_handler(struct _u_instance *inst, const char *method,
+    const char *path,
     int (*handler)(const struct _u_request *, struct _u_response *, void *))
 {
 	ulfius_add_endpoint_by_val(inst, method, NULL, path, 0, handler, NULL);
 }
 
-/* The nth argument after the address, or "". */
+/* Returns the nth argument after the address, or "". */
 const char *
 standin_arg(int n)
 {
 	return (n + 2 < standin_argc ? standin_argv[n + 2] : "");
 }
 
-/* Serves at the address given first until a signal. */
+/* Serves at the address in the first argument until SIGTERM or SIGINT. */
 int
 standin_main(int argc, char **argv, void (*setup)(struct _u_instance *))
 {
@@ -165,8 +168,8 @@
 	g_free(ip);
 	ulfius_init_instance(&inst, port, &sin, NULL);
 	journal = g_string_new(NULL);
-	standin_add(&inst, "PUT", "/fault", fault_put);
-	standin_add(&inst, "GET", "/journal", journal_get);
+	standin_add_handler(&inst, "PUT", "/fault", fault_put);
+	standin_add_handler(&inst, "GET", "/journal", journal_get);
 	setup(&inst);
 	if (ulfius_start_framework(&inst) != U_OK) {
 		fprintf(stderr, "%s: cannot serve at %s\n", argv[0], argv[1]);
--- a/tests/load-streams.c
+++ b/tests/load-streams.c
@@ -1,7 +1,9 @@
 /*
- * Opens streams at once and measures them:
- *   load-streams URL HEADER STREAMS ROUNDS BODY
- * Prints, in microseconds, the time to the first byte and between reads.
+ * Load generator: opens STREAMS streams at the same time, ROUNDS times each.
+ *
+ *	load-streams URL HEADER STREAMS ROUNDS BODY
+ *
+ * Prints the time to the first byte and between reads, in microseconds.
  */
 #include <curl/curl.h>
 #include <glib.h>
@@ -15,8 +17,8 @@
 
 #define DEADLINE_MS 30000
 
-static struct histogram first, gap;
-static _Atomic unsigned whole, broken;
+static struct histogram first_byte, gap;
+static _Atomic unsigned n_complete, n_failed;
 static char **args;
 
 static void
@@ -27,24 +29,24 @@
 		{ NULL, NULL } };
 	uint64_t until = clock_now_ms() + DEADLINE_MS, last = 0, now;
 	struct call *call;
-	guint had = 0;
+	guint received = 0;
 
 	call = call_start("POST", args[1], headers, args[5], strlen(args[5]),
 	    false);
 	while (!call_ended(call) && call_poll(call, until)) {
-		if (call_body(call)->len == had)
+		if (call_body(call)->len == received)
 			continue;
 		now = clock_now_us();
-		if (had > 0 && !call_ended(call))
+		if (received > 0 && !call_ended(call))
 			histogram_add(&gap, now - last);
-		had = call_body(call)->len;
+		received = call_body(call)->len;
 		last = now;
 	}
 	if (call_phase(call) == CALL_COMPLETE && call_status(call) == 200) {
-		histogram_add(&first, call_first_byte_us(call));
-		atomic_fetch_add(&whole, 1);
+		histogram_add(&first_byte, call_first_byte_us(call));
+		atomic_fetch_add(&n_complete, 1);
 	} else {
-		atomic_fetch_add(&broken, 1);
+		atomic_fetch_add(&n_failed, 1);
 	}
 	call_free(call);
 }
@@ -54,7 +56,7 @@
 {
 	int rounds = atoi(args[4]);
 
-	/* Spread the starts, as callers would. */
+	/* Spread the starts over 500 ms, as independent clients would. */
 	g_usleep((gulong)g_random_int_range(0, 500000));
 	for (int i = 0; i < rounds; i++)
 		run_stream();
@@ -90,8 +92,8 @@
 		threads[i] = g_thread_new("stream", worker, NULL);
 	for (int i = 0; i < n; i++)
 		g_thread_join(threads[i]);
-	printf("%u whole, %u broken\n", whole, broken);
-	print("first", &first);
+	printf("%u complete, %u failed\n", n_complete, n_failed);
+	print("first", &first_byte);
 	print("gap", &gap);
-	return (broken > 0);
+	return (n_failed > 0);
 }
--- a/tests/script.c
+++ b/tests/script.c
@@ -1,7 +1,7 @@
 /*
- * Scripted runs. A script is tests/scripts/SUITE-NAME.txt: lines of commands,
- * each followed by the lines that it is expected to print, after "> ". Lines
- * that begin with '#' and empty lines are comments.
+ * Scripted tests. A script is tests/scripts/SUITE-NAME.txt: commands, one per
+ * line, each followed by its expected output, with "> " before each line.
+ * Empty lines and lines that begin with '#' are comments.
  */
 #include <CUnit/Basic.h>
 #include <stdio.h>
@@ -34,7 +34,7 @@
 	g_string_append_printf(out, "unknown command\n");
 }
 
-/* Compares what a command printed with what the script expects. */
+/* Compares a command's output with the output that the script expects. */
 static void
 compare(const char *file, unsigned line, const char *expected,
     const char *actual)
@@ -81,7 +81,7 @@
 	return (strcmp(*(const char *const *)a, *(const char *const *)b));
 }
 
-/* Finds the scripts of a suite, in the order of their names. */
+/* Finds the scripts of a suite, sorted by name. */
 static void
 find_scripts(const char *suite)
 {
@@ -100,7 +100,7 @@
 	g_ptr_array_sort(script_files, compare_names);
 }
 
-/* Runs all scripts of a suite; returns the exit code of the test program. */
+/* Runs all scripts of a suite; returns the exit status of the program. */
 int
 script_main(const char *suite, const struct script_command *table,
     void (*reset)(void))
@@ -125,7 +125,7 @@
 	return (failures == 0 ? 0 : 1);
 }
 
-/* The word after "name=" in a line, or NULL; free with g_free(). */
+/* Returns the word after "name=" in a line, or NULL; free with g_free(). */
 char *
 script_word(const char *line, const char *name)
 {
@@ -139,7 +139,7 @@
 	return (NULL);
 }
 
-/* The number after "name=" in a line. */
+/* Returns the number after "name=" in a line, or the fallback. */
 guint64
 script_number(const char *line, const char *name, guint64 fallback)
 {
--- a/tests/script.h
+++ b/tests/script.h
@@ -1,13 +1,13 @@
-/* Scripted runs: commands with their expected output, one CUnit test a file. */
+/* Scripted tests: commands with expected output; each file is a CUnit test. */
 #ifndef TESTS_SCRIPT_H
 #define TESTS_SCRIPT_H
 
 #include <glib.h>
 
 /**
- * struct script_command - one command of a suite.
+ * struct script_command - one command of a suite
  * @name: first word of the line
- * @exec: carries it out; the rest of the line is given; prints lines
+ * @exec: runs it with the rest of the line; appends its output
  */
 struct script_command {
 	const char *name;
--- a/tests/standin-engine.c
+++ b/tests/standin-engine.c
@@ -1,13 +1,20 @@
 /*
  * Stand-in for a model engine on one host: ip:port name load_ms token_ms.
  *
- * It answers the prompt with "NAME-FREE" words derived from the prompt and the
- * token's index only, so that any replica gives the same text. It keeps a
- * journal of the requests that it started. Faults: ignore_fence (takes orders
- * with an old epoch), ignore_epoch (serves requests for another epoch),
- * leaving, die_at (cut the stream before chunk n-1, counted), duplicate,
- * reorder, truncate, stall_at, slow_ms (before the first chunk), busy (answer
- * 429 not started, counted), order_delay_ms (an order takes effect late).
+ * The words of a completion depend only on the prompt and the token's index, so
+ * that all replicas generate the same text. The journal has the ids of the
+ * requests that were started. Faults:
+ *	ignore_fence	carry out orders with an old epoch
+ *	ignore_epoch	serve requests for another epoch
+ *	leaving		report that the host leaves; refuse requests
+ *	die_at		cut the stream before chunk n-1
+ *	truncate	end the stream before chunk n-1, without its end mark
+ *	stall_at	send nothing from chunk n-1 on
+ *	duplicate	send each chunk twice
+ *	reorder		swap each two chunks
+ *	slow_ms		delay before the first chunk
+ *	busy		answer the next n requests with 429, not started
+ *	order_delay_ms	delay before a join takes effect
  */
 #include <glib.h>
 #include <jansson.h>
@@ -24,9 +31,9 @@
 static char *model;
 static int shard = -1, shards;
 static gint64 ready_at_us;
-static unsigned running;
+static unsigned n_running;
 
-struct answer {
+struct generation {
 	uint32_t seed;
 	int64_t index;
 	int64_t count;
@@ -52,14 +59,14 @@
 	    json_pack("{s:s, s:s, s:I, s:s, s:i, s:i, s:i}", "state",
 		host_state(), "group", group, "epoch", (json_int_t)epoch,
 		"model", model, "shard", shard, "shards", shards, "load",
-		(int)running));
+		(int)n_running));
 	g_mutex_unlock(&lock);
 	return (U_CALLBACK_COMPLETE);
 }
 
-/* Whether an order with this epoch is too old; lock is held. */
+/* Returns whether an order's epoch is too old; the lock is held. */
 static bool
-fenced(uint64_t order)
+order_is_fenced(uint64_t order)
 {
 	if (order < fence && !fault_get("ignore_fence"))
 		return (true);
@@ -68,6 +75,7 @@
 	return (false);
 }
 
+/* Joins a group; a shard that is loaded already needs only REINIT_MS. */
 static void
 join_locked(const char *name, json_int_t e, int rank, int n, const char *m)
 {
@@ -98,7 +106,7 @@
 	g_mutex_lock(&lock);
 	if (json_unpack(body, "{s:s, s:I, s:i, s:i, s:s}", "group", &name,
 		"epoch", &e, "rank", &rank, "shards", &n, "model", &m) == 0)
-		status = fenced((uint64_t)e) ? 409 : 200;
+		status = order_is_fenced((uint64_t)e) ? 409 : 200;
 	if (status == 200 && epoch != (uint64_t)e)
 		join_locked(name, e, rank, n, m);
 	g_mutex_unlock(&lock);
@@ -116,7 +124,7 @@
 	int status;
 
 	g_mutex_lock(&lock);
-	status = fenced((uint64_t)e) ? 409 : 200;
+	status = order_is_fenced((uint64_t)e) ? 409 : 200;
 	if (status == 200) {
 		epoch = 0;
 		g_free(group);
@@ -129,7 +137,7 @@
 }
 
 static void
-chunk_write(const struct answer *a, int64_t index, GString *out)
+chunk_write(const struct generation *a, int64_t index, GString *out)
 {
 	uint32_t word = (a->seed ^ (uint32_t)index * 2654435761u) % 100000;
 
@@ -139,11 +147,11 @@
 }
 
 static ssize_t
-answer_read(void *arg, uint64_t offset, char *out, size_t max)
+generation_read(void *arg, uint64_t offset, char *out, size_t max)
 {
 	g_autoptr(GString) text = g_string_new(NULL);
 	int64_t token_ms = g_ascii_strtoll(standin_arg(2), NULL, 10);
-	struct answer *a = arg;
+	struct generation *a = arg;
 
 	if (a->ended)
 		return (U_STREAM_END);
@@ -175,16 +183,16 @@
 }
 
 static void
-answer_free(void *arg)
+generation_free(void *arg)
 {
 	g_mutex_lock(&lock);
-	running--;
+	n_running--;
 	g_mutex_unlock(&lock);
 	g_free(arg);
 }
 
 static int
-not_started(struct _u_response *res, int status)
+reply_not_started(struct _u_response *res, int status)
 {
 	u_map_put(res->map_header, "Not-Started", "1");
 	standin_reply(res, status, json_object());
@@ -198,7 +206,7 @@
 	const char *id = u_map_get_case(in->map_header, "Banklift-Request-Id");
 	json_t *body =
 	    json_loadb(in->binary_body, in->binary_body_length, 0, NULL);
-	struct answer *a = g_new0(struct answer, 1);
+	struct generation *a = g_new0(struct generation, 1);
 	json_int_t count = 0, from = 0;
 	const char *prompt = "";
 	bool other;
@@ -209,14 +217,14 @@
 	other = wanted == NULL || g_ascii_strtoull(wanted, NULL, 10) != epoch ||
 	    strcmp(host_state(), "ready") != 0;
 	if ((other && !fault_get("ignore_epoch")) || fault_get("leaving") ||
-	    fault_take("busy")) {
+	    fault_consume("busy")) {
 		g_mutex_unlock(&lock);
 		g_free(a);
 		json_decref(body);
-		return (not_started(res, other ? 409 : 429));
+		return (reply_not_started(res, other ? 409 : 429));
 	}
 	journal_add(id);
-	running++;
+	n_running++;
 	g_mutex_unlock(&lock);
 	a->seed = g_str_hash(prompt);
 	a->index = from;
@@ -224,7 +232,7 @@
 	json_decref(body);
 	u_map_put(res->map_header, "Engine-Resumes", "exact");
 	u_map_put(res->map_header, "Content-Type", "text/event-stream");
-	ulfius_set_stream_response(res, 200, answer_read, answer_free,
+	ulfius_set_stream_response(res, 200, generation_read, generation_free,
 	    U_STREAM_SIZE_UNKNOWN, 4096, a);
 	return (U_CALLBACK_COMPLETE);
 }
@@ -234,10 +242,10 @@
 {
 	group = g_strdup("");
 	model = g_strdup("");
-	standin_add(inst, "GET", "/host", host_get);
-	standin_add(inst, "POST", "/host/join", host_join);
-	standin_add(inst, "POST", "/host/leave", host_leave);
-	standin_add(inst, "POST", "/v1/completions", completion);
+	standin_add_handler(inst, "GET", "/host", host_get);
+	standin_add_handler(inst, "POST", "/host/join", host_join);
+	standin_add_handler(inst, "POST", "/host/leave", host_leave);
+	standin_add_handler(inst, "POST", "/v1/completions", completion);
 }
 
 int
--- a/tests/standin-hosts.c
+++ b/tests/standin-hosts.c
@@ -1,6 +1,8 @@
 /*
  * Stand-in for the platform's host list. PUT /hosts replaces the list.
- * Faults: down; lag_ms, by which GET shows an older list.
+ * Faults:
+ *	down	close connections without a response
+ *	lag_ms	GET returns the previous list for this time after a change
  */
 #include <glib.h>
 #include <jansson.h>
@@ -21,7 +23,7 @@
 	json_t *list;
 
 	if (fault_get("down"))
-		return (fault_cut(res));
+		return (fault_drop_connection(res));
 	g_mutex_lock(&lock);
 	list =
 	    g_get_monotonic_time() < changed_us + fault_get("lag_ms") * 1000 ?
@@ -59,8 +61,8 @@
 {
 	current = json_pack("{s:[]}", "hosts");
 	previous = json_incref(current);
-	standin_add(inst, "GET", "/hosts", get);
-	standin_add(inst, "PUT", "/hosts", put);
+	standin_add_handler(inst, "GET", "/hosts", get);
+	standin_add_handler(inst, "PUT", "/hosts", put);
 }
 
 int
--- a/tests/standin-log.c
+++ b/tests/standin-log.c
@@ -1,8 +1,10 @@
 /*
- * Stand-in for the platform's log service. Faults: down (1: every call is
- * cut), slow_ms, lose (the next n appends take effect, their answers are
- * lost), refuse (the next n appends are cut and take no effect).
- * PUT /trim {"stream": "...", "first": n} forgets what is older.
+ * Stand-in for the platform's log service. Faults:
+ *	down	close the connections of all calls without a response
+ *	slow_ms	delay of each call
+ *	lose	the next n appends take effect but get no response
+ *	refuse	the next n appends take no effect and get no response
+ * PUT /trim {"stream": "...", "first": n} drops all records before n.
  */
 #include <glib.h>
 #include <jansson.h>
@@ -41,8 +43,8 @@
 	struct stream *s;
 	uint64_t offset;
 
-	if (fault_get("down") || fault_take("refuse"))
-		return (fault_cut(res));
+	if (fault_get("down") || fault_consume("refuse"))
+		return (fault_drop_connection(res));
 	fault_sleep("slow_ms");
 	g_mutex_lock(&lock);
 	s = stream_get(u_map_get(in->map_url, "name"));
@@ -51,8 +53,8 @@
 	offset = s->records->len;
 	appends++;
 	g_mutex_unlock(&lock);
-	if (fault_take("lose"))
-		return (fault_cut(res));
+	if (fault_consume("lose"))
+		return (fault_drop_connection(res));
 	standin_reply(res, 200,
 	    json_pack("{s:I}", "offset", (json_int_t)offset));
 	return (U_CALLBACK_COMPLETE);
@@ -75,7 +77,7 @@
 	struct stream *s;
 
 	if (fault_get("down"))
-		return (fault_cut(res));
+		return (fault_drop_connection(res));
 	fault_sleep("slow_ms");
 	g_mutex_lock(&lock);
 	s = stream_get(u_map_get(in->map_url, "name"));
@@ -94,7 +96,7 @@
 	g_mutex_unlock(&lock);
 	if (fault_get("down")) {
 		json_decref(records);
-		return (fault_cut(res));
+		return (fault_drop_connection(res));
 	}
 	standin_reply(res, from < first ? 410 : 200,
 	    json_pack("{s:I, s:I, s:o}", "first", (json_int_t)first, "next",
@@ -135,10 +137,11 @@
 setup(struct _u_instance *inst)
 {
 	streams = g_hash_table_new(g_str_hash, g_str_equal);
-	standin_add(inst, "POST", "/streams/:name/records", append);
-	standin_add(inst, "GET", "/streams/:name/records", read_records);
-	standin_add(inst, "PUT", "/trim", trim);
-	standin_add(inst, "GET", "/stats", stats);
+	standin_add_handler(inst, "POST", "/streams/:name/records", append);
+	standin_add_handler(inst, "GET", "/streams/:name/records",
+	    read_records);
+	standin_add_handler(inst, "PUT", "/trim", trim);
+	standin_add_handler(inst, "GET", "/stats", stats);
 }
 
 int
--- a/tests/standin-platform.c
+++ b/tests/standin-platform.c
@@ -1,46 +1,60 @@
 /*
  * Stand-in for the users' platform, written from its published protocol: the
- * store with keyed topics, engines that form groups, and plain endpoints. One
- * process on several loopback addresses.
+ * store with keyed topics, engines that form groups, and plain endpoints, all
+ * in one process on several loopback addresses.
  *
  *	standin-platform NET ENGINES SERVICES
  *
  * The store listens at 127.NET.0.1:9000, engine N at 127.NET.1.N:9000, plain
- * endpoint N at 127.NET.2.N:9000. PUT /control on the store's address, with
- * "name number", sets a switch; GET /journal shows what endpoints ran.
+ * endpoint N at 127.NET.2.N:9000. PUT /control at the store's address, with
+ * "NAME NUMBER", sets a switch; GET /journal returns the journal.
  *
- * Switches: down (the store refuses), silent (the store says nothing),
- * dark-IP (an endpoint says nothing), lapse-IP (its entry is removed),
- * drain-IP, cut (streams end in the middle of event N), stray (the next plain
- * answer comes with another request's answer before it), error (the next N
- * plain answers are 500), full (the next N are refused as not run),
- * unframed (plain answers have no length), reset (unframed ones are reset),
- * slow (ms before a plain answer), noproof, mute (connections that were taken
- * while it was lower say nothing any more), late-ORDER-IP (the next N orders of
- * a kind to an engine have no answer and are carried out late-ms later; ORDER
- * any: of all kinds), rest-IP (ms: the endpoint turns all requests away and
- * asks for so much rest), leaving-IP (it says in its answers that it leaves),
- * limit-IP (it names in its answers so many thousandths of a request a second
- * as what it takes from all callers; below 0: what is no number), excuse-IP (a
- * caller's address: what it was told is forgotten), harmless (no request ends
- * its endpoint), back (ms until an endpoint
- * that ended is back; 2500 where it is not set).
+ * Switches (IP is the address of an endpoint, unless noted):
+ *	down		the store refuses all calls
+ *	silent		the store doesn't answer
+ *	dark-IP		the endpoint doesn't answer
+ *	lapse-IP	the endpoint's entry is removed
+ *	drain-IP	the endpoint reports that it drains
+ *	cut, cuts	the next "cuts" streams end in the middle of event "cut"
+ *	stray		before the next N plain responses, one to another
+ *			request is sent
+ *	error		the next N plain responses are 500
+ *	full		the next N requests are refused as not run
+ *	unframed	plain responses have no length
+ *	reset		connections of unframed responses are reset
+ *	slow		ms before a plain response
+ *	noproof		responses lack the header Server-Signature
+ *	mute		connections accepted while it was lower are not answered
+ *	late-ORDER-IP	the next N orders of this kind (any: of all kinds) to
+ *			an engine get no response and are carried out late
+ *	late-ms		how much later, in ms
+ *	rest-IP		the endpoint refuses all requests and asks for a backoff
+ *			of so many ms
+ *	leaving-IP	the endpoint says in its responses that it leaves
+ *	limit-IP	the endpoint names this limit in its responses, in
+ *1/1000 requests/s over all daemons; below 0: no number excuse-IP	IP of a
+ *daemon: what it was told is forgotten harmless	no request crashes its
+ *endpoint back		ms until a crashed endpoint restarts; 0: 2500
  *
- * An endpoint ends 60 ms after it began to run a request whose body has the
- *word "ends-endpoint", with all of its connections reset, or
- *"silences-endpoint", without a word. It is back with another id.
+ * An endpoint crashes 60 ms after it began to run a request whose body has the
+ * word "ends-endpoint", which resets all of its connections, or
+ * "silences-endpoint", which leaves them open. It restarts with another id.
  *
- * The journal has a line "two ENGINE NEW OLD" for each join of an engine whose
- * group, which it has not left, has a head that serves or stands still; a line
- * "in-rest ENDPOINT CALLER COUNT ID" for each request beyond two that comes
- * from a caller between half a second after that was asked for rest and the
- * end of it; and "after-leaving ENDPOINT CALLER COUNT ID" for each that comes a
- * second after its caller was told that the endpoint leaves; "over-limit
- * ENDPOINT COUNT of ALLOWED ID" for each from a caller that was told of a
- * limit, where more than one and a half times the limit and 5 come in 4 s;
- * "ended ENDPOINT WORK COUNT ID" for each end, the COUNT-th by the same work,
- *and "over-crash WORK COUNT ENDS ID" for each arrival beyond three of work that
- *came more than 3 s after it had ended its third endpoint.
+ * The journal has the requests that endpoints ran, and lines on what daemons
+ * must not do:
+ *	two ENGINE NEW OLD
+ *		ENGINE was joined to NEW but has not left OLD, whose head serves
+ *		or may serve again
+ *	in-rest ENDPOINT DAEMON COUNT ID
+ *		a request from 500 ms after the daemon was asked for a backoff
+ *		until its end; two are allowed
+ *	after-leaving ENDPOINT DAEMON COUNT ID
+ *		a request 1 s or more after the daemon was told that the
+ *endpoint leaves over-limit ENDPOINT COUNT of ALLOWED ID a request from a
+ *daemon that knew of the limit, where more than 1.5 times the limit and 5 came
+ *in 4 s over-crash FINGERPRINT COUNT CRASHES ID a request more than 3 s after
+ *it had crashed its third endpoint; three are allowed "ended ENDPOINT
+ *FINGERPRINT COUNT ID" stands for each crash, the COUNT-th by this request.
  */
 #include <jansson.h>
 #include <signal.h>
@@ -50,31 +64,33 @@
 
 #include "fake-platform.h"
 
-#define BEAT_MS 300
-#define LOOK_MS 20
+#define TICK_MS 300
+#define POLL_MS 20
 
 uv_loop_t *fake_loop;
-GPtrArray *fake_points;
+GPtrArray *fake_endpoints;
 GHashTable *fake_switches;
 GString *fake_journal;
 
+/* Returns the number of a switch; 0 if it is not set. */
 int
 get_switch(const char *name)
 {
 	return (GPOINTER_TO_INT(g_hash_table_lookup(fake_switches, name)));
 }
 
+/* Returns the number of an endpoint's switch "NAME-IP". */
 int
-point_switch(const char *name, const struct point *p)
+fake_endpoint_switch(const char *name, const struct fake_endpoint *ep)
 {
-	g_autofree char *full = g_strdup_printf("%s-%s", name, p->ip);
+	g_autofree char *full = g_strdup_printf("%s-%s", name, ep->ip);
 
 	return (get_switch(full));
 }
 
-/* Whether a counted switch strikes now. */
+/* Returns whether a counted switch applies, and decrements it. */
 bool
-take_switch(const char *name)
+consume_switch(const char *name)
 {
 	int n = get_switch(name);
 
@@ -153,8 +169,8 @@
 	struct conn *c = parser->data;
 
 	net_head_close_value(&c->head);
-	if (c->point != NULL)
-		point_request(c);
+	if (c->endpoint != NULL)
+		fake_endpoint_request(c);
 	else
 		store_request(c);
 	return (0);
@@ -200,12 +216,12 @@
 {
 	struct conn *c = stream->owner;
 
-	store_forget(c);
-	if (c->point != NULL)
-		TAILQ_REMOVE(&c->point->conns, c, entry);
-	if (c->point != NULL && c->streams && c->event < EVENTS)
+	store_drop_conn(c);
+	if (c->endpoint != NULL)
+		TAILQ_REMOVE(&c->endpoint->conns, c, entry);
+	if (c->endpoint != NULL && c->streaming && c->event < STREAM_EVENTS)
 		g_string_append_printf(fake_journal, "%s left %s\n",
-		    c->point->id, c->id);
+		    c->endpoint->id, c->id);
 	uv_close((uv_handle_t *)&c->timer, on_timer_closed);
 	conn_free(c);
 }
@@ -217,15 +233,15 @@
 }
 
 static void
-conn_nothing(struct net_stream *stream)
+conn_ignore(struct net_stream *stream)
 {
 }
 
 static const struct net_stream_ops conn_ops = {
-	.connected = conn_nothing,
+	.connected = conn_ignore,
 	.readable = conn_readable,
 	.ended = conn_ended,
-	.drained = conn_nothing,
+	.drained = conn_ignore,
 	.closed = conn_closed,
 };
 
@@ -234,10 +250,10 @@
 {
 	struct conn *c = g_new0(struct conn, 1);
 
-	c->point = listener->data;
-	if (c->point != NULL)
-		TAILQ_INSERT_TAIL(&c->point->conns, c, entry);
-	c->mute = get_switch("mute");
+	c->endpoint = listener->data;
+	if (c->endpoint != NULL)
+		TAILQ_INSERT_TAIL(&c->endpoint->conns, c, entry);
+	c->mute_at_accept = get_switch("mute");
 	c->body = g_byte_array_new();
 	c->handles = 2;
 	net_head_init(&c->head);
@@ -251,14 +267,14 @@
 }
 
 static uv_tcp_t *
-listen_at(const char *ip, struct point *point)
+listen_at(const char *ip, struct fake_endpoint *endpoint)
 {
 	uv_tcp_t *listener = g_new0(uv_tcp_t, 1);
 	struct sockaddr_in addr;
 
 	uv_ip4_addr(ip, FAKE_PORT, &addr);
 	uv_tcp_init(fake_loop, listener);
-	listener->data = point;
+	listener->data = endpoint;
 	if (uv_tcp_bind(listener, (struct sockaddr *)&addr, 0) != 0 ||
 	    uv_listen((uv_stream_t *)listener, 64, on_connection) != 0) {
 		fprintf(stderr, "can't listen at %s\n", ip);
@@ -267,61 +283,61 @@
 	return (listener);
 }
 
-/* Takes connections, as a new incarnation. */
+/* Starts a new incarnation of an endpoint, which accepts connections. */
 void
-point_listen(struct point *p)
+fake_endpoint_listen(struct fake_endpoint *ep)
 {
-	p->starts++;
-	if (p->starts == 1)
-		g_strlcpy(p->id, p->name, sizeof p->id);
+	ep->starts++;
+	if (ep->starts == 1)
+		g_strlcpy(ep->id, ep->name, sizeof ep->id);
 	else
-		snprintf(p->id, sizeof p->id, "%s-%u", p->name, p->starts);
-	p->state = "none";
-	p->listener = listen_at(p->ip, p);
+		snprintf(ep->id, sizeof ep->id, "%s-%u", ep->name, ep->starts);
+	ep->state = "none";
+	ep->listener = listen_at(ep->ip, ep);
 }
 
 static void
-add_points(const char *net, int kind, int n)
+add_endpoints(const char *net, int kind, int n)
 {
 	for (int i = 1; i <= n; i++) {
-		struct point *p = g_new0(struct point, 1);
-
-		snprintf(p->ip, sizeof p->ip, "127.%s.%d.%d", net, kind, i);
-		snprintf(p->name, sizeof p->name, "%s%d", kind == 1 ? "e" : "b",
-		    i);
-		p->engine = kind == 1;
-		TAILQ_INIT(&p->conns);
-		g_ptr_array_add(fake_points, p);
-		point_listen(p);
+		struct fake_endpoint *ep = g_new0(struct fake_endpoint, 1);
+
+		snprintf(ep->ip, sizeof ep->ip, "127.%s.%d.%d", net, kind, i);
+		snprintf(ep->name, sizeof ep->name, "%s%d",
+		    kind == 1 ? "e" : "b", i);
+		ep->engine = kind == 1;
+		TAILQ_INIT(&ep->conns);
+		g_ptr_array_add(fake_endpoints, ep);
+		fake_endpoint_listen(ep);
 	}
 }
 
 static void
-on_beat(uv_timer_t *timer)
+on_tick(uv_timer_t *timer)
 {
-	for (guint i = 0; i < fake_points->len; i++) {
-		struct point *p = fake_points->pdata[i];
+	for (guint i = 0; i < fake_endpoints->len; i++) {
+		struct fake_endpoint *ep = fake_endpoints->pdata[i];
 
-		crash_beat(p);
-		if (p->end != END_NONE)
+		crash_tick(ep);
+		if (ep->crash_mode != CRASH_NONE)
 			continue;
-		group_beat(p);
-		point_beat(p);
+		group_tick(ep);
+		fake_endpoint_write_entry(ep);
 	}
-	waiters_look();
+	waiters_check();
 }
 
 static void
-on_look(uv_timer_t *timer)
+on_poll(uv_timer_t *timer)
 {
-	waiters_look();
+	waiters_check();
 }
 
 int
 main(int argc, char **argv)
 {
 	g_autofree char *store = NULL;
-	uv_timer_t beat, look;
+	uv_timer_t tick, poll;
 
 	if (argc != 4) {
 		fprintf(stderr, "usage: %s NET ENGINES SERVICES\n", argv[0]);
@@ -330,17 +346,17 @@
 	signal(SIGPIPE, SIG_IGN);
 	fake_loop = uv_default_loop();
 	store_init();
-	fake_points = g_ptr_array_new();
+	fake_endpoints = g_ptr_array_new();
 	fake_switches =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	fake_journal = g_string_new(NULL);
 	store = g_strdup_printf("127.%s.0.1", argv[1]);
 	listen_at(store, NULL);
-	add_points(argv[1], 1, atoi(argv[2]));
-	add_points(argv[1], 2, atoi(argv[3]));
-	uv_timer_init(fake_loop, &beat);
-	uv_timer_start(&beat, on_beat, 0, BEAT_MS);
-	uv_timer_init(fake_loop, &look);
-	uv_timer_start(&look, on_look, LOOK_MS, LOOK_MS);
+	add_endpoints(argv[1], 1, atoi(argv[2]));
+	add_endpoints(argv[1], 2, atoi(argv[3]));
+	uv_timer_init(fake_loop, &tick);
+	uv_timer_start(&tick, on_tick, 0, TICK_MS);
+	uv_timer_init(fake_loop, &poll);
+	uv_timer_start(&poll, on_poll, POLL_MS, POLL_MS);
 	return (uv_run(fake_loop, UV_RUN_DEFAULT));
 }
--- a/tests/standin-service.c
+++ b/tests/standin-service.c
@@ -1,11 +1,16 @@
 /*
- * Stand-in for a plain service: ip:port name. It answers with its name, the
- * method and the body, and keeps a journal of the request ids that it ran.
- * Faults: leaving, cut_before (counted; cut without running), cut_after
- * (counted; run, then cut without an answer), status (answered after running),
- * not_started (counted; 503 that says so), rest_ms (the same, and asks for so
- * much rest; the journal has a line "rest" for each), slow_ms (after running),
- * limit (thousandths of the requests a second that it names as its limit).
+ * Stand-in for a plain service: ip:port name. Its response has its name, the
+ * method and the body. The journal has the ids of the requests that it ran.
+ * Faults:
+ *	leaving		report that the endpoint leaves
+ *	cut_before	close the next n connections without running the request
+ *	cut_after	close the next n connections after running the request
+ *	status		status of the response, after running
+ *	not_started	refuse the next n requests with 503, not started
+ *	rest_ms		refuse all requests like this and ask for a backoff of
+ *so many ms; the journal has a line "rest" for each
+ *	slow_ms		delay after running
+ *	limit		rate limit named in responses, in 1/1000 requests/s
  */
 #include <glib.h>
 #include <jansson.h>
@@ -30,19 +35,19 @@
 	int64_t status = fault_get("status"), limit = fault_get("limit");
 	g_autofree char *per_s = g_strdup_printf("%.3f", (double)limit / 1000);
 
-	if (fault_take("cut_before"))
-		return (fault_cut(res));
+	if (fault_consume("cut_before"))
+		return (fault_drop_connection(res));
 	if (fault_get("rest_ms") > 0)
-		return (fault_rest(res));
-	if (fault_take("not_started")) {
+		return (fault_backoff(res));
+	if (fault_consume("not_started")) {
 		u_map_put(res->map_header, "Not-Started", "1");
 		standin_reply(res, 503, json_object());
 		return (U_CALLBACK_COMPLETE);
 	}
 	journal_add(id);
 	fault_sleep("slow_ms");
-	if (fault_take("cut_after"))
-		return (fault_cut(res));
+	if (fault_consume("cut_after"))
+		return (fault_drop_connection(res));
 	if (limit > 0)
 		u_map_put(res->map_header, "Banklift-Limit", per_s);
 	u_map_put(res->map_header, "X-Url", in->http_url);
@@ -62,8 +67,8 @@
 static void
 setup(struct _u_instance *inst)
 {
-	standin_add(inst, "GET", "/health", health);
-	standin_add(inst, "*", "/*", serve);
+	standin_add_handler(inst, "GET", "/health", health);
+	standin_add_handler(inst, "*", "/*", serve);
 }
 
 int
--- a/tests/suspend-clock.c
+++ b/tests/suspend-clock.c
@@ -1,8 +1,8 @@
 /*
- * A host that is suspended, for banklift-edge: at SIGUSR2 the process stands
- * still for SUSPEND_MS milliseconds (environment; 4000 where it is not set),
- * which CLOCK_MONOTONIC does not count and CLOCK_BOOTTIME does. Linked in place
- * of the C library's function.
+ * Simulates the suspension of a host for banklift-edge: on SIGUSR2 the process
+ * blocks for SUSPEND_MS milliseconds (environment variable, default 4000).
+ * CLOCK_MONOTONIC does not count this time, CLOCK_BOOTTIME does. Overrides
+ * clock_gettime() of the C library at link time.
  */
 #include <signal.h>
 #include <stdlib.h>
--- a/tests/test-config.c
+++ b/tests/test-config.c
@@ -66,8 +66,10 @@
 exec_fault(const char *rest, GString *out)
 {
 	flog.down = script_number(rest, "down", flog.down) != 0;
-	flog.lose = (unsigned)script_number(rest, "lose", flog.lose);
-	flog.refuse = (unsigned)script_number(rest, "refuse", flog.refuse);
+	flog.lose_responses =
+	    (unsigned)script_number(rest, "lose", flog.lose_responses);
+	flog.fail_appends =
+	    (unsigned)script_number(rest, "refuse", flog.fail_appends);
 	flog.first = script_number(rest, "first", flog.first);
 }
 
@@ -99,7 +101,7 @@
 follow_thread(gpointer arg)
 {
 	while (g_atomic_int_get(&following)) {
-		if (g_atomic_int_get(&flog.asked) != 0)
+		if (g_atomic_int_get(&flog.append_calls) != 0)
 			config_follow(arg, 0);
 		g_usleep(1000);
 	}
@@ -118,7 +120,7 @@
 	GThread *thread;
 	bool ok;
 
-	g_atomic_int_set(&flog.asked, 0);
+	g_atomic_int_set(&flog.append_calls, 0);
 	g_atomic_int_set(&following, 1);
 	thread = g_thread_new("follow", follow_thread, config);
 	ok = config_change(config, "put", "placement", w[1],
