--- a/src/admission.c
+++ b/src/admission.c
@@ -52,19 +52,19 @@
 {
 	bool any = false;
 
-	while (fair_queue_next(&a->queue))
+	while (fair_queue_grant_next(&a->queue))
 		any = true;
 	if (any)
 		g_cond_broadcast(&a->granted);
 }
 
 /**
- * admission_set() - set how many requests are served at once.
+ * admission_set_slots() - set how many requests are served at once.
  * @a: the admission
  * @slots: this daemon's share; 0 for any number
  */
 void
-admission_set(struct admission *a, unsigned slots)
+admission_set_slots(struct admission *a, unsigned slots)
 {
 	g_mutex_lock(&a->lock);
 	a->queue.slots = slots;
@@ -73,16 +73,16 @@
 }
 
 /**
- * admission_enter() - wait for a slot.
+ * admission_acquire() - wait for a slot.
  * @a: the admission
  * @t: the request's ticket, with weight, class and deadline
  * @flow: its customer's flow, of this deployment only
  * @retry_ms: set when it is refused: when to come back
  *
- * Return: FAIR_GRANTED, then admission_leave() is owed; or FAIR_REFUSED.
+ * Return: FAIR_GRANTED, then admission_release() is owed; or FAIR_REFUSED.
  */
 enum fair_verdict
-admission_enter(struct admission *a, struct fair_ticket *t,
+admission_acquire(struct admission *a, struct fair_ticket *t,
     struct fair_flow *flow, uint64_t *retry_ms)
 {
 	uint64_t now = clock_now_ms();
@@ -97,7 +97,7 @@
 		if (g_cond_wait_until(&a->granted, &a->lock, until) ||
 		    t->granted)
 			continue;
-		fair_queue_abandon(&a->queue, t);
+		fair_queue_cancel(&a->queue, t);
 		*retry_ms = a->queue.mean_ms;
 		verdict = FAIR_REFUSED;
 	}
@@ -106,15 +106,15 @@
 }
 
 /**
- * admission_leave() - give a slot back.
+ * admission_release() - give a slot back.
  * @a: the admission
  * @held_ms: how long it was held
  */
 void
-admission_leave(struct admission *a, uint64_t held_ms)
+admission_release(struct admission *a, uint64_t held_ms)
 {
 	g_mutex_lock(&a->lock);
-	fair_queue_leave(&a->queue, held_ms);
+	fair_queue_release(&a->queue, held_ms);
 	admission_grant(a);
 	g_mutex_unlock(&a->lock);
 }
--- a/src/admission.h
+++ b/src/admission.h
@@ -26,9 +26,9 @@
 struct admission *admission_create(const char *);
 struct admission *admission_ref(struct admission *);
 void admission_unref(struct admission *);
-void admission_set(struct admission *, unsigned);
-enum fair_verdict admission_enter(struct admission *, struct fair_ticket *,
+void admission_set_slots(struct admission *, unsigned);
+enum fair_verdict admission_acquire(struct admission *, struct fair_ticket *,
     struct fair_flow *, uint64_t *);
-void admission_leave(struct admission *, uint64_t);
+void admission_release(struct admission *, uint64_t);
 
 #endif
--- a/src/bankliftd.c
+++ b/src/bankliftd.c
@@ -8,7 +8,7 @@
 #include "error.h"
 #include "event-log.h"
 #include "http-listen.h"
-#include "news-puller.h"
+#include "gossip.h"
 #include "peer-server.h"
 #include "prober.h"
 #include "server.h"
@@ -29,7 +29,7 @@
 	{ "config", config_run },
 	{ "hosts", host_list_run },
 	{ "prober", prober_run },
-	{ "news", news_puller_run },
+	{ "news", gossip_run },
 	{ "control", controller_run },
 	{ "peers", peer_server_run },
 };
--- a/src/bench-choice.c
+++ b/src/bench-choice.c
@@ -136,8 +136,8 @@
 	for (int i = 0; i < REPLICAS; i++) {
 		targets[i] =
 		    target_create("t", "http://x", "a", (uint64_t)i + 1, 1);
-		target_evidence(targets[i], now, true, 3600000);
-		target_report(targets[i], now, (uint32_t)i % 7);
+		target_update_evidence(targets[i], now, true, 3600000);
+		target_update_load(targets[i], now, (uint32_t)i % 7);
 	}
 	base = cost_ns(&route_round_robin, targets);
 	printf("one choice among %d replicas\n", REPLICAS);
--- a/src/bench-routing.c
+++ b/src/bench-routing.c
@@ -145,7 +145,7 @@
 	p->first_us = p->last_us = r->now_us;
 	p->given = 1;
 	g_array_append_val(r->first, took);
-	target_latency(r->targets[p->daemon][p->engine], took,
+	target_note_success(r->targets[p->daemon][p->engine], took,
 	    r->now_us / 1000);
 }
 
@@ -231,7 +231,7 @@
 		uint64_t us[ENGINES];
 
 		for (int i = 0; i < ENGINES; i++) {
-			target_report(r->targets[d][i], r->now_us / 1000,
+			target_update_load(r->targets[d][i], r->now_us / 1000,
 			    r->engines[i].report);
 			us[i] = atomic_load(&r->targets[d][i]->latency_us);
 		}
--- a/src/claims.c
+++ b/src/claims.c
@@ -117,7 +117,7 @@
 	if (item->reply_ip == 0)
 		claims_note_decision(claims, item->kind, item->token, answer);
 	else
-		peer_decided(item->reply_ip, item->reply_port, &decision);
+		peer_send_decision(item->reply_ip, item->reply_port, &decision);
 }
 
 /* Returns the partition of a number; creates it at its first use. */
@@ -248,7 +248,7 @@
 	if (peer_claim(owner.ip, owner.port, req, answer, CALL_TIMEOUT_MS))
 		return (true);
 	log_debug("claim_owner_silent", "partition=%u", number);
-	g_array_append_val(excluded, owner.key);
+	g_array_append_val(excluded, owner.name_hash);
 	return (false);
 }
 
--- a/src/client-api-service.c
+++ b/src/client-api-service.c
@@ -41,7 +41,7 @@
 	view = rcu_dereference(req->server->view);
 	set = g_hash_table_lookup(view->services, req->service);
 	if (set != NULL)
-		idempotent = route_set_idempotent(set, method);
+		idempotent = route_set_is_idempotent(set, method);
 	rcu_read_unlock();
 	return (idempotent);
 }
@@ -154,11 +154,11 @@
 	*end = service_call_run(req, call);
 	atomic_fetch_sub(&target->inflight, 1);
 	if (response_complete(end))
-		target_latency(target, call_first_byte_us(call),
+		target_note_success(target, call_first_byte_us(call),
 		    clock_now_ms());
 	else
-		target_failed(target, clock_now_ms());
-	target_heard(target, call);
+		target_note_failure(target, clock_now_ms());
+	target_apply_feedback(target, call);
 	return (call);
 }
 
--- a/src/cmd-apply.c
+++ b/src/cmd-apply.c
@@ -8,7 +8,7 @@
 static enum cmd_exit
 apply_one(const struct cmd_context *ctx, json_t *item)
 {
-	CLEANUP(http_reply_clear) struct http_reply reply = { 0 };
+	CLEANUP(http_response_clear) struct http_response reply = { 0 };
 	g_autofree char *path = NULL;
 	json_auto_t *body = NULL;
 	const char *type, *name;
--- a/src/cmd-call.c
+++ b/src/cmd-call.c
@@ -12,7 +12,7 @@
  * Return: the exit code of the error's type.
  */
 enum cmd_exit
-cmd_failure(const struct http_reply *reply)
+cmd_failure(const struct http_response *reply)
 {
 	const char *type = "unknown", *message = "";
 
@@ -34,11 +34,11 @@
  * @method: HTTP method
  * @path: path of the operators' interface
  * @body: JSON, or NULL
- * @reply: the answer; free with http_reply_clear()
+ * @reply: the answer; free with http_response_clear()
  */
 enum cmd_exit
 cmd_call(const struct cmd_context *ctx, const char *method, const char *path,
-    json_t *body, struct http_reply *reply)
+    json_t *body, struct http_response *reply)
 {
 	g_autofree char *url = g_strconcat(ctx->urls[0], path, NULL);
 	g_autoptr(GError) error = NULL;
--- a/src/cmd-delete.c
+++ b/src/cmd-delete.c
@@ -7,7 +7,7 @@
 static enum cmd_exit
 cmd_delete_exec(const struct cmd_context *ctx)
 {
-	CLEANUP(http_reply_clear) struct http_reply reply = { 0 };
+	CLEANUP(http_response_clear) struct http_response reply = { 0 };
 	g_autofree char *path = NULL;
 	enum cmd_exit rc;
 
--- a/src/cmd-get.c
+++ b/src/cmd-get.c
@@ -24,7 +24,7 @@
 static enum cmd_exit
 cmd_get_exec(const struct cmd_context *ctx)
 {
-	CLEANUP(http_reply_clear) struct http_reply reply = { 0 };
+	CLEANUP(http_response_clear) struct http_response reply = { 0 };
 	g_autofree char *path = NULL;
 	enum cmd_exit rc;
 	json_t *item;
--- a/src/cmd-status.c
+++ b/src/cmd-status.c
@@ -51,7 +51,7 @@
 static enum cmd_exit
 cmd_status_exec(const struct cmd_context *ctx)
 {
-	CLEANUP(http_reply_clear) struct http_reply reply = { 0 };
+	CLEANUP(http_response_clear) struct http_response reply = { 0 };
 	const char *name, *domain, *digest;
 	json_int_t applied, in_force, active;
 	int ready, leaving, log_ok, controller;
--- a/src/cmd-wait.c
+++ b/src/cmd-wait.c
@@ -12,7 +12,7 @@
 static long long
 in_force(const struct cmd_context *ctx, const char *base)
 {
-	CLEANUP(http_reply_clear) struct http_reply reply = { 0 };
+	CLEANUP(http_response_clear) struct http_response reply = { 0 };
 	g_autofree char *url = g_strconcat(base, "/status", NULL);
 
 	if (!http_client_send("GET", url, NULL, ctx->token, 1000, &reply,
--- a/src/cmd.h
+++ b/src/cmd.h
@@ -68,10 +68,10 @@
 extern const struct cmd_entry cmd_watch_entry;
 
 enum cmd_exit cmd_call(const struct cmd_context *, const char *, const char *,
-    json_t *, struct http_reply *);
+    json_t *, struct http_response *);
 enum cmd_exit cmd_stream(const struct cmd_context *, const char *,
     size_t (*)(char *, size_t, size_t, void *), void *);
-enum cmd_exit cmd_failure(const struct http_reply *);
+enum cmd_exit cmd_failure(const struct http_response *);
 void cmd_print_json(json_t *);
 
 #endif
--- a/src/completion.c
+++ b/src/completion.c
@@ -232,9 +232,9 @@
 
 	log_debug("call_end", "target=%s phase=%d status=%d action=%d",
 	    c->target->name, (int)end.phase, end.status, (int)v.action);
-	target_heard(c->target, c->call);
+	target_apply_feedback(c->target, c->call);
 	completion_close_call(c);
-	target_failed(c->target, clock_now_ms());
+	target_note_failure(c->target, clock_now_ms());
 	if (v.outcome == OUTCOME_UNKNOWN)
 		c->req->may_have_run = true;
 	if (v.action == CALL_PASS) {
@@ -278,8 +278,9 @@
 static enum completion_result
 completion_finish(struct completion *c)
 {
-	target_latency(c->target, call_first_byte_us(c->call), clock_now_ms());
-	target_heard(c->target, c->call);
+	target_note_success(c->target, call_first_byte_us(c->call),
+	    clock_now_ms());
+	target_apply_feedback(c->target, c->call);
 	completion_close_call(c);
 	request_end(c->req, OUTCOME_WHOLE, 200, NULL);
 	return (COMPLETION_END);
--- a/src/config-snapshot.c
+++ b/src/config-snapshot.c
@@ -123,7 +123,7 @@
 		g_usleep(G_USEC_PER_SEC / 2);
 		return (false);
 	}
-	return (config_offer(config, dump));
+	return (config_adopt_state(config, dump));
 }
 
 /**
--- a/src/config.c
+++ b/src/config.c
@@ -31,7 +31,7 @@
 {
 	memset(config, 0, sizeof *config);
 	g_mutex_init(&config->lock);
-	g_cond_init(&config->moved);
+	g_cond_init(&config->advanced);
 	g_queue_init(&config->verdict_order);
 	config->state = state_create();
 	config->verdicts = g_hash_table_new_full(g_str_hash, g_str_equal,
@@ -52,7 +52,7 @@
 	g_hash_table_unref(config->verdicts);
 	g_queue_clear_full(&config->verdict_order, g_free);
 	g_mutex_clear(&config->lock);
-	g_cond_clear(&config->moved);
+	g_cond_clear(&config->advanced);
 }
 
 /* Replays one record under the lock. */
@@ -95,13 +95,13 @@
 		moved = true;
 	}
 	if (moved)
-		g_cond_broadcast(&config->moved);
+		g_cond_broadcast(&config->advanced);
 	g_mutex_unlock(&config->lock);
 	return (moved);
 }
 
 /**
- * config_offer() - take a state that a peer or a snapshot gave.
+ * config_adopt_state() - take a state that a peer or a snapshot gave.
  * @config: the configuration
  * @dump: what state_dump() gave
  *
@@ -109,7 +109,7 @@
  * version never goes back, whoever offers it.
  */
 bool
-config_offer(struct config *config, json_t *dump)
+config_adopt_state(struct config *config, json_t *dump)
 {
 	g_autoptr(GError) error = NULL;
 	CLEANUP(state_cleanup) struct state *offered = NULL;
@@ -127,7 +127,7 @@
 		old = config->state;
 		config->state = g_steal_pointer(&offered);
 		offered = old;
-		g_cond_broadcast(&config->moved);
+		g_cond_broadcast(&config->advanced);
 	}
 	g_mutex_unlock(&config->lock);
 	if (longer)
@@ -177,7 +177,7 @@
 	if (config->ops == NULL || config->ops->fetch == NULL)
 		return (false);
 	dump = config->ops->fetch(config->ops_arg, config_next(config));
-	return (dump != NULL && config_offer(config, dump));
+	return (dump != NULL && config_adopt_state(config, dump));
 }
 
 /* Waits a random while, so that daemons do not come back all at once. */
@@ -229,7 +229,7 @@
 	for (;;) {
 		found = config_verdict_find(config, id, verdict, offset, error);
 		if (found ||
-		    !g_cond_wait_until(&config->moved, &config->lock, until))
+		    !g_cond_wait_until(&config->advanced, &config->lock, until))
 			break;
 	}
 	g_mutex_unlock(&config->lock);
--- a/src/config.h
+++ b/src/config.h
@@ -25,7 +25,7 @@
 /**
  * struct config - the followed log.
  * @lock: guards the members below
- * @moved: signalled whenever the state moved on
+ * @advanced: signalled whenever the state moved on
  * @state: what replay has made; never replaced by a shorter prefix
  * @verdicts: change id to the verdict that replay gave, of recent records
  * @verdict_order: change ids, oldest first
@@ -34,7 +34,7 @@
  */
 struct config {
 	GMutex lock;
-	GCond moved;
+	GCond advanced;
 	struct state *state;
 	GHashTable *verdicts;
 	GQueue verdict_order;
@@ -49,7 +49,7 @@
     const struct config_ops *, void *);
 void config_destroy(struct config *);
 void config_follow(struct config *, unsigned);
-bool config_offer(struct config *, json_t *);
+bool config_adopt_state(struct config *, json_t *);
 bool config_change(struct config *, const char *, const char *, const char *,
     int64_t, json_t *, uint64_t *, GError **);
 enum verdict config_append(struct config *, json_t *, uint64_t *, GError **);
--- a/src/controller.c
+++ b/src/controller.c
@@ -173,8 +173,8 @@
 {
 	struct server *server = c->server;
 	struct order_limits lim;
-	struct http_task_list *tasks;
-	struct http_task *task;
+	struct http_call_list *tasks;
+	struct http_call *task;
 
 	g_mutex_lock(&server->config.lock);
 	g_mutex_lock(&server->inv.lock);
--- a/src/customer.c
+++ b/src/customer.c
@@ -16,8 +16,8 @@
 	customer = g_new0(struct customer, 1);
 	atomic_init(&customer->references, 1);
 	customer->name = g_strdup(name);
-	for (size_t i = 0; i < CUSTOMER_BUDGETS; i++)
-		retry_budget_init(&customer->budgets[i]);
+	for (size_t i = 0; i < CUSTOMER_BUCKETS; i++)
+		retry_budget_init(&customer->retry_budgets[i]);
 	return (customer);
 }
 
@@ -76,14 +76,15 @@
 }
 
 /**
- * customer_budget() - the retry budget toward a deployment or service.
+ * customer_retry_budget() - the retry budget toward a deployment or service.
  * @customer: the customer
  * @service: its name
  */
 struct retry_budget *
-customer_budget(struct customer *customer, const char *service)
+customer_retry_budget(struct customer *customer, const char *service)
 {
-	return (&customer->budgets[g_str_hash(service) % CUSTOMER_BUDGETS]);
+	return (
+	    &customer->retry_budgets[g_str_hash(service) % CUSTOMER_BUCKETS]);
 }
 
 /**
@@ -94,5 +95,5 @@
 struct fair_flow *
 customer_flow(struct customer *customer, const char *deployment)
 {
-	return (&customer->flows[g_str_hash(deployment) % CUSTOMER_BUDGETS]);
+	return (&customer->flows[g_str_hash(deployment) % CUSTOMER_BUCKETS]);
 }
--- a/src/customer.h
+++ b/src/customer.h
@@ -11,7 +11,7 @@
 #include "series.h"
 
 /* Services are spread over these slots; two in one slot share it. */
-#define CUSTOMER_BUDGETS 64
+#define CUSTOMER_BUCKETS 64
 
 /**
  * struct customer - one customer.
@@ -20,7 +20,7 @@
  * @batch: whether it is of class batch rather than interactive
  * @limit: its limits at this daemon
  * @weight: share when replicas are short
- * @budgets: retry budgets by hash of the service's name
+ * @retry_budgets: retry budgets by hash of the service's name
  * @flows: places in the queues of deployments, likewise
  * @series: its counts
  */
@@ -30,8 +30,8 @@
 	atomic_bool batch;
 	struct limit limit;
 	atomic_uint weight;
-	struct retry_budget budgets[CUSTOMER_BUDGETS];
-	struct fair_flow flows[CUSTOMER_BUDGETS];
+	struct retry_budget retry_budgets[CUSTOMER_BUCKETS];
+	struct fair_flow flows[CUSTOMER_BUCKETS];
 	struct series series;
 };
 
@@ -40,7 +40,7 @@
 void customer_unref(struct customer *);
 void customer_cleanup(struct customer **);
 void customer_update(struct customer *, const struct resource *, unsigned);
-struct retry_budget *customer_budget(struct customer *, const char *);
+struct retry_budget *customer_retry_budget(struct customer *, const char *);
 struct fair_flow *customer_flow(struct customer *, const char *);
 
 #endif
--- a/src/edge-announce.c
+++ b/src/edge-announce.c
@@ -20,7 +20,7 @@
 	struct sockaddr_in addr;
 	int port, capacity = 0;
 
-	if (edge_quarantine_record(e, record) || record->value == NULL)
+	if (edge_quarantine_apply(e, record) || record->value == NULL)
 		return;
 	root = json_loadb((const char *)record->value, record->length, 0, NULL);
 	if (root == NULL ||
@@ -55,15 +55,15 @@
 }
 
 static void
-on_announced(void *arg, const struct store_answer *answer)
+on_announced(void *arg, const struct store_response *answer)
 {
 	struct edge *e = arg;
 	const struct mesh *mesh = &e->mesh;
 
-	if (e->leaving_ms != 0)
+	if (e->draining_since_ms != 0)
 		return;
 	if (answer->result != STORE_OK && answer->result != STORE_UNKNOWN) {
-		uv_timer_start(&e->leave, on_again, ANNOUNCE_AGAIN_MS, 0);
+		uv_timer_start(&e->drain_timer, on_again, ANNOUNCE_AGAIN_MS, 0);
 		return;
 	}
 	e->announced = true;
@@ -118,5 +118,5 @@
 	g_array_append_val(records, record);
 	if (!e->store->ops->append(e->store, TOPIC_DAEMONS, records, -1,
 		on_announced, e))
-		uv_timer_start(&e->leave, on_again, ANNOUNCE_AGAIN_MS, 0);
+		uv_timer_start(&e->drain_timer, on_again, ANNOUNCE_AGAIN_MS, 0);
 }
--- a/src/edge-quarantine.c
+++ b/src/edge-quarantine.c
@@ -48,7 +48,7 @@
 }
 
 static void
-on_recorded(void *arg, const struct store_answer *answer)
+on_recorded(void *arg, const struct store_response *answer)
 {
 	g_autofree struct quarantine_append *append = arg;
 	struct edge *e = append->edge;
@@ -89,7 +89,7 @@
 	g_array_append_val(records, record);
 	if (!e->store->ops->append(e->store, TOPIC_DAEMONS, records, -1, done,
 		arg)) {
-		const struct store_answer none = { .result = STORE_REFUSED };
+		const struct store_response none = { .result = STORE_REFUSED };
 
 		done(arg, &none);
 	}
@@ -112,7 +112,7 @@
 }
 
 static void
-on_removed(void *arg, const struct store_answer *answer)
+on_removed(void *arg, const struct store_response *answer)
 {
 	event_log(LOG_INFO, "quarantine_removed", "result=%s",
 	    store_result_name(answer->result));
@@ -132,12 +132,12 @@
 }
 
 /**
- * edge_quarantine_look() - write the records that are due, remove those of work
- * that was cleared.
+ * edge_quarantine_update() - write the records that are due, remove those of
+ * work that was cleared.
  * @e: the daemon
  */
 void
-edge_quarantine_look(struct edge *e)
+edge_quarantine_update(struct edge *e)
 {
 	uint64_t now = clock_loop_ms(e->loop);
 	struct poison_request *w;
@@ -177,14 +177,14 @@
 }
 
 /**
- * edge_quarantine_record() - take in a record of quarantined work.
+ * edge_quarantine_apply() - take in a record of quarantined work.
  * @e: the daemon
  * @record: a record of the daemons' topic
  *
  * Return: false where it is of something else.
  */
 bool
-edge_quarantine_record(struct edge *e, const struct store_record *record)
+edge_quarantine_apply(struct edge *e, const struct store_record *record)
 {
 	json_auto_t *root = NULL;
 	const json_t *ends;
--- a/src/edge-status.c
+++ b/src/edge-status.c
@@ -16,7 +16,7 @@
 {
 	uint64_t now = clock_loop_ms(e->loop);
 
-	if (e->leaving_ms != 0 || e->registry.catalog == NULL ||
+	if (e->draining_since_ms != 0 || e->registry.catalog == NULL ||
 	    !e->registry.endpoints.synced)
 		return (false);
 	return (!e->registry.catalog->requires_key ||
@@ -25,13 +25,13 @@
 }
 
 /**
- * edge_answer_ready() - answer the balancer.
+ * edge_serve_ready() - answer the balancer.
  * @arg: the struct edge
  * @path: asked for
  * @body: filled in
  */
 unsigned
-edge_answer_ready(void *arg, const char *path, GString *body)
+edge_serve_ready(void *arg, const char *path, GString *body)
 {
 	struct edge *e = arg;
 	bool ready = edge_is_ready(e);
@@ -58,7 +58,7 @@
 		endpoints += !ep->gone;
 		open += !ep->gone && ep->report.state == GROUP_OPEN;
 		resting += !ep->gone && now < ep->cooldown_until_ms;
-		opened += ep->pool.opened;
+		opened += ep->pool.n_opened;
 	}
 	print_value(out, "endpoints", endpoints);
 	print_value(out, "groups_open", open);
@@ -81,13 +81,13 @@
 }
 
 /**
- * edge_answer_metrics() - all counters and histograms.
+ * edge_serve_metrics() - all counters and histograms.
  * @arg: the struct edge
  * @path: asked for
  * @body: filled in
  */
 unsigned
-edge_answer_metrics(void *arg, const char *path, GString *body)
+edge_serve_metrics(void *arg, const char *path, GString *body)
 {
 	struct edge *e = arg;
 	uint64_t now = clock_loop_ms(e->loop);
--- a/src/edge.c
+++ b/src/edge.c
@@ -78,11 +78,11 @@
 }
 
 /**
- * edge_apply() - put the settings that may change into force.
+ * edge_apply_settings() - put the settings that may change into force.
  * @e: the daemon
  */
 void
-edge_apply(struct edge *e)
+edge_apply_settings(struct edge *e)
 {
 	struct fwd_setting *set = &e->fwd.set;
 
@@ -136,7 +136,7 @@
 	g_free(e->set.log_level);
 	e->set.log_level = g_steal_pointer(&next.log_level);
 	edge_setting_free(&next);
-	edge_apply(e);
+	edge_apply_settings(e);
 	event_log(LOG_NOTICE, "reloaded", "why=%s", reason);
 }
 
@@ -154,7 +154,7 @@
 on_leave(uv_timer_t *timer)
 {
 	struct edge *e = timer->data;
-	uint64_t since = clock_loop_ms(e->loop) - e->leaving_ms;
+	uint64_t since = clock_loop_ms(e->loop) - e->draining_since_ms;
 	uint64_t grace = (uint64_t)(e->set.grace_s * 1000);
 
 	if (since >= LEAVE_ACCEPT_MS) {
@@ -172,21 +172,21 @@
 }
 
 /**
- * edge_leave() - end gracefully: be taken out of rotation, then finish.
+ * edge_drain() - end gracefully: be taken out of rotation, then finish.
  * @e: the daemon
  */
 void
-edge_leave(struct edge *e)
+edge_drain(struct edge *e)
 {
-	if (e->leaving_ms != 0)
+	if (e->draining_since_ms != 0)
 		return;
-	e->leaving_ms = clock_loop_ms(e->loop);
+	e->draining_since_ms = clock_loop_ms(e->loop);
 	event_log(LOG_NOTICE, "leaving", "exchanges=%u", e->fwd.n_exchanges);
 	placer_stop(&e->placer);
 	e->mesh.self.leaving = true;
 	mesh_send_now(&e->mesh);
 	fwd_drain(&e->fwd);
-	uv_timer_start(&e->leave, on_leave, LEAVE_LOOK_MS, LEAVE_LOOK_MS);
+	uv_timer_start(&e->drain_timer, on_leave, LEAVE_LOOK_MS, LEAVE_LOOK_MS);
 }
 
 static void
@@ -197,7 +197,7 @@
 	if (number == SIGHUP)
 		edge_reload(e, "signal");
 	else
-		edge_leave(e);
+		edge_drain(e);
 }
 
 /*
@@ -322,14 +322,14 @@
 			INT64_MAX));
 	e->was_ready = ready;
 	e->fwd.daemons =
-	    fwd_daemon_peak_update(&e->sharers, 1 + e->mesh.n_others,
+	    fwd_daemon_peak_update(&e->daemon_peak, 1 + e->mesh.n_others,
 		e->fwd.set.retry.window_ms, clock_loop_ms(e->loop));
 	edge_choose_reader(e);
 	edge_choose_patience(e);
 	e->mesh.self.serving = e->fwd.stats.counts[COUNT_REQUESTS] > 0;
 	registry_sweep(&e->registry, clock_loop_ms(e->loop));
 	fwd_poison_sweep(&e->fwd);
-	edge_quarantine_look(e);
+	edge_quarantine_update(e);
 	event_log_flush();
 	if (++looks % COUNTER_LOOKS == 0)
 		edge_log_counters(e);
@@ -350,10 +350,10 @@
 	    e->registry.catalog != NULL ? e->registry.catalog->version : -1;
 
 	/* A new configuration is worth a word before the next round. */
-	if (version != e->told_version && e->mesh.loop != NULL &&
+	if (version != e->notified_version && e->mesh.loop != NULL &&
 	    (e->mesh.relay == NULL || e->mesh.relay->config_version < version))
 		mesh_send_now(&e->mesh);
-	e->told_version = version;
+	e->notified_version = version;
 	if (!TAILQ_EMPTY(&e->fwd.queue))
 		fwd_schedule_dispatch(&e->fwd);
 	placer_schedule_pass(&e->placer);
@@ -416,14 +416,14 @@
 static void
 edge_start_timers(struct edge *e)
 {
-	uv_timer_init(e->loop, &e->second);
-	uv_timer_init(e->loop, &e->hold);
-	e->hold.data = e;
-	uv_timer_start(&e->hold, on_hold, HOLD_LOOK_MS, HOLD_LOOK_MS);
-	uv_timer_init(e->loop, &e->leave);
-	e->second.data = e;
-	e->leave.data = e;
-	uv_timer_start(&e->second, on_second, SECOND_MS, SECOND_MS);
+	uv_timer_init(e->loop, &e->tick_timer);
+	uv_timer_init(e->loop, &e->startup_timer);
+	e->startup_timer.data = e;
+	uv_timer_start(&e->startup_timer, on_hold, HOLD_LOOK_MS, HOLD_LOOK_MS);
+	uv_timer_init(e->loop, &e->drain_timer);
+	e->tick_timer.data = e;
+	e->drain_timer.data = e;
+	uv_timer_start(&e->tick_timer, on_second, SECOND_MS, SECOND_MS);
 	for (size_t i = 0; i < G_N_ELEMENTS(signal_numbers); i++) {
 		uv_signal_init(e->loop, &e->signals[i]);
 		e->signals[i].data = e;
@@ -477,17 +477,17 @@
 	address_of(e->set.metrics_address, &metrics);
 	address_of(e->set.peer_address, &peer);
 	e->store = e->platform->store_open(e->loop, &store, STORE_TIMEOUT_MS);
-	registry_init(&e->registry, e->loop, e->store, e->platform->decode);
+	registry_init(&e->registry, e->loop, e->store, e->platform->decoders);
 	uv_ip4_addr(e->set.source_ip, 0, &e->registry.fleet.source);
 	edge_join_parts(e);
 	edge_start_timers(e);
 	if (!opened(fwd_open(&e->fwd, e->loop, &caller), "--caller-address",
 		e->set.caller_address, error) ||
 	    !opened(status_server_open(&e->ready, e->loop, &ready,
-			edge_answer_ready, e),
+			edge_serve_ready, e),
 		"--ready-address", e->set.ready_address, error) ||
 	    !opened(status_server_open(&e->metrics, e->loop, &metrics,
-			edge_answer_metrics, e),
+			edge_serve_metrics, e),
 		"--metrics-address", e->set.metrics_address, error) ||
 	    !opened(status_server_open(&e->peers, e->loop, &peer, mesh_serve,
 			&e->mesh),
@@ -499,7 +499,7 @@
 	    (unsigned)(e->set.key_proof_ms / CONFIG_READS),
 	    (unsigned)(e->set.drain_ms / ENDPOINT_READS));
 	edge_choose_patience(e);
-	edge_apply(e);
+	edge_apply_settings(e);
 	placer_start(&e->placer, e->loop);
 	edge_find_daemons(e);
 	edge_announce(e);
--- a/src/fair-queue.c
+++ b/src/fair-queue.c
@@ -28,8 +28,8 @@
 	memset(q, 0, sizeof *q);
 	q->slots = slots;
 	q->mean_ms = FIRST_MEAN_MS;
-	TAILQ_INIT(&q->waiting[0]);
-	TAILQ_INIT(&q->waiting[1]);
+	TAILQ_INIT(&q->queued[0]);
+	TAILQ_INIT(&q->queued[1]);
 }
 
 static bool
@@ -45,9 +45,9 @@
 	const struct fair_ticket *other;
 	unsigned n = 0;
 
-	TAILQ_FOREACH(other, &q->waiting[0], entry)
+	TAILQ_FOREACH(other, &q->queued[0], entry)
 		n += t->batch || other->start <= t->start;
-	TAILQ_FOREACH(other, &q->waiting[1], entry)
+	TAILQ_FOREACH(other, &q->queued[1], entry)
 		n += t->batch && other->start <= t->start;
 	return (n);
 }
@@ -74,11 +74,11 @@
 static void
 insert(struct fair_queue *q, struct fair_ticket *t)
 {
-	struct fair_ticket_list *list = &q->waiting[t->batch];
+	struct fair_ticket_list *list = &q->queued[t->batch];
 	struct fair_ticket *other;
 
 	q->length++;
-	t->flow->waiting++;
+	t->flow->n_queued++;
 	TAILQ_FOREACH_REVERSE(other, list, fair_ticket_list, entry)
 	{
 		if (other->start <= t->start) {
@@ -113,7 +113,7 @@
 	    flow->finish > q->virtual_time ? flow->finish : q->virtual_time;
 	wait = wait_ms(q, t);
 	if (wait > 0 &&
-	    (flow->waiting >= q->slots * WAITING_PER_SLOT ||
+	    (flow->n_queued >= q->slots * WAITING_PER_SLOT ||
 		now + wait >= t->deadline_ms)) {
 		*retry_ms = wait;
 		return (FAIR_REFUSED);
@@ -131,8 +131,8 @@
 static void
 take_out(struct fair_queue *q, struct fair_ticket *t)
 {
-	TAILQ_REMOVE(&q->waiting[t->batch], t, entry);
-	t->flow->waiting--;
+	TAILQ_REMOVE(&q->queued[t->batch], t, entry);
+	t->flow->n_queued--;
 	q->length--;
 }
 
@@ -140,25 +140,26 @@
 static struct fair_ticket *
 next_ticket(struct fair_queue *q)
 {
-	struct fair_ticket *interactive = TAILQ_FIRST(&q->waiting[0]);
-	struct fair_ticket *batch = TAILQ_FIRST(&q->waiting[1]);
+	struct fair_ticket *interactive = TAILQ_FIRST(&q->queued[0]);
+	struct fair_ticket *batch = TAILQ_FIRST(&q->queued[1]);
 
-	if (interactive == NULL || (batch != NULL && q->turns >= BATCH_TURN)) {
-		q->turns = 0;
+	if (interactive == NULL ||
+	    (batch != NULL && q->interactive_grants >= BATCH_TURN)) {
+		q->interactive_grants = 0;
 		return (batch);
 	}
-	q->turns++;
+	q->interactive_grants++;
 	return (interactive);
 }
 
 /**
- * fair_queue_next() - grant a free slot to the request whose turn it is.
+ * fair_queue_grant_next() - grant a free slot to the request whose turn it is.
  * @q: the queue
  *
  * Return: whether one was granted.
  */
 bool
-fair_queue_next(struct fair_queue *q)
+fair_queue_grant_next(struct fair_queue *q)
 {
 	struct fair_ticket *t;
 
@@ -171,12 +172,12 @@
 }
 
 /**
- * fair_queue_leave() - a request gives its slot back.
+ * fair_queue_release() - a request gives its slot back.
  * @q: the queue
  * @held_ms: how long it had it
  */
 void
-fair_queue_leave(struct fair_queue *q, uint64_t held_ms)
+fair_queue_release(struct fair_queue *q, uint64_t held_ms)
 {
 	q->busy--;
 	q->mean_ms =
@@ -186,12 +187,12 @@
 }
 
 /**
- * fair_queue_abandon() - a request that waits gives up.
+ * fair_queue_cancel() - a request that waits gives up.
  * @q: the queue
  * @t: its ticket, which has no slot
  */
 void
-fair_queue_abandon(struct fair_queue *q, struct fair_ticket *t)
+fair_queue_cancel(struct fair_queue *q, struct fair_ticket *t)
 {
 	take_out(q, t);
 }
--- a/src/fair-queue.h
+++ b/src/fair-queue.h
@@ -10,11 +10,11 @@
 /**
  * struct fair_flow - one customer's place in the order of service.
  * @finish: virtual time at which its latest request would end
- * @waiting: its requests that wait
+ * @n_queued: its requests that wait
  */
 struct fair_flow {
 	double finish;
-	unsigned waiting;
+	unsigned n_queued;
 };
 
 /**
@@ -51,8 +51,9 @@
  * @length: requests that wait
  * @virtual_time: start of the request that was granted last
  * @mean_ms: moving mean of how long a slot is held
- * @turns: slots granted to interactive requests since the last batch one
- * @waiting: interactive and batch requests, each by @start
+ * @interactive_grants: slots granted to interactive requests since the last
+ * batch one
+ * @queued: interactive and batch requests, each by @start
  */
 struct fair_queue {
 	unsigned slots;
@@ -60,15 +61,15 @@
 	unsigned length;
 	double virtual_time;
 	uint64_t mean_ms;
-	unsigned turns;
-	struct fair_ticket_list waiting[2];
+	unsigned interactive_grants;
+	struct fair_ticket_list queued[2];
 };
 
 void fair_queue_init(struct fair_queue *, unsigned);
 enum fair_verdict fair_queue_enter(struct fair_queue *, struct fair_ticket *,
     struct fair_flow *, uint64_t, uint64_t *);
-void fair_queue_leave(struct fair_queue *, uint64_t);
-void fair_queue_abandon(struct fair_queue *, struct fair_ticket *);
-bool fair_queue_next(struct fair_queue *);
+void fair_queue_release(struct fair_queue *, uint64_t);
+void fair_queue_cancel(struct fair_queue *, struct fair_ticket *);
+bool fair_queue_grant_next(struct fair_queue *);
 
 #endif
--- a/src/fwd-conn.c
+++ b/src/fwd-conn.c
@@ -198,14 +198,14 @@
 static void
 conn_run_pipelined(struct fwd_conn *c)
 {
-	while (c->exchange == NULL && !c->stream.closing && !c->stream.finish &&
-	    c->pipelined->len > 0) {
+	while (c->exchange == NULL && !c->stream.closing &&
+	    !c->stream.write_shutdown && c->pipelined->len > 0) {
 		g_autoptr(GString) bytes = g_steal_pointer(&c->pipelined);
 		size_t used;
 
 		c->pipelined = g_string_new(NULL);
 		used = conn_parse(c, bytes->str, bytes->len);
-		if (c->stream.closing || c->stream.finish)
+		if (c->stream.closing || c->stream.write_shutdown)
 			return;
 		g_string_append_len(c->pipelined, bytes->str + used,
 		    (gssize)(bytes->len - used));
@@ -219,12 +219,12 @@
 {
 	struct fwd_conn *c = stream->owner;
 
-	if (c->stream.finish)
+	if (c->stream.write_shutdown)
 		return;
 	if (c->exchange == NULL && c->pipelined->len == 0) {
 		size_t used = conn_parse(c, at, length);
 
-		if (c->stream.closing || c->stream.finish)
+		if (c->stream.closing || c->stream.write_shutdown)
 			return;
 		at += used;
 		length -= used;
@@ -234,7 +234,7 @@
 		conn_start_exchange(c);
 	conn_run_pipelined(c);
 	if (c->pipelined != NULL && c->pipelined->len > PIPELINED_MAX_BYTES)
-		net_stream_read(stream, false);
+		net_stream_set_reading(stream, false);
 }
 
 static void
@@ -330,10 +330,10 @@
 	c->since_ms = clock_loop_ms(c->fwd->loop);
 	fwd_conn_flush(c);
 	if (!c->keep_alive) {
-		net_stream_finish(&c->stream);
+		net_stream_shutdown(&c->stream);
 		return;
 	}
-	net_stream_read(&c->stream, true);
+	net_stream_set_reading(&c->stream, true);
 	/* Pipelined bytes are parsed from the loop, not within the function
 	 * that ended the exchange. */
 	if (c->pipelined->len > 0)
@@ -480,7 +480,7 @@
 
 	if (c->exchange != NULL || c->stream.closing)
 		return;
-	if (c->stream.finish) {
+	if (c->stream.write_shutdown) {
 		if (waited > LINGER_MS)
 			net_stream_close(&c->stream);
 		return;
--- a/src/fwd-end.c
+++ b/src/fwd-end.c
@@ -72,7 +72,7 @@
 	ex->state = EXCHANGE_DONE;
 	fwd_poison_end_probe(ex);
 	if (ex->upstream != NULL) {
-		net_client_abandon(ex->upstream);
+		net_conn_abort(ex->upstream);
 		ex->upstream = NULL;
 	}
 	fwd_exchange_release(ex);
--- a/src/fwd-exchange.c
+++ b/src/fwd-exchange.c
@@ -129,7 +129,7 @@
 		return;
 	}
 	if (once)
-		net_client_hold(ex->upstream, ONCE_HOLD_MS);
+		net_conn_delay_send(ex->upstream, ONCE_HOLD_MS);
 	ex->runs++;
 	fwd_stats_count(&fwd->stats, COUNT_SENT);
 	log_debug("request_sent",
@@ -141,7 +141,7 @@
 	    (unsigned long long)(limit->active ? ex->sent_ms - limit->as_of_ms :
 						 0));
 	text = exchange_build_request(ex);
-	net_client_send(ex->upstream, text->str, text->len, ex->head_only);
+	net_conn_send(ex->upstream, text->str, text->len, ex->head_only);
 }
 
 /**
@@ -255,7 +255,7 @@
 	if (ex->upstream == NULL || ex->paused == on)
 		return;
 	ex->paused = on;
-	net_client_pause(ex->upstream, on);
+	net_conn_pause(ex->upstream, on);
 	/* Silence during a pause is not the endpoint's. */
 	ex->heard_ms = clock_loop_ms(ex->fwd->loop);
 }
@@ -289,7 +289,7 @@
 fwd_exchange_move(struct fwd_exchange *ex, bool reached, const char *reason)
 {
 	fwd_exchange_end_send(ex, reached);
-	net_client_abandon(ex->upstream);
+	net_conn_abort(ex->upstream);
 	ex->upstream = NULL;
 	fwd_exchange_release(ex);
 	fwd_exchange_retry(ex, reason);
--- a/src/fwd-exchange.h
+++ b/src/fwd-exchange.h
@@ -107,7 +107,7 @@
 	bool resubmitted;
 	enum exchange_state state;
 	struct endpoint *endpoint;
-	struct net_client *upstream;
+	struct net_conn *upstream;
 	uint64_t sent_ms;
 	double expected_ms;
 	double overhead_ms;
@@ -174,7 +174,7 @@
 void fwd_exchange_release(struct fwd_exchange *);
 
 /* fwd-response.c: response of an endpoint. */
-extern const struct net_client_ops fwd_response_ops;
+extern const struct net_conn_ops fwd_response_ops;
 
 /* fwd-feedback.c: feedback of an endpoint about itself. */
 void fwd_feedback_apply(struct fwd_exchange *, const struct wire_response *);
--- a/src/fwd-response.c
+++ b/src/fwd-response.c
@@ -55,7 +55,7 @@
 	ep->failures = failed ? ep->failures + 1 : 0;
 }
 
-static enum net_verdict
+static enum net_head_action
 on_response_head(void *owner, unsigned status, const struct net_head *head)
 {
 	struct fwd_exchange *ex = owner;
@@ -84,7 +84,7 @@
 	ex->streaming = ex->route->retry == RETRY_STREAM &&
 	    status_is_success(status) && ex->has_signature;
 	response_keep_headers(ex, head);
-	return (NET_TAKE);
+	return (NET_ACCEPT);
 }
 
 /*
@@ -280,27 +280,27 @@
 	struct endpoint *ep = ex->endpoint;
 
 	ex->upstream = NULL;
-	if (failure == NET_BROKEN)
+	if (failure == NET_CONN_LOST)
 		fwd_poison_observe_crash(ex, false);
 	if (ex->conn == NULL) {
 		fwd_exchange_free(ex);
 		return;
 	}
 	endpoint_count_outcome(ep, true);
-	fwd_exchange_end_send(ex, failure != NET_UNREACHED);
-	if (failure == NET_UNREACHED) {
+	fwd_exchange_end_send(ex, failure != NET_CONNECT_FAILED);
+	if (failure == NET_CONNECT_FAILED) {
 		fwd_endpoint_cool_down(ex, COOLDOWN_UNREACHED_MS, "unreached");
 	} else if (ep->failures >= FAILURES_TO_COOLDOWN) {
 		fwd_endpoint_cool_down(ex, COOLDOWN_FAILURES_MS, "failures");
 	}
 	fwd_exchange_release(ex);
 	fwd_exchange_retry(ex,
-	    failure == NET_UNREACHED  ? "unreached" :
-		failure == NET_BROKEN ? "connection_lost" :
-					"no_answer_in_protocol");
+	    failure == NET_CONNECT_FAILED ? "unreached" :
+		failure == NET_CONN_LOST  ? "connection_lost" :
+					    "no_answer_in_protocol");
 }
 
-const struct net_client_ops fwd_response_ops = {
+const struct net_conn_ops fwd_response_ops = {
 	.head = on_response_head,
 	.body = on_response_body,
 	.done = on_response_done,
--- a/src/fwd.c
+++ b/src/fwd.c
@@ -226,7 +226,7 @@
 		if (c->exchange != NULL && busy)
 			fwd_exchange_abort(c->exchange, "daemon_ends");
 		else if (c->exchange == NULL && !c->started &&
-		    !c->stream.finish)
+		    !c->stream.write_shutdown)
 			net_stream_close(&c->stream);
 	}
 }
@@ -244,7 +244,7 @@
 	const struct fwd_conn *c;
 
 	TAILQ_FOREACH(c, &fwd->conns, entry) {
-		if (!c->stream.closing && !c->stream.finish)
+		if (!c->stream.closing && !c->stream.write_shutdown)
 			return (false);
 		if (c->stream.queued > 0)
 			return (false);
--- a/src/news-puller.c
+++ b/src/gossip.c
@@ -4,7 +4,7 @@
 #include "clock.h"
 #include "controller.h"
 #include "event-log.h"
-#include "news-puller.h"
+#include "gossip.h"
 #include "peer-client.h"
 #include "random.h"
 #include "server.h"
@@ -62,7 +62,7 @@
 	g_autoptr(GArray) ask = NULL;
 
 	ask = g_array_new(FALSE, FALSE, sizeof(struct member));
-	members_ask_share(&server->members, round, MAX(rounds, 1), ask);
+	members_select_share(&server->members, round, MAX(rounds, 1), ask);
 	for (guint i = 0; i < ask->len; i++) {
 		struct member *m = &g_array_index(ask, struct member, i);
 
@@ -85,12 +85,13 @@
 	g_autoptr(GArray) ask = NULL;
 
 	ask = g_array_new(FALSE, FALSE, sizeof(struct member));
-	members_ask(&server->members, clock_now_ms(), random_u64(), ask);
+	members_select_local(&server->members, clock_now_ms(), random_u64(),
+	    ask);
 	if (remote_used(server))
-		members_ask_remote(&server->members, ask);
+		members_select_each_remote(&server->members, ask);
 	else if (round % REMOTE_ROUNDS == 0)
-		members_ask_one_remote(&server->members, ask);
-	if (ask->len == 0 || round % NEWS_SEED_ROUNDS == 0)
+		members_select_remote(&server->members, ask);
+	if (ask->len == 0 || round % GOSSIP_SEED_ROUNDS == 0)
 		ask_seeds(server, ask);
 	pull_all(server, ask);
 	if (controller_holds(server))
@@ -104,7 +105,7 @@
 	g_autoptr(GArray) ask = NULL;
 
 	ask = g_array_new(FALSE, FALSE, sizeof(struct member));
-	members_ask_remote(&server->members, ask);
+	members_select_each_remote(&server->members, ask);
 	pull_all(server, ask);
 }
 
@@ -130,7 +131,7 @@
 note_sharing(struct server *server, unsigned *sharing)
 {
 	unsigned now_sharing =
-	    members_sharing(&server->members, clock_now_ms());
+	    members_count_sharing(&server->members, clock_now_ms());
 
 	if (now_sharing == *sharing)
 		return;
@@ -140,11 +141,11 @@
 }
 
 /**
- * news_puller_run() - the thread that asks.
+ * gossip_run() - the thread that asks.
  * @arg: the daemon
  */
 void *
-news_puller_run(void *arg)
+gossip_run(void *arg)
 {
 	struct server *server = arg;
 	unsigned sharing = 0, round = 0;
--- a/src/host-list.c
+++ b/src/host-list.c
@@ -15,7 +15,7 @@
 static void
 host_list_read(struct server *server, const char *url, char **etag)
 {
-	CLEANUP(http_reply_clear) struct http_reply reply = { 0 };
+	CLEANUP(http_response_clear) struct http_response reply = { 0 };
 	json_t *list;
 
 	if (!http_client_get_changed(url, *etag, LIST_TIMEOUT_MS, &reply,
--- a/src/http-batch.c
+++ b/src/http-batch.c
@@ -11,7 +11,7 @@
 
 /* A call in progress. */
 struct transfer {
-	struct http_task *task;
+	struct http_call *task;
 	CURL *easy;
 	GByteArray *body;
 	char *text;
@@ -26,7 +26,7 @@
 struct http_batch {
 	CURLM *multi;
 	struct curl_slist *headers;
-	struct http_task_list tasks;
+	struct http_call_list tasks;
 };
 
 /**
@@ -53,7 +53,7 @@
 void
 http_batch_reset(struct http_batch *batch)
 {
-	struct http_task *task;
+	struct http_call *task;
 
 	while ((task = TAILQ_FIRST(&batch->tasks)) != NULL) {
 		TAILQ_REMOVE(&batch->tasks, task, entry);
@@ -88,9 +88,9 @@
 http_batch_add(struct http_batch *batch, const char *url, json_t *body,
     void *arg)
 {
-	struct http_task *task;
+	struct http_call *task;
 
-	task = g_new0(struct http_task, 1);
+	task = g_new0(struct http_call, 1);
 	task->url = g_strdup(url);
 	task->body = body;
 	task->arg = arg;
@@ -109,7 +109,7 @@
 }
 
 static void
-transfer_start(struct http_batch *batch, struct http_task *task,
+transfer_start(struct http_batch *batch, struct http_call *task,
     long timeout_ms)
 {
 	struct transfer *t;
@@ -168,11 +168,11 @@
 }
 
 /**
- * http_batch_tasks() - the calls of a batch.
+ * http_batch_calls() - the calls of a batch.
  * @batch: the batch
  */
-struct http_task_list *
-http_batch_tasks(struct http_batch *batch)
+struct http_call_list *
+http_batch_calls(struct http_batch *batch)
 {
 	return (&batch->tasks);
 }
@@ -184,10 +184,10 @@
  *
  * Return: the calls with their answers, valid until http_batch_reset().
  */
-struct http_task_list *
+struct http_call_list *
 http_batch_run(struct http_batch *batch, long timeout_ms)
 {
-	struct http_task *task;
+	struct http_call *task;
 	CURLMsg *msg;
 	int running, left;
 
--- a/src/http-batch.h
+++ b/src/http-batch.h
@@ -8,7 +8,7 @@
 #include <stdint.h>
 
 /**
- * struct http_task - one call of a batch.
+ * struct http_call - one call of a batch.
  * @url: the URL
  * @body: JSON to POST, or NULL for a GET; owned
  * @arg: the caller's own
@@ -16,25 +16,25 @@
  * @status: HTTP status, 0 when there was no answer
  * @json: the answer, or NULL
  */
-struct http_task {
+struct http_call {
 	char *url;
 	json_t *body;
 	void *arg;
 	uint64_t sent_ms;
 	long status;
 	json_t *json;
-	TAILQ_ENTRY(http_task) entry;
+	TAILQ_ENTRY(http_call) entry;
 };
 
-TAILQ_HEAD(http_task_list, http_task);
+TAILQ_HEAD(http_call_list, http_call);
 
 struct http_batch;
 
 struct http_batch *http_batch_create(void);
 void http_batch_free(struct http_batch *);
 void http_batch_add(struct http_batch *, const char *, json_t *, void *);
-struct http_task_list *http_batch_tasks(struct http_batch *);
-struct http_task_list *http_batch_run(struct http_batch *, long);
+struct http_call_list *http_batch_calls(struct http_batch *);
+struct http_call_list *http_batch_run(struct http_batch *, long);
 void http_batch_reset(struct http_batch *);
 
 #endif
--- a/src/http-client.c
+++ b/src/http-client.c
@@ -46,7 +46,7 @@
 header_write(char *data, size_t size, size_t n, void *arg)
 {
 	g_autofree char *line = g_strndup(data, size * n);
-	struct http_reply *reply = arg;
+	struct http_response *reply = arg;
 
 	if (g_ascii_strncasecmp(line, ETAG, strlen(ETAG)) == 0) {
 		g_free(reply->etag);
@@ -58,7 +58,7 @@
 /* Runs the prepared call and parses the answer. */
 static bool
 call_perform(CURL *curl, const char *url, long timeout_ms,
-    struct http_reply *reply, GError **error)
+    struct http_response *reply, GError **error)
 {
 	g_autoptr(GByteArray) body = g_byte_array_new();
 	long sent = 0, headers = 0;
@@ -88,11 +88,11 @@
 }
 
 /**
- * http_reply_clear() - clean-up attribute for an answer.
+ * http_response_clear() - clean-up attribute for an answer.
  * @reply: the answer
  */
 void
-http_reply_clear(struct http_reply *reply)
+http_response_clear(struct http_response *reply)
 {
 	json_decref(reply->json);
 	reply->json = NULL;
@@ -107,7 +107,7 @@
  * @error: ERROR_ENDPOINT_FAILED when there was no answer
  */
 bool
-http_client_get(const char *url, long timeout_ms, struct http_reply *reply,
+http_client_get(const char *url, long timeout_ms, struct http_response *reply,
     GError **error)
 {
 	return (call_perform(handle_get(), url, timeout_ms, reply, error));
@@ -123,7 +123,7 @@
  */
 bool
 http_client_get_changed(const char *url, const char *etag, long timeout_ms,
-    struct http_reply *reply, GError **error)
+    struct http_response *reply, GError **error)
 {
 	CURL *curl = handle_get();
 	struct curl_slist *headers = NULL;
@@ -153,7 +153,7 @@
  */
 bool
 http_client_send(const char *method, const char *url, json_t *body,
-    const char *token, long timeout_ms, struct http_reply *reply,
+    const char *token, long timeout_ms, struct http_response *reply,
     GError **error)
 {
 	CURL *curl = handle_get();
--- a/src/http-listen.c
+++ b/src/http-listen.c
@@ -121,16 +121,16 @@
 {
 	const struct settings *set = &server->set;
 
-	if (!instance_init(&listen->callers, &listen->caller_sin,
+	if (!instance_init(&listen->clients, &listen->client_sin,
 		set->caller_address, (size_t)set->body_bytes) ||
 	    !instance_init(&listen->operators, &listen->operator_sin,
 		set->operator_address, (size_t)set->body_bytes)) {
 		error_set(error, ERROR_BAD_SETTING, "HTTP cannot be set up");
 		return (false);
 	}
-	add_caller_handlers(&listen->callers, server);
+	add_caller_handlers(&listen->clients, server);
 	add_operator_handlers(&listen->operators, server);
-	if (!instance_start(&listen->callers, (unsigned)set->connections)) {
+	if (!instance_start(&listen->clients, (unsigned)set->connections)) {
 		error_set(error, ERROR_BAD_SETTING,
 		    "--caller-address: %s cannot be bound",
 		    set->caller_address);
@@ -158,7 +158,7 @@
 	const union MHD_DaemonInfo *info;
 
 	do {
-		info = MHD_get_daemon_info(listen->callers.mhd_daemon,
+		info = MHD_get_daemon_info(listen->clients.mhd_daemon,
 		    MHD_DAEMON_INFO_CURRENT_CONNECTIONS);
 		if (info == NULL || info->num_connections == 0)
 			return;
@@ -173,8 +173,8 @@
 void
 http_listen_stop(struct http_listen *listen)
 {
-	ulfius_stop_framework(&listen->callers);
+	ulfius_stop_framework(&listen->clients);
 	ulfius_stop_framework(&listen->operators);
-	ulfius_clean_instance(&listen->callers);
+	ulfius_clean_instance(&listen->clients);
 	ulfius_clean_instance(&listen->operators);
 }
--- a/src/http-listen.h
+++ b/src/http-listen.h
@@ -9,15 +9,15 @@
 
 /**
  * struct http_listen - the two servers.
- * @callers: serves callers and the balancer's health page
+ * @clients: serves callers and the balancer's health page
  * @operators: serves operators
- * @caller_sin: address of @callers, which ulfius only points to
+ * @client_sin: address of @clients, which ulfius only points to
  * @operator_sin: address of @operators
  */
 struct http_listen {
-	struct _u_instance callers;
+	struct _u_instance clients;
 	struct _u_instance operators;
-	struct sockaddr_in caller_sin;
+	struct sockaddr_in client_sin;
 	struct sockaddr_in operator_sin;
 };
 
--- a/src/limit.c
+++ b/src/limit.c
@@ -66,7 +66,7 @@
  * @now_us: monotonic microseconds
  * @wait_us: set when refused
  *
- * Return: whether it is admitted; then limit_done() is owed.
+ * Return: whether it is admitted; then limit_release() is owed.
  */
 bool
 limit_admit(struct limit *limit, uint64_t now_us, uint64_t *wait_us)
@@ -87,11 +87,11 @@
 }
 
 /**
- * limit_done() - an admitted request has ended.
+ * limit_release() - an admitted request has ended.
  * @limit: the limits
  */
 void
-limit_done(struct limit *limit)
+limit_release(struct limit *limit)
 {
 	atomic_fetch_sub(&limit->inflight, 1);
 }
--- a/src/limit.h
+++ b/src/limit.h
@@ -24,6 +24,6 @@
 
 void limit_set(struct limit *, double, double, unsigned, unsigned);
 bool limit_admit(struct limit *, uint64_t, uint64_t *);
-void limit_done(struct limit *);
+void limit_release(struct limit *);
 
 #endif
--- a/src/log-http.c
+++ b/src/log-http.c
@@ -20,7 +20,7 @@
     uint64_t *offset, GError **error)
 {
 	struct log_http *log = (struct log_http *)client;
-	CLEANUP(http_reply_clear) struct http_reply reply = { 0 };
+	CLEANUP(http_response_clear) struct http_response reply = { 0 };
 	g_autofree char *url = NULL;
 
 	url = g_strdup_printf("%s/streams/%s/records", log->url, stream);
@@ -59,7 +59,7 @@
     unsigned wait_ms, struct log_batch *batch, GError **error)
 {
 	struct log_http *log = (struct log_http *)client;
-	CLEANUP(http_reply_clear) struct http_reply reply = { 0 };
+	CLEANUP(http_response_clear) struct http_response reply = { 0 };
 	g_autofree char *url = NULL;
 
 	log_batch_init(batch);
--- a/src/members-ask.c
+++ b/src/members-select.c
@@ -13,7 +13,9 @@
 static void
 ask_add(GArray *ask, const struct member *m)
 {
-	struct member copy = { .ip = m->ip, .port = m->port, .key = m->key };
+	struct member copy = { .ip = m->ip,
+		.port = m->port,
+		.name_hash = m->name_hash };
 
 	g_array_append_val(ask, copy);
 }
@@ -64,20 +66,20 @@
 		    first_of_domain(ms, m);
 	if (domains == 0)
 		return (NULL);
-	pick = ms->remote_turn % domains;
+	pick = ms->remote_rotation % domains;
 	TAILQ_FOREACH(m, &ms->others, entry) {
 		if (strcmp(m->domain, ms->self.domain) == 0 ||
 		    !first_of_domain(ms, m))
 			continue;
 		if (pick-- == 0)
 			return (domain_member(ms, m->domain,
-			    ms->remote_turn / domains));
+			    ms->remote_rotation / domains));
 	}
 	return (NULL);
 }
 
 /**
- * members_ask() - whom to ask for news in this round.
+ * members_select_local() - whom to ask for news in this round.
  * @ms: the members
  * @now: monotonic milliseconds
  * @random: a random number
@@ -88,13 +90,14 @@
  * hear of the others' news.
  */
 void
-members_ask(struct members *ms, uint64_t now, uint64_t random, GArray *ask)
+members_select_local(struct members *ms, uint64_t now, uint64_t random,
+    GArray *ask)
 {
 	struct member *m;
 
 	g_mutex_lock(&ms->lock);
 	members_forget(ms, now);
-	ms->turn++;
+	ms->rotation++;
 	for (unsigned i = 0; i < ASK_LOCAL; i++) {
 		m = domain_member(ms, ms->self.domain, (unsigned)random + i);
 		if (m != NULL)
@@ -105,17 +108,17 @@
 }
 
 /**
- * members_ask_one_remote() - a daemon of another failure domain, in turn.
+ * members_select_remote() - a daemon of another failure domain, in turn.
  * @ms: the members
  * @ask: array of struct member; its address and key are added
  */
 void
-members_ask_one_remote(struct members *ms, GArray *ask)
+members_select_remote(struct members *ms, GArray *ask)
 {
 	struct member *m;
 
 	g_mutex_lock(&ms->lock);
-	ms->remote_turn++;
+	ms->remote_rotation++;
 	m = remote_member(ms);
 	if (m != NULL)
 		ask_add(ask, m);
@@ -123,14 +126,14 @@
 }
 
 /**
- * members_ask_share() - the daemons of the own failure domain, in shares.
+ * members_select_share() - the daemons of the own failure domain, in shares.
  * @ms: the members
  * @round: number of the round
  * @rounds: rounds in which each is asked once
  * @ask: array of struct member; addresses and keys are added
  */
 void
-members_ask_share(struct members *ms, unsigned round, unsigned rounds,
+members_select_share(struct members *ms, unsigned round, unsigned rounds,
     GArray *ask)
 {
 	struct member *m;
@@ -138,28 +141,29 @@
 	g_mutex_lock(&ms->lock);
 	TAILQ_FOREACH(m, &ms->others, entry) {
 		if (strcmp(m->domain, ms->self.domain) == 0 &&
-		    (m->key + round) % rounds == 0)
+		    (m->name_hash + round) % rounds == 0)
 			ask_add(ask, m);
 	}
 	g_mutex_unlock(&ms->lock);
 }
 
 /**
- * members_ask_remote() - one daemon of each other failure domain.
+ * members_select_each_remote() - one daemon of each other failure domain.
  * @ms: the members
  * @ask: array of struct member; addresses and keys are added
  */
 void
-members_ask_remote(struct members *ms, GArray *ask)
+members_select_each_remote(struct members *ms, GArray *ask)
 {
 	struct member *m;
 
 	g_mutex_lock(&ms->lock);
-	ms->turn++;
+	ms->rotation++;
 	TAILQ_FOREACH(m, &ms->others, entry) {
 		if (strcmp(m->domain, ms->self.domain) != 0 &&
 		    first_of_domain(ms, m))
-			ask_add(ask, domain_member(ms, m->domain, ms->turn));
+			ask_add(ask,
+			    domain_member(ms, m->domain, ms->rotation));
 	}
 	g_mutex_unlock(&ms->lock);
 }
--- a/src/members.c
+++ b/src/members.c
@@ -11,11 +11,11 @@
 #define FORGET_FACTOR 40
 
 /**
- * member_key() - the stable hash of a daemon's name.
+ * member_name_hash() - the stable hash of a daemon's name.
  * @name: its name
  */
 uint64_t
-member_key(const char *name)
+member_name_hash(const char *name)
 {
 	return (XXH64(name, strlen(name), 0));
 }
@@ -39,8 +39,8 @@
 	ms->dead_ms = (uint64_t)set->peer_dead_ms;
 	ms->self.name = g_strdup(set->name);
 	ms->self.domain = g_strdup(set->domain);
-	ms->self.key = member_key(set->name);
-	ms->self.boot = XXH64(boot, strlen(boot), 0);
+	ms->self.name_hash = member_name_hash(set->name);
+	ms->self.incarnation = XXH64(boot, strlen(boot), 0);
 	if (setting_split_address(set->peer_address, &ip, &port)) {
 		ms->self.ip = ntohl(inet_addr(ip));
 		ms->self.port = port;
@@ -88,7 +88,7 @@
 	m = g_new0(struct member, 1);
 	m->name = g_strdup(news->name);
 	m->domain = g_strdup(news->domain);
-	m->key = member_key(news->name);
+	m->name_hash = member_name_hash(news->name);
 	TAILQ_INSERT_TAIL(&ms->others, m, entry);
 	g_hash_table_insert(ms->by_name, m->name, m);
 	event_log(LOG_INFO, "member_new", "member=%s domain=%s", m->name,
@@ -97,7 +97,7 @@
 }
 
 /**
- * members_note() - take what was heard of a daemon.
+ * members_update() - take what was heard of a daemon.
  * @ms: the members
  * @news: the daemon
  * @seen_ms: local time that the proof is at least as new as
@@ -105,7 +105,7 @@
  * Only newer proof counts, so late and repeated news do no harm.
  */
 void
-members_note(struct members *ms, const struct member *news, uint64_t seen_ms)
+members_update(struct members *ms, const struct member *news, uint64_t seen_ms)
 {
 	struct member *m;
 
@@ -119,28 +119,29 @@
 		m->seen_ms = seen_ms;
 		m->ip = news->ip;
 		m->port = news->port;
-		m->boot = news->boot;
-		m->applied = news->applied;
+		m->incarnation = news->incarnation;
+		m->next_offset = news->next_offset;
 		m->leaving = news->leaving;
 	}
 	g_mutex_unlock(&ms->lock);
 }
 
 /**
- * members_life() - take news of a daemon of the own failure domain.
+ * members_refresh() - take news of a daemon of the own failure domain.
  * @ms: the members
  * @key: the low bits of its key; one that is not known is ignored
  * @leaving: it is draining
  * @seen_ms: local time that the proof is at least as new as
  */
 void
-members_life(struct members *ms, uint32_t key, bool leaving, uint64_t seen_ms)
+members_refresh(struct members *ms, uint32_t key, bool leaving,
+    uint64_t seen_ms)
 {
 	struct member *m;
 
 	g_mutex_lock(&ms->lock);
 	TAILQ_FOREACH(m, &ms->others, entry) {
-		if ((uint32_t)m->key != key || seen_ms <= m->seen_ms)
+		if ((uint32_t)m->name_hash != key || seen_ms <= m->seen_ms)
 			continue;
 		m->seen_ms = seen_ms;
 		m->leaving = leaving;
@@ -169,7 +170,7 @@
 		m = members_add(ms, news);
 		m->seen_ms = now > ms->dead_ms ? now - ms->dead_ms : 0;
 	}
-	if (!member_live(ms, m, now)) {
+	if (!member_alive(ms, m, now)) {
 		m->ip = news->ip;
 		m->port = news->port;
 	}
@@ -177,19 +178,19 @@
 }
 
 /**
- * member_live() - whether a daemon proved to live lately.
+ * member_alive() - whether a daemon proved to live lately.
  * @ms: the members
  * @m: the daemon
  * @now: monotonic milliseconds
  */
 bool
-member_live(const struct members *ms, const struct member *m, uint64_t now)
+member_alive(const struct members *ms, const struct member *m, uint64_t now)
 {
 	return (now < m->seen_ms + ms->dead_ms);
 }
 
 /**
- * members_sharing() - how many daemons share the customers' limits.
+ * members_count_sharing() - how many daemons share the customers' limits.
  * @ms: the members
  * @now: monotonic milliseconds
  *
@@ -198,7 +199,7 @@
  * and go on serving, so its daemons still count.
  */
 unsigned
-members_sharing(struct members *ms, uint64_t now)
+members_count_sharing(struct members *ms, uint64_t now)
 {
 	struct member *m, *other;
 	unsigned n = 1;
@@ -209,10 +210,10 @@
 
 		TAILQ_FOREACH(other, &ms->others, entry) {
 			if (strcmp(other->domain, m->domain) == 0 &&
-			    member_live(ms, other, now))
+			    member_alive(ms, other, now))
 				heard = true;
 		}
-		if (!heard || (member_live(ms, m, now) && !m->leaving))
+		if (!heard || (member_alive(ms, m, now) && !m->leaving))
 			n++;
 	}
 	g_mutex_unlock(&ms->lock);
@@ -232,17 +233,18 @@
 unsigned
 members_rank(struct members *ms, uint64_t key, uint64_t last, uint64_t now)
 {
-	uint64_t mine = route_mix(key ^ ms->self.key);
-	bool self_last = ms->self.key == last;
+	uint64_t mine = route_mix(key ^ ms->self.name_hash);
+	bool self_last = ms->self.name_hash == last;
 	struct member *m;
 	unsigned rank = 0;
 
 	g_mutex_lock(&ms->lock);
 	TAILQ_FOREACH(m, &ms->others, entry) {
-		if (!member_live(ms, m, now) || m->leaving || m->key == last ||
+		if (!member_alive(ms, m, now) || m->leaving ||
+		    m->name_hash == last ||
 		    strcmp(m->domain, ms->self.domain) != 0)
 			continue;
-		if (self_last || route_mix(key ^ m->key) > mine)
+		if (self_last || route_mix(key ^ m->name_hash) > mine)
 			rank++;
 	}
 	g_mutex_unlock(&ms->lock);
@@ -253,7 +255,7 @@
 member_excluded(const struct member *m, const GArray *excluded)
 {
 	for (guint i = 0; i < excluded->len; i++) {
-		if (g_array_index(excluded, uint64_t, i) == m->key)
+		if (g_array_index(excluded, uint64_t, i) == m->name_hash)
 			return (true);
 	}
 	return (false);
@@ -273,16 +275,16 @@
 members_owner(struct members *ms, uint64_t key, uint64_t now,
     const GArray *excluded, struct member *owner)
 {
-	uint64_t best = route_mix(key ^ ms->self.key);
+	uint64_t best = route_mix(key ^ ms->self.name_hash);
 	struct member *m, *found = NULL;
 
 	g_mutex_lock(&ms->lock);
 	if (ms->self.leaving)
 		best = 0;
 	TAILQ_FOREACH(m, &ms->others, entry) {
-		uint64_t weight = route_mix(key ^ m->key);
+		uint64_t weight = route_mix(key ^ m->name_hash);
 
-		if (!member_live(ms, m, now) || m->leaving ||
+		if (!member_alive(ms, m, now) || m->leaving ||
 		    member_excluded(m, excluded) || weight <= best)
 			continue;
 		best = weight;
@@ -291,21 +293,21 @@
 	if (found != NULL) {
 		owner->ip = found->ip;
 		owner->port = found->port;
-		owner->key = found->key;
+		owner->name_hash = found->name_hash;
 	}
 	g_mutex_unlock(&ms->lock);
 	return (found != NULL);
 }
 
 /**
- * members_furthest() - the live daemon with the longest configuration.
+ * members_most_advanced() - the live daemon with the longest configuration.
  * @ms: the members
  * @next: only one that has applied beyond this
  * @now: monotonic milliseconds
  * @furthest: set to its address
  */
 bool
-members_furthest(struct members *ms, uint64_t next, uint64_t now,
+members_most_advanced(struct members *ms, uint64_t next, uint64_t now,
     struct member *furthest)
 {
 	struct member *m;
@@ -313,9 +315,9 @@
 
 	g_mutex_lock(&ms->lock);
 	TAILQ_FOREACH(m, &ms->others, entry) {
-		if (m->applied <= next || !member_live(ms, m, now))
+		if (m->next_offset <= next || !member_alive(ms, m, now))
 			continue;
-		next = m->applied;
+		next = m->next_offset;
 		furthest->ip = m->ip;
 		furthest->port = m->port;
 		found = true;
--- a/src/members.h
+++ b/src/members.h
@@ -16,22 +16,22 @@
  * @domain: its failure domain
  * @ip: IPv4 number in host order
  * @port: its peer port
- * @boot: number of its run, new at every start
- * @applied: first configuration offset that it has not applied
+ * @incarnation: number of its run, new at every start
+ * @next_offset: first configuration offset that it has not applied
  * @leaving: it is draining
  * @seen_ms: local time that the latest proof is at least as new as
- * @key: stable hash of its name
+ * @name_hash: stable hash of its name
  */
 struct member {
 	char *name;
 	char *domain;
 	uint32_t ip;
 	uint16_t port;
-	uint64_t boot;
-	uint64_t applied;
+	uint64_t incarnation;
+	uint64_t next_offset;
 	bool leaving;
 	uint64_t seen_ms;
-	uint64_t key;
+	uint64_t name_hash;
 	TAILQ_ENTRY(member) entry;
 };
 
@@ -44,8 +44,8 @@
  * @others: the others
  * @by_name: the same by name
  * @dead_ms: silence after which one counts as dead
- * @turn: rotates who is named next
- * @remote_turn: rotates which other failure domain is asked next
+ * @rotation: rotates who is named next
+ * @remote_rotation: rotates which other failure domain is asked next
  */
 struct members {
 	GMutex lock;
@@ -53,26 +53,27 @@
 	struct member_list others;
 	GHashTable *by_name;
 	uint64_t dead_ms;
-	unsigned turn;
-	unsigned remote_turn;
+	unsigned rotation;
+	unsigned remote_rotation;
 };
 
 void members_init(struct members *, const struct settings *, const char *);
 void members_destroy(struct members *);
-void members_note(struct members *, const struct member *, uint64_t);
-void members_life(struct members *, uint32_t, bool, uint64_t);
+void members_update(struct members *, const struct member *, uint64_t);
+void members_refresh(struct members *, uint32_t, bool, uint64_t);
 void members_introduce(struct members *, const struct member *, uint64_t);
-bool member_live(const struct members *, const struct member *, uint64_t);
-unsigned members_sharing(struct members *, uint64_t);
-uint64_t member_key(const char *);
+bool member_alive(const struct members *, const struct member *, uint64_t);
+unsigned members_count_sharing(struct members *, uint64_t);
+uint64_t member_name_hash(const char *);
 unsigned members_rank(struct members *, uint64_t, uint64_t, uint64_t);
 bool members_owner(struct members *, uint64_t, uint64_t, const GArray *,
     struct member *);
 void members_forget(struct members *, uint64_t);
-void members_ask(struct members *, uint64_t, uint64_t, GArray *);
-void members_ask_share(struct members *, unsigned, unsigned, GArray *);
-void members_ask_one_remote(struct members *, GArray *);
-void members_ask_remote(struct members *, GArray *);
-bool members_furthest(struct members *, uint64_t, uint64_t, struct member *);
+void members_select_local(struct members *, uint64_t, uint64_t, GArray *);
+void members_select_share(struct members *, unsigned, unsigned, GArray *);
+void members_select_remote(struct members *, GArray *);
+void members_select_each_remote(struct members *, GArray *);
+bool members_most_advanced(struct members *, uint64_t, uint64_t,
+    struct member *);
 
 #endif
--- a/src/mesh-config.c
+++ b/src/mesh-config.c
@@ -21,7 +21,7 @@
 /* Applies a fetched configuration, with the peer's proof that it was the
  * newest. */
 static void
-on_fetched(void *arg, const struct net_answer *answer)
+on_fetched(void *arg, const struct net_response *answer)
 {
 	struct mesh *mesh = arg;
 
--- a/src/mesh-send.c
+++ b/src/mesh-send.c
@@ -424,10 +424,10 @@
 		if (peer->loads->len > 0 &&
 		    mesh->now_ms - peer->loads_ms >= expire_ms)
 			mesh_remove_loads(mesh, peer);
-		if (peer->pool.open > 0)
+		if (peer->pool.n_open > 0)
 			net_pool_expire(&peer->pool);
 		if (mesh->now_ms - since >= PEER_REMOVE_MS &&
-		    peer->pool.open == 0)
+		    peer->pool.n_open == 0)
 			mesh_peer_free(mesh, peer);
 	}
 }
--- a/src/mesh-serve.c
+++ b/src/mesh-serve.c
@@ -91,7 +91,7 @@
 
 /* Applies fetched entries. */
 static void
-on_entries(void *arg, const struct net_answer *answer)
+on_entries(void *arg, const struct net_response *answer)
 {
 	struct mesh *mesh = arg;
 	struct mesh_entries entries;
--- a/src/net-call.c
+++ b/src/net-call.c
@@ -19,9 +19,9 @@
  * @arg: for @fn
  */
 struct net_call {
-	struct net_client *client;
+	struct net_conn *client;
 	uv_timer_t timer;
-	struct net_answer answer;
+	struct net_response answer;
 	GByteArray *body;
 	net_call_fn *fn;
 	void *arg;
@@ -49,13 +49,13 @@
 	uv_close((uv_handle_t *)&call->timer, on_timer_closed);
 }
 
-static enum net_verdict
+static enum net_head_action
 call_head(void *owner, unsigned status, const struct net_head *head)
 {
 	struct net_call *call = owner;
 
 	call->answer.status = status;
-	return (NET_TAKE);
+	return (NET_ACCEPT);
 }
 
 static void
@@ -84,11 +84,11 @@
 
 	call->client = NULL;
 	call->answer.status = 0;
-	call->answer.reached = why != NET_UNREACHED;
+	call->answer.reached = why != NET_CONNECT_FAILED;
 	call_end(call);
 }
 
-static const struct net_client_ops call_ops = {
+static const struct net_conn_ops call_ops = {
 	.head = call_head,
 	.body = call_body,
 	.done = call_done,
@@ -102,7 +102,7 @@
 
 	call->answer.status = 0;
 	call->answer.reached = call->client->connected;
-	net_client_abandon(call->client);
+	net_conn_abort(call->client);
 	call->client = NULL;
 	call_end(call);
 }
@@ -120,14 +120,14 @@
 	    req->method, req->target, ip, ntohs(pool->addr.sin_port));
 	if (req->headers != NULL)
 		g_string_append(text, req->headers);
-	if (req->type != NULL)
+	if (req->content_type != NULL)
 		g_string_append_printf(text,
-		    "Content-Type: %s\r\nContent-Length: %zu\r\n", req->type,
-		    req->length);
+		    "Content-Type: %s\r\nContent-Length: %zu\r\n",
+		    req->content_type, req->length);
 	g_string_append(text, "\r\n");
 	if (req->length > 0)
 		g_string_append_len(text, req->body, (gssize)req->length);
-	net_client_send(call->client, text->str, text->len, false);
+	net_conn_send(call->client, text->str, text->len, false);
 }
 
 /**
@@ -153,7 +153,7 @@
 	}
 	call->body = g_byte_array_new();
 	call->answer.body = call->body;
-	call->answer.asked_ms = clock_loop_ms(pool->loop);
+	call->answer.sent_ms = clock_loop_ms(pool->loop);
 	call->fn = fn;
 	call->arg = arg;
 	uv_timer_init(pool->loop, &call->timer);
@@ -172,7 +172,7 @@
 {
 	call->fn = NULL;
 	if (call->client != NULL)
-		net_client_abandon(call->client);
+		net_conn_abort(call->client);
 	call->client = NULL;
 	call_end(call);
 }
--- a/src/net-call.h
+++ b/src/net-call.h
@@ -2,24 +2,24 @@
 #ifndef BL_NET_CALL_H
 #define BL_NET_CALL_H
 
-#include "net-client.h"
+#include "net-conn.h"
 
 /**
- * struct net_answer - how a call ended.
+ * struct net_response - how a call ended.
  * @status: of the answer; 0 without one
  * @body: of the answer; lives until the function that is told returns
- * @asked_ms: loop time at which it was sent
+ * @sent_ms: loop time at which it was sent
  * @reached: the peer may have carried it out
  */
-struct net_answer {
+struct net_response {
 	unsigned status;
 	const GByteArray *body;
-	uint64_t asked_ms;
+	uint64_t sent_ms;
 	bool reached;
 };
 
 /* Told once, when the call ends. */
-typedef void net_call_fn(void *, const struct net_answer *);
+typedef void net_call_fn(void *, const struct net_response *);
 
 struct net_call;
 
@@ -28,7 +28,7 @@
  * @method: the method
  * @target: path and query
  * @headers: lines beside our own, or NULL
- * @type: content type of the body, or NULL for none
+ * @content_type: content type of the body, or NULL for none
  * @body: the body
  * @length: its length
  */
@@ -36,7 +36,7 @@
 	const char *method;
 	const char *target;
 	const char *headers;
-	const char *type;
+	const char *content_type;
 	const void *body;
 	size_t length;
 };
--- a/src/net-client.c
+++ b/src/net-conn.c
@@ -3,16 +3,16 @@
 #include <string.h>
 
 #include "clock.h"
-#include "net-client.h"
+#include "net-conn.h"
 
 static void
-client_free(struct net_client *client)
+client_free(struct net_conn *client)
 {
 	if (client->pool != NULL)
-		client->pool->open--;
+		client->pool->n_open--;
 	net_head_clear(&client->head);
-	if (client->pending != NULL)
-		g_string_free(client->pending, TRUE);
+	if (client->unsent != NULL)
+		g_string_free(client->unsent, TRUE);
 	g_free(client);
 }
 
@@ -25,17 +25,17 @@
 static void
 client_closed(struct net_stream *stream)
 {
-	struct net_client *client = stream->owner;
+	struct net_conn *client = stream->owner;
 
-	if (client->hold_ms == 0)
+	if (client->send_delay_ms == 0)
 		client_free(client);
 	else
-		uv_close((uv_handle_t *)&client->hold, on_hold_closed);
+		uv_close((uv_handle_t *)&client->send_timer, on_hold_closed);
 }
 
 /* Takes a connection out of the idle ones. */
 static void
-client_unidle(struct net_client *client)
+client_unidle(struct net_conn *client)
 {
 	if (client->pool == NULL)
 		return;
@@ -45,9 +45,9 @@
 
 /* Takes the connection from its owner and ends it. */
 static void
-client_fail(struct net_client *client, enum net_failure why)
+client_fail(struct net_conn *client, enum net_failure why)
 {
-	const struct net_client_ops *ops = client->ops;
+	const struct net_conn_ops *ops = client->ops;
 	void *owner = client->owner;
 
 	client->ops = NULL;
@@ -58,7 +58,7 @@
 
 /* Idle life of the connection, from the answer's Keep-Alive header. */
 static uint64_t
-client_idle_ms(const struct net_client *client)
+client_idle_ms(const struct net_conn *client)
 {
 	const char *value = net_head_find(&client->head, "keep-alive");
 	const char *at = value != NULL ? strstr(value, "timeout=") : NULL;
@@ -72,20 +72,20 @@
 
 /* Whether the connection may carry another exchange. */
 static bool
-client_reusable(const struct net_client *client)
+client_reusable(const struct net_conn *client)
 {
-	return (!client->poisoned && client->pool != NULL &&
-	    client->stream.queued == 0 && client->idle_ms > 0 &&
-	    !client->stream.ending && !client->stream.closing);
+	return (!client->no_reuse && client->pool != NULL &&
+	    client->stream.queued == 0 && client->idle_timeout_ms > 0 &&
+	    !client->stream.ended && !client->stream.closing);
 }
 
 /* Closes the oldest idle connections beyond the number that is kept. */
 static void
 pool_trim(struct net_pool *pool)
 {
-	while (pool->n_idle > NET_IDLE_MOST) {
-		struct net_client *oldest =
-		    TAILQ_LAST(&pool->idle, net_client_list);
+	while (pool->n_idle > NET_IDLE_CONNS_MAX) {
+		struct net_conn *oldest =
+		    TAILQ_LAST(&pool->idle, net_conn_list);
 
 		client_unidle(oldest);
 		net_stream_close(&oldest->stream);
@@ -94,16 +94,16 @@
 
 /* The answer is complete: pool or close, then tell the owner. */
 static void
-client_done(struct net_client *client)
+client_done(struct net_conn *client)
 {
-	const struct net_client_ops *ops = client->ops;
+	const struct net_conn_ops *ops = client->ops;
 	void *owner = client->owner;
 
 	client->ops = NULL;
 	client->owner = NULL;
 	if (client_reusable(client)) {
-		net_stream_read(&client->stream, true);
-		client->idle_since = clock_loop_ms(client->pool->loop);
+		net_stream_set_reading(&client->stream, true);
+		client->idle_since_ms = clock_loop_ms(client->pool->loop);
 		TAILQ_INSERT_HEAD(&client->pool->idle, client, entry);
 		client->pool->n_idle++;
 		pool_trim(client->pool);
@@ -117,7 +117,7 @@
 static int
 on_field(http_parser *parser, const char *at, size_t length)
 {
-	struct net_client *client = parser->data;
+	struct net_conn *client = parser->data;
 
 	net_head_add_name(&client->head, at, length);
 	return (0);
@@ -126,7 +126,7 @@
 static int
 on_value(http_parser *parser, const char *at, size_t length)
 {
-	struct net_client *client = parser->data;
+	struct net_conn *client = parser->data;
 
 	net_head_add_value(&client->head, at, length);
 	return (0);
@@ -135,10 +135,10 @@
 static int
 on_begin(http_parser *parser)
 {
-	struct net_client *client = parser->data;
+	struct net_conn *client = parser->data;
 
 	/* A second answer in the same bytes is nobody's. */
-	if (client->answered)
+	if (client->complete)
 		return (-1);
 	net_head_reset(&client->head);
 	return (0);
@@ -147,7 +147,7 @@
 static int
 on_head(http_parser *parser)
 {
-	struct net_client *client = parser->data;
+	struct net_conn *client = parser->data;
 
 	net_head_close_value(&client->head);
 	client->skipping = parser->status_code < HTTP_STATUS_OK;
@@ -156,7 +156,7 @@
 	if (client->ops->head(client->owner, parser->status_code,
 		&client->head) == NET_SKIP) {
 		client->skipping = true;
-		client->poisoned = true;
+		client->no_reuse = true;
 	}
 	return (client->head_request && !client->skipping ? 1 : 0);
 }
@@ -164,7 +164,7 @@
 static int
 on_body(http_parser *parser, const char *at, size_t length)
 {
-	struct net_client *client = parser->data;
+	struct net_conn *client = parser->data;
 
 	if (!client->skipping && client->ops != NULL)
 		client->ops->body(client->owner, at, length);
@@ -174,14 +174,14 @@
 static int
 on_complete(http_parser *parser)
 {
-	struct net_client *client = parser->data;
+	struct net_conn *client = parser->data;
 
 	if (client->skipping)
 		return (0);
-	client->answered = true;
-	client->idle_ms = client_idle_ms(client);
+	client->complete = true;
+	client->idle_timeout_ms = client_idle_ms(client);
 	if (!http_should_keep_alive(parser))
-		client->poisoned = true;
+		client->no_reuse = true;
 	return (0);
 }
 
@@ -197,7 +197,7 @@
 static void
 client_readable(struct net_stream *stream, const char *at, size_t length)
 {
-	struct net_client *client = stream->owner;
+	struct net_conn *client = stream->owner;
 	size_t used;
 
 	if (client->ops == NULL) {
@@ -210,21 +210,21 @@
 	    length);
 	if (client->ops == NULL)
 		return;
-	if (client->answered) {
+	if (client->complete) {
 		if (used != length ||
 		    HTTP_PARSER_ERRNO(&client->parser) != HPE_OK)
-			client->poisoned = true;
+			client->no_reuse = true;
 		client_done(client);
 		return;
 	}
 	if (used != length || HTTP_PARSER_ERRNO(&client->parser) != HPE_OK)
-		client_fail(client, NET_GARBLED);
+		client_fail(client, NET_PROTOCOL_ERROR);
 }
 
 static void
 client_ended(struct net_stream *stream, bool clean)
 {
-	struct net_client *client = stream->owner;
+	struct net_conn *client = stream->owner;
 
 	if (client->ops == NULL) {
 		client_unidle(client);
@@ -232,51 +232,52 @@
 		return;
 	}
 	if (!client->connected) {
-		client_fail(client, NET_UNREACHED);
+		client_fail(client, NET_CONNECT_FAILED);
 		return;
 	}
 	/* An answer without a length ends with its connection. */
-	if (clean && !client->answered) {
+	if (clean && !client->complete) {
 		http_parser_execute(&client->parser, &response_settings, "", 0);
-		client->poisoned = true;
+		client->no_reuse = true;
 	}
 	if (client->ops == NULL)
 		return;
-	if (client->answered)
+	if (client->complete)
 		client_done(client);
 	else
-		client_fail(client, NET_BROKEN);
+		client_fail(client, NET_CONN_LOST);
 }
 
 /* Sends the request that waited for the connection. */
 static void
-client_start(struct net_client *client)
+client_start(struct net_conn *client)
 {
 	client->connected = true;
-	if (client->pending == NULL)
+	if (client->unsent == NULL)
 		return;
-	net_stream_write(&client->stream, client->pending->str,
-	    client->pending->len);
-	g_string_free(client->pending, TRUE);
-	client->pending = NULL;
+	net_stream_write(&client->stream, client->unsent->str,
+	    client->unsent->len);
+	g_string_free(client->unsent, TRUE);
+	client->unsent = NULL;
 }
 
 static void
 on_hold(uv_timer_t *timer)
 {
-	struct net_client *client = timer->data;
+	struct net_conn *client = timer->data;
 
-	if (!client->stream.closing && !client->stream.ending)
+	if (!client->stream.closing && !client->stream.ended)
 		client_start(client);
 }
 
 static void
 client_connected(struct net_stream *stream)
 {
-	struct net_client *client = stream->owner;
+	struct net_conn *client = stream->owner;
 
-	if (client->hold_ms > 0)
-		uv_timer_start(&client->hold, on_hold, client->hold_ms, 0);
+	if (client->send_delay_ms > 0)
+		uv_timer_start(&client->send_timer, on_hold,
+		    client->send_delay_ms, 0);
 	else
 		client_start(client);
 }
@@ -317,7 +318,7 @@
 void
 net_pool_clear(struct net_pool *pool)
 {
-	struct net_client *client;
+	struct net_conn *client;
 
 	while ((client = TAILQ_FIRST(&pool->idle)) != NULL) {
 		client_unidle(client);
@@ -333,27 +334,27 @@
 net_pool_expire(struct net_pool *pool)
 {
 	uint64_t now = clock_loop_ms(pool->loop);
-	struct net_client *client;
+	struct net_conn *client;
 
-	while ((client = TAILQ_LAST(&pool->idle, net_client_list)) != NULL &&
-	    now - client->idle_since >= client->idle_ms) {
+	while ((client = TAILQ_LAST(&pool->idle, net_conn_list)) != NULL &&
+	    now - client->idle_since_ms >= client->idle_timeout_ms) {
 		client_unidle(client);
 		net_stream_close(&client->stream);
 	}
 }
 
 /* A new connection, or NULL where the system refuses one. */
-static struct net_client *
+static struct net_conn *
 client_open(struct net_pool *pool)
 {
-	struct net_client *client = g_new0(struct net_client, 1);
+	struct net_conn *client = g_new0(struct net_conn, 1);
 
 	net_head_init(&client->head);
 	net_stream_init(&client->stream, pool->loop, &client_stream_ops,
 	    client);
 	client->pool = pool;
-	pool->open++;
-	pool->opened++;
+	pool->n_open++;
+	pool->n_opened++;
 	if (net_stream_connect(&client->stream, &pool->addr, &pool->source) !=
 	    0) {
 		net_stream_close(&client->stream);
@@ -363,16 +364,16 @@
 }
 
 /* The idle connection used last, if it is fresh enough. */
-static struct net_client *
+static struct net_conn *
 pool_reuse(struct net_pool *pool, uint64_t most_idle_ms)
 {
-	struct net_client *client = TAILQ_FIRST(&pool->idle);
+	struct net_conn *client = TAILQ_FIRST(&pool->idle);
 	uint64_t idle;
 
 	if (client == NULL)
 		return (NULL);
-	idle = clock_loop_ms(pool->loop) - client->idle_since;
-	if (idle >= client->idle_ms || idle > most_idle_ms)
+	idle = clock_loop_ms(pool->loop) - client->idle_since_ms;
+	if (idle >= client->idle_timeout_ms || idle > most_idle_ms)
 		return (NULL);
 	client_unidle(client);
 	return (client);
@@ -387,11 +388,11 @@
  *
  * Return: the connection, or NULL.
  */
-struct net_client *
+struct net_conn *
 net_pool_take(struct net_pool *pool, uint64_t most_idle_ms,
-    const struct net_client_ops *ops, void *owner)
+    const struct net_conn_ops *ops, void *owner)
 {
-	struct net_client *client = pool_reuse(pool, most_idle_ms);
+	struct net_conn *client = pool_reuse(pool, most_idle_ms);
 
 	if (client == NULL)
 		client = client_open(pool);
@@ -399,7 +400,7 @@
 		return (NULL);
 	client->ops = ops;
 	client->owner = owner;
-	client->answered = false;
+	client->complete = false;
 	client->skipping = false;
 	http_parser_init(&client->parser, HTTP_RESPONSE);
 	client->parser.data = client;
@@ -407,14 +408,14 @@
 }
 
 /**
- * net_client_send() - send a request.
+ * net_conn_send() - send a request.
  * @client: the connection
  * @bytes: the whole request
  * @length: how many
  * @head_request: its answer has no body
  */
 void
-net_client_send(struct net_client *client, const char *bytes, size_t length,
+net_conn_send(struct net_conn *client, const char *bytes, size_t length,
     bool head_request)
 {
 	client->head_request = head_request;
@@ -422,11 +423,11 @@
 		net_stream_write(&client->stream, bytes, length);
 		return;
 	}
-	client->pending = g_string_new_len(bytes, (gssize)length);
+	client->unsent = g_string_new_len(bytes, (gssize)length);
 }
 
 /**
- * net_client_hold() - wait between connection and request.
+ * net_conn_delay_send() - wait between connection and request.
  * @client: a connection that does not stand yet; others are left as they are
  * @ms: how long
  *
@@ -434,32 +435,32 @@
  * that has not been sent by then certainly did not run.
  */
 void
-net_client_hold(struct net_client *client, unsigned ms)
+net_conn_delay_send(struct net_conn *client, unsigned ms)
 {
-	if (client->connected || client->hold_ms > 0)
+	if (client->connected || client->send_delay_ms > 0)
 		return;
-	client->hold_ms = ms;
-	uv_timer_init(client->pool->loop, &client->hold);
-	client->hold.data = client;
+	client->send_delay_ms = ms;
+	uv_timer_init(client->pool->loop, &client->send_timer);
+	client->send_timer.data = client;
 }
 
 /**
- * net_client_pause() - stop or go on reading, for back-pressure.
+ * net_conn_pause() - stop or go on reading, for back-pressure.
  * @client: the connection
  * @on: whether to pause
  */
 void
-net_client_pause(struct net_client *client, bool on)
+net_conn_pause(struct net_conn *client, bool on)
 {
-	net_stream_read(&client->stream, !on);
+	net_stream_set_reading(&client->stream, !on);
 }
 
 /**
- * net_client_abandon() - end an exchange whose answer is not wanted.
+ * net_conn_abort() - end an exchange whose answer is not wanted.
  * @client: the connection
  */
 void
-net_client_abandon(struct net_client *client)
+net_conn_abort(struct net_conn *client)
 {
 	client->ops = NULL;
 	client->owner = NULL;
--- a/src/net-head.c
+++ b/src/net-head.c
@@ -70,7 +70,7 @@
 {
 	if (head->in_value || head->n_fields == 0) {
 		net_head_close_value(head);
-		if (head->n_fields == NET_HEAD_FIELDS) {
+		if (head->n_fields == NET_HEAD_FIELDS_MAX) {
 			head->too_large = true;
 			return;
 		}
@@ -178,13 +178,13 @@
 }
 
 /**
- * net_head_decimal() - a value that is a decimal number and nothing else.
+ * net_head_parse_decimal() - a value that is a decimal number and nothing else.
  * @value: the value
  *
  * Return: NAN where it is no such number.
  */
 double
-net_head_decimal(const char *value)
+net_head_parse_decimal(const char *value)
 {
 	char *end;
 	double n = g_ascii_strtod(value, &end);
--- a/src/net-head.h
+++ b/src/net-head.h
@@ -8,7 +8,7 @@
 #include <stddef.h>
 
 /* Most headers of one message; a request has about a dozen. */
-#define NET_HEAD_FIELDS 100
+#define NET_HEAD_FIELDS_MAX 100
 
 /**
  * struct net_field - one header, as offsets into the text of its head.
@@ -32,7 +32,7 @@
 struct net_head {
 	GString *text;
 	unsigned target_length;
-	struct net_field fields[NET_HEAD_FIELDS];
+	struct net_field fields[NET_HEAD_FIELDS_MAX];
 	unsigned n_fields;
 	bool in_value;
 	bool too_large;
@@ -50,7 +50,7 @@
 const char *net_head_value(const struct net_head *, unsigned);
 const char *net_head_find(const struct net_head *, const char *);
 unsigned net_head_count(const struct net_head *, const char *);
-double net_head_decimal(const char *);
+double net_head_parse_decimal(const char *);
 bool net_head_hop_by_hop(const struct net_head *, unsigned);
 
 #endif
--- a/src/net-stream.c
+++ b/src/net-stream.c
@@ -40,9 +40,9 @@
 static void
 stream_end(struct net_stream *stream, bool clean)
 {
-	if (stream->closing || stream->ending)
+	if (stream->closing || stream->ended)
 		return;
-	stream->ending = true;
+	stream->ended = true;
 	stream->ops->ended(stream, clean);
 }
 
@@ -69,13 +69,13 @@
 	if (n == 0 || stream->closing)
 		return;
 	if (n < 0) {
-		net_stream_read(stream, false);
+		net_stream_set_reading(stream, false);
 		stream_end(stream, n == UV_EOF && !stream_was_reset(stream));
 		return;
 	}
 	/* Closing with unread input would reset what the peer has yet to read.
 	 */
-	if (!stream->finish)
+	if (!stream->write_shutdown)
 		stream->ops->readable(stream, buf->base, (size_t)n);
 }
 
@@ -90,7 +90,7 @@
 		stream_end(stream, false);
 		return;
 	}
-	net_stream_read(stream, true);
+	net_stream_set_reading(stream, true);
 	stream->ops->connected(stream);
 }
 
@@ -110,7 +110,7 @@
 	}
 	if (stream->queued > 0)
 		return;
-	if (!stream->finish)
+	if (!stream->write_shutdown)
 		stream->ops->drained(stream);
 }
 
@@ -187,17 +187,17 @@
 	if (rc != 0)
 		return (rc);
 	stream_options(stream);
-	net_stream_read(stream, true);
+	net_stream_set_reading(stream, true);
 	return (0);
 }
 
 /**
- * net_stream_read() - read on, or pause.
+ * net_stream_set_reading() - read on, or pause.
  * @stream: the connection
  * @on: whether to read
  */
 void
-net_stream_read(struct net_stream *stream, bool on)
+net_stream_set_reading(struct net_stream *stream, bool on)
 {
 	if (stream->closing || stream->reading == on)
 		return;
@@ -251,17 +251,17 @@
 }
 
 /**
- * net_stream_finish() - end our side once all output is written.
+ * net_stream_shutdown() - end our side once all output is written.
  * @stream: the connection; the owner closes it when the peer has ended or
  *	has had time to read
  */
 void
-net_stream_finish(struct net_stream *stream)
+net_stream_shutdown(struct net_stream *stream)
 {
-	if (stream->closing || stream->finish)
+	if (stream->closing || stream->write_shutdown)
 		return;
-	stream->finish = true;
-	net_stream_read(stream, true);
+	stream->write_shutdown = true;
+	net_stream_set_reading(stream, true);
 	if (uv_shutdown(&stream->shutdown, (uv_stream_t *)&stream->tcp,
 		on_shutdown) != 0)
 		net_stream_close(stream);
--- a/src/net-stream.h
+++ b/src/net-stream.h
@@ -32,9 +32,9 @@
  * @queued: bytes that wait to be written
  * @reading: bytes are being read
  * @closing: no more is told but @closed
- * @ending: the end was told
- * @finish: our side is ended; what still comes is dropped until the peer
- *	ends too, or the owner closes
+ * @ended: the end was told
+ * @write_shutdown: our side is ended; what still comes is dropped until the
+ *peer ends too, or the owner closes
  */
 struct net_stream {
 	uv_tcp_t tcp;
@@ -45,8 +45,8 @@
 	size_t queued;
 	bool reading;
 	bool closing;
-	bool ending;
-	bool finish;
+	bool ended;
+	bool write_shutdown;
 };
 
 void net_stream_init(struct net_stream *, uv_loop_t *,
@@ -54,9 +54,9 @@
 int net_stream_connect(struct net_stream *, const struct sockaddr_in *,
     const struct sockaddr_in *);
 int net_stream_accept(struct net_stream *, uv_stream_t *);
-void net_stream_read(struct net_stream *, bool);
+void net_stream_set_reading(struct net_stream *, bool);
 void net_stream_write(struct net_stream *, const char *, size_t);
-void net_stream_finish(struct net_stream *);
+void net_stream_shutdown(struct net_stream *);
 void net_stream_close(struct net_stream *);
 void net_stream_reset(struct net_stream *);
 
--- a/src/operator-status.c
+++ b/src/operator-status.c
@@ -22,9 +22,9 @@
 	TAILQ_FOREACH(m, &ms->others, entry)
 		json_array_append_new(out,
 		    json_pack("{s:s, s:s, s:b, s:b, s:I, s:I}", "name", m->name,
-			"domain", m->domain, "live", member_live(ms, m, now),
+			"domain", m->domain, "live", member_alive(ms, m, now),
 			"leaving", m->leaving, "applied",
-			(json_int_t)m->applied, "age_ms",
+			(json_int_t)m->next_offset, "age_ms",
 			(json_int_t)(now - MIN(now, m->seen_ms))));
 	g_mutex_unlock(&ms->lock);
 	return (out);
@@ -42,7 +42,7 @@
 	g_hash_table_iter_init(&iter, server->tables.targets);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct target *t = value;
-		uint64_t seen = atomic_load(&t->seen_ms);
+		uint64_t seen = atomic_load(&t->evidence_as_of_ms);
 
 		json_array_append_new(out,
 		    json_pack("{s:s, s:s, s:I, s:b, s:I, s:I, s:I}", "name",
@@ -52,7 +52,8 @@
 			seen != 0 ? (json_int_t)(now - MIN(now, seen)) :
 				    (json_int_t)-1,
 			"inflight", (json_int_t)atomic_load(&t->inflight),
-			"reported", (json_int_t)atomic_load(&t->reported)));
+			"reported",
+			(json_int_t)atomic_load(&t->reported_load)));
 	}
 	g_mutex_unlock(&server->view_lock);
 	return (out);
--- a/src/operator-watch.c
+++ b/src/operator-watch.c
@@ -98,7 +98,7 @@
 	g_mutex_lock(&config->lock);
 	while (config->state->next == w->from &&
 	    !atomic_load(&w->server->refusing)) {
-		if (!g_cond_wait_until(&config->moved, &config->lock, until))
+		if (!g_cond_wait_until(&config->advanced, &config->lock, until))
 			break;
 	}
 	if (config->state->next != w->from) {
--- a/src/operator.c
+++ b/src/operator.c
@@ -49,7 +49,7 @@
 static json_t *
 list_groups(const struct state *state)
 {
-	g_autoptr(GPtrArray) keys = state_sorted(state->groups);
+	g_autoptr(GPtrArray) keys = state_sorted_keys(state->groups);
 	json_t *items = json_array();
 
 	for (guint i = 0; i < keys->len; i++)
@@ -61,7 +61,7 @@
 static json_t *
 list_resources(const struct state *state, const char *type)
 {
-	g_autoptr(GPtrArray) keys = state_sorted(state->resources);
+	g_autoptr(GPtrArray) keys = state_sorted_keys(state->resources);
 	json_t *items = json_array();
 
 	for (guint i = 0; i < keys->len; i++) {
--- a/src/order-ops.h
+++ b/src/order-ops.h
@@ -5,7 +5,7 @@
 #include <glib.h>
 #include <stdint.h>
 
-#include "net-client.h"
+#include "net-conn.h"
 
 /**
  * enum order_kind - what an endpoint is told to do.
@@ -45,18 +45,18 @@
 
 /**
  * enum order_result - what became of an order.
- * @ORDER_TAKEN: begun or done
- * @ORDER_UNFIT: it does not fit the endpoint's state
+ * @ORDER_ACCEPTED: begun or done
+ * @ORDER_BAD_STATE: it does not fit the endpoint's state
  * @ORDER_FENCED: a newer placer or epoch was there before
- * @ORDER_OTHER: another incarnation has the address
+ * @ORDER_ADDRESS_REUSED: another incarnation has the address
  * @ORDER_REFUSED: refused for another reason
  * @ORDER_UNKNOWN: no answer; it may be carried out later
  */
 enum order_result {
-	ORDER_TAKEN,
-	ORDER_UNFIT,
+	ORDER_ACCEPTED,
+	ORDER_BAD_STATE,
 	ORDER_FENCED,
-	ORDER_OTHER,
+	ORDER_ADDRESS_REUSED,
 	ORDER_REFUSED,
 	ORDER_UNKNOWN,
 };
@@ -66,19 +66,19 @@
 /* Told how an order ended. */
 typedef void order_fn(void *, enum order_result);
 /**
- * enum order_answer - how an endpoint answered a question.
- * @ANSWER_REPORT: by its report
- * @ANSWER_NONE: none; a refused connection too, since cuts may refuse
- * @ANSWER_ABSENT: another incarnation has its address
+ * enum order_report_status - how an endpoint answered a question.
+ * @ORDER_REPORT_OK: by its report
+ * @ORDER_REPORT_NONE: none; a refused connection too, since cuts may refuse
+ * @ORDER_REPORT_ADDRESS_REUSED: another incarnation has its address
  */
-enum order_answer {
-	ANSWER_REPORT,
-	ANSWER_NONE,
-	ANSWER_ABSENT,
+enum order_report_status {
+	ORDER_REPORT_OK,
+	ORDER_REPORT_NONE,
+	ORDER_REPORT_ADDRESS_REUSED,
 };
 
 /* Told what an endpoint reports; NULL without a report. */
-typedef void order_report_fn(void *, enum order_answer,
+typedef void order_report_fn(void *, enum order_report_status,
     struct endpoint_report *);
 
 /**
--- a/src/peer-client.c
+++ b/src/peer-client.c
@@ -9,7 +9,7 @@
 #include "config.h"
 #include "control-cost.h"
 #include "peer-client.h"
-#include "peer-news.h"
+#include "peer-gossip.h"
 #include "server.h"
 
 #define DATAGRAM_BYTES 16384
@@ -100,11 +100,11 @@
 	pull_reply reply = { 0 };
 	uint64_t asked_ms = clock_now_ms();
 
-	peer_news_self(server, &req.from);
+	peer_gossip_self(server, &req.from);
 	if (!client_call(ip, port, PEER_PULL, (xdrproc_t)xdr_pull_request, &req,
 		(xdrproc_t)xdr_pull_reply, &reply, PULL_TIMEOUT_MS))
 		return (false);
-	peer_news_take(server, &reply, asked_ms);
+	peer_gossip_apply(server, &reply, asked_ms);
 	xdr_free((xdrproc_t)xdr_pull_reply, &reply);
 	return (true);
 }
@@ -124,7 +124,7 @@
 	if (!client_call(ip, port, PEER_HOSTS, xdr_nothing, NULL,
 		(xdrproc_t)xdr_hosts_reply, &reply, PULL_TIMEOUT_MS))
 		return (false);
-	peer_news_take_hosts(server, &reply, asked_ms);
+	peer_gossip_apply_hosts(server, &reply, asked_ms);
 	xdr_free((xdrproc_t)xdr_hosts_reply, &reply);
 	return (true);
 }
@@ -172,7 +172,8 @@
 	g_autoptr(GByteArray) text = NULL;
 	struct member from;
 
-	if (!members_furthest(&server->members, next, clock_now_ms(), &from))
+	if (!members_most_advanced(&server->members, next, clock_now_ms(),
+		&from))
 		return (NULL);
 	text = g_byte_array_new();
 	if (!fetch_parts(&from, next, text))
@@ -198,7 +199,7 @@
 }
 
 /**
- * peer_decided() - tell a daemon a decision, hardly waiting.
+ * peer_send_decision() - tell a daemon a decision, hardly waiting.
  * @ip: its address in host order
  * @port: its port
  * @decision: the decision
@@ -206,7 +207,7 @@
  * A lost one does no harm: the daemon asks again.
  */
 void
-peer_decided(uint32_t ip, uint16_t port, struct claim_decision *decision)
+peer_send_decision(uint32_t ip, uint16_t port, struct claim_decision *decision)
 {
 	client_call(ip, port, PEER_DECIDED, (xdrproc_t)xdr_claim_decision,
 	    decision, xdr_nothing, NULL, DECIDED_TIMEOUT_MS);
--- a/src/peer-client.h
+++ b/src/peer-client.h
@@ -15,6 +15,6 @@
 json_t *peer_fetch_state(struct server *, uint64_t);
 bool peer_claim(uint32_t, uint16_t, struct claim_request *,
     struct claim_answer *, unsigned);
-void peer_decided(uint32_t, uint16_t, struct claim_decision *);
+void peer_send_decision(uint32_t, uint16_t, struct claim_decision *);
 
 #endif
--- a/src/peer-news.c
+++ b/src/peer-gossip.c
@@ -2,17 +2,17 @@
 #include <string.h>
 
 #include "clock.h"
-#include "peer-news.h"
+#include "peer-gossip.h"
 #include "peer-pack.h"
 #include "server.h"
 
 /**
- * peer_news_self() - describe this daemon.
+ * peer_gossip_self() - describe this daemon.
  * @server: this daemon
  * @out: filled in; its strings stay this daemon's own
  */
 void
-peer_news_self(struct server *server, struct peer_member *out)
+peer_gossip_self(struct server *server, struct peer_member *out)
 {
 	const struct member *self = &server->members.self;
 
@@ -20,7 +20,7 @@
 	out->domain = self->domain;
 	out->ip = self->ip;
 	out->port = self->port;
-	out->boot = self->boot;
+	out->boot = self->incarnation;
 	out->applied = config_next(&server->config);
 	out->age_ms = 0;
 	out->leaving = atomic_load(&server->leaving);
@@ -45,7 +45,7 @@
 	while (n < PEER_TARGETS_MAX &&
 	    g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct target *target = value;
-		uint64_t seen_ms = atomic_load(&target->seen_ms);
+		uint64_t seen_ms = atomic_load(&target->evidence_as_of_ms);
 		peer_target *out = &reply->targets.targets_val[n];
 		struct peer_pack pack;
 
@@ -55,7 +55,7 @@
 			continue;
 		pack.age_ms = age_of(seen_ms, now);
 		pack.flag = atomic_load(&target->valid_until_ms) > 0;
-		pack.load = atomic_load(&target->reported);
+		pack.load = atomic_load(&target->reported_load);
 		out->key = target->key;
 		out->news = peer_pack(&pack);
 		n++;
@@ -76,20 +76,21 @@
 	g_mutex_lock(&ms->lock);
 	TAILQ_FOREACH(m, &ms->others, entry)
 		total++;
-	start =
-	    total > PEER_MEMBERS_MAX ? ms->turn * PEER_MEMBERS_MAX % total : 0;
+	start = total > PEER_MEMBERS_MAX ?
+	    ms->rotation * PEER_MEMBERS_MAX % total :
+	    0;
 	TAILQ_FOREACH(m, &ms->others, entry) {
 		peer_member *out = &reply->members.members_val[n];
 
 		if (i++ < start || n == PEER_MEMBERS_MAX ||
-		    !member_live(ms, m, now))
+		    !member_alive(ms, m, now))
 			continue;
 		out->name = g_strdup(m->name);
 		out->domain = g_strdup(m->domain);
 		out->ip = m->ip;
 		out->port = m->port;
-		out->boot = m->boot;
-		out->applied = m->applied;
+		out->boot = m->incarnation;
+		out->applied = m->next_offset;
 		out->age_ms = age_of(m->seen_ms, now);
 		out->leaving = m->leaving;
 		n++;
@@ -112,12 +113,12 @@
 		peer_life *out = &reply->lives.lives_val[n];
 		struct peer_pack pack = { 0 };
 
-		if (n == PEER_LIVES_MAX || !member_live(ms, m, now) ||
+		if (n == PEER_LIVES_MAX || !member_alive(ms, m, now) ||
 		    strcmp(m->domain, server->set.domain) != 0)
 			continue;
 		pack.age_ms = age_of(m->seen_ms, now);
 		pack.flag = m->leaving;
-		out->key = (uint32_t)m->key;
+		out->key = (uint32_t)m->name_hash;
 		out->news = peer_pack(&pack);
 		n++;
 	}
@@ -126,12 +127,12 @@
 }
 
 /**
- * peer_news_fill_hosts() - what this daemon saw itself of hosts.
+ * peer_gossip_fill_hosts() - what this daemon saw itself of hosts.
  * @server: this daemon
  * @reply: filled in; free with xdr_free()
  */
 void
-peer_news_fill_hosts(struct server *server, struct hosts_reply *reply)
+peer_gossip_fill_hosts(struct server *server, struct hosts_reply *reply)
 {
 	uint64_t now = clock_now_ms();
 	struct host *host;
@@ -143,7 +144,7 @@
 		const struct evidence *ev = &host->evidence;
 		peer_host *out = &reply->hosts.hosts_val[n];
 		struct peer_pack pack = { 0 };
-		struct peer_held held;
+		struct peer_host_state held;
 
 		if (n == PEER_HOSTS_MAX ||
 		    !evidence_fresh(ev, now, (uint64_t)server->set.evidence_ms))
@@ -156,7 +157,7 @@
 		out->key = (uint32_t)host->key;
 		out->news = peer_pack(&pack);
 		out->epoch = ev->epoch;
-		out->held = peer_pack_held(&held);
+		out->held = peer_pack_host_state(&held);
 		out->model = (uint32_t)ev->model;
 		n++;
 	}
@@ -165,17 +166,17 @@
 }
 
 /**
- * peer_news_fill() - what this daemon knows, for one that asks.
+ * peer_gossip_fill() - what this daemon knows, for one that asks.
  * @server: this daemon
  * @reply: filled in; free with xdr_free()
  */
 void
-peer_news_fill(struct server *server, struct pull_reply *reply)
+peer_gossip_fill(struct server *server, struct pull_reply *reply)
 {
 	uint64_t now = clock_now_ms();
 
 	memset(reply, 0, sizeof *reply);
-	peer_news_self(server, &reply->self);
+	peer_gossip_self(server, &reply->self);
 	reply->self.name = g_strdup(reply->self.name);
 	reply->self.domain = g_strdup(reply->self.domain);
 	fill_targets(server, now, reply);
@@ -191,12 +192,12 @@
 		.domain = in->domain,
 		.ip = in->ip,
 		.port = (uint16_t)in->port,
-		.boot = in->boot,
-		.applied = in->applied,
+		.incarnation = in->boot,
+		.next_offset = in->applied,
 		.leaving = in->leaving };
 
 	if (in->name[0] != '\0' && in->age_ms < asked_ms)
-		members_note(&server->members, &news, asked_ms - in->age_ms);
+		members_update(&server->members, &news, asked_ms - in->age_ms);
 }
 
 static void
@@ -208,7 +209,7 @@
 		struct peer_pack pack = peer_unpack(in->news);
 
 		if (pack.age_ms < asked_ms)
-			members_life(&server->members, in->key, pack.flag,
+			members_refresh(&server->members, in->key, pack.flag,
 			    asked_ms - pack.age_ms);
 	}
 }
@@ -229,17 +230,17 @@
 		if (target == NULL || pack.age_ms >= asked_ms)
 			continue;
 		seen_ms = asked_ms - pack.age_ms;
-		if (seen_ms <= atomic_load(&target->seen_ms))
+		if (seen_ms <= atomic_load(&target->evidence_as_of_ms))
 			continue;
-		target_evidence(target, seen_ms, pack.flag,
+		target_update_evidence(target, seen_ms, pack.flag,
 		    (uint64_t)server->set.evidence_ms);
-		target_report(target, seen_ms, pack.load);
+		target_update_load(target, seen_ms, pack.load);
 	}
 	g_mutex_unlock(&server->view_lock);
 }
 
 /**
- * peer_news_introduce() - hear of a daemon by its question.
+ * peer_gossip_introduce() - hear of a daemon by its question.
  * @server: this daemon
  * @from: the daemon that asks
  *
@@ -248,7 +249,7 @@
  * in turn.
  */
 void
-peer_news_introduce(struct server *server, const struct peer_member *from)
+peer_gossip_introduce(struct server *server, const struct peer_member *from)
 {
 	struct member news = { .name = from->name,
 		.domain = from->domain,
@@ -260,13 +261,13 @@
 }
 
 /**
- * peer_news_take() - take what another daemon knows.
+ * peer_gossip_apply() - take what another daemon knows.
  * @server: this daemon
  * @reply: its answer
  * @asked_ms: monotonic time before the question was sent
  */
 void
-peer_news_take(struct server *server, const struct pull_reply *reply,
+peer_gossip_apply(struct server *server, const struct pull_reply *reply,
     uint64_t asked_ms)
 {
 	take_member(server, &reply->self, asked_ms);
@@ -281,7 +282,7 @@
 take_host(struct host *host, const struct peer_host *in, uint64_t asked_ms)
 {
 	struct peer_pack pack = peer_unpack(in->news);
-	struct peer_held held = peer_unpack_held(in->held);
+	struct peer_host_state held = peer_unpack_host_state(in->held);
 	struct evidence *ev = &host->evidence;
 	uint64_t seen_ms = asked_ms - MIN(pack.age_ms, asked_ms);
 
@@ -299,13 +300,13 @@
 }
 
 /**
- * peer_news_take_hosts() - take what another daemon saw of hosts.
+ * peer_gossip_apply_hosts() - take what another daemon saw of hosts.
  * @server: this daemon
  * @reply: its answer
  * @asked_ms: monotonic time before the question was sent
  */
 void
-peer_news_take_hosts(struct server *server, const struct hosts_reply *reply,
+peer_gossip_apply_hosts(struct server *server, const struct hosts_reply *reply,
     uint64_t asked_ms)
 {
 	struct host *host;
--- a/src/peer-pack.c
+++ b/src/peer-pack.c
@@ -11,11 +11,11 @@
 #define SHARDS_SHIFT 20
 
 /**
- * peer_pack_held() - pack.
+ * peer_pack_host_state() - pack.
  * @h: what is packed
  */
 uint32_t
-peer_pack_held(const struct peer_held *h)
+peer_pack_host_state(const struct peer_host_state *h)
 {
 	uint32_t shard = (uint32_t)(h->shard + 1) & HELD_MASK;
 	uint32_t shards = (uint32_t)h->shards & HELD_MASK;
@@ -25,13 +25,13 @@
 }
 
 /**
- * peer_unpack_held() - the reverse.
- * @word: what peer_pack_held() gave
+ * peer_unpack_host_state() - the reverse.
+ * @word: what peer_pack_host_state() gave
  */
-struct peer_held
-peer_unpack_held(uint32_t word)
+struct peer_host_state
+peer_unpack_host_state(uint32_t word)
 {
-	struct peer_held h = {
+	struct peer_host_state h = {
 		.state = word & STATE_MASK,
 		.shard = (int)(word >> SHARD_SHIFT & HELD_MASK) - 1,
 		.shards = (int)(word >> SHARDS_SHIFT & HELD_MASK),
--- a/src/peer-pack.h
+++ b/src/peer-pack.h
@@ -21,19 +21,19 @@
 };
 
 /**
- * struct peer_held - a host's state and the shard that it holds.
+ * struct peer_host_state - a host's state and the shard that it holds.
  * @state: an enum host_state, 8 bits
  * @shard: rank, -1 for none; 12 bits
  * @shards: how many ranks there are, 12 bits
  */
-struct peer_held {
+struct peer_host_state {
 	unsigned state;
 	int shard;
 	int shards;
 };
 
-uint32_t peer_pack_held(const struct peer_held *);
-struct peer_held peer_unpack_held(uint32_t);
+uint32_t peer_pack_host_state(const struct peer_host_state *);
+struct peer_host_state peer_unpack_host_state(uint32_t);
 uint32_t peer_pack(const struct peer_pack *);
 struct peer_pack peer_unpack(uint32_t);
 
--- a/src/peer-server.c
+++ b/src/peer-server.c
@@ -12,7 +12,7 @@
 #include "claims.h"
 #include "control-cost.h"
 #include "error.h"
-#include "peer-news.h"
+#include "peer-gossip.h"
 #include "peer-server.h"
 #include "peer_rpc.h"
 #include "server.h"
@@ -78,8 +78,8 @@
 bool_t
 peer_pull_1_svc(pull_request req, pull_reply *reply, struct svc_req *rqstp)
 {
-	peer_news_introduce(peer_server, &req.from);
-	peer_news_fill(peer_server, reply);
+	peer_gossip_introduce(peer_server, &req.from);
+	peer_gossip_fill(peer_server, reply);
 	return (TRUE);
 }
 
@@ -134,7 +134,7 @@
 bool_t
 peer_hosts_1_svc(hosts_reply *reply, struct svc_req *rqstp)
 {
-	peer_news_fill_hosts(peer_server, reply);
+	peer_gossip_fill_hosts(peer_server, reply);
 	return (TRUE);
 }
 
--- a/src/place-live.c
+++ b/src/place-live.c
@@ -36,7 +36,7 @@
 add_groups(struct place_live *live, const struct state *state,
     const struct resource *deployment, const char *domain)
 {
-	g_autoptr(GPtrArray) names = state_sorted(state->groups);
+	g_autoptr(GPtrArray) names = state_sorted_keys(state->groups);
 
 	for (guint i = 0; i < names->len; i++) {
 		struct group *group = state_group(state, names->pdata[i]);
--- a/src/placer-call.c
+++ b/src/placer-call.c
@@ -122,7 +122,7 @@
 		m->late_join_until_ms = now_ms + REPLICA_LATE_ORDER_MS;
 	if (result == ORDER_FENCED)
 		m->join_fenced = true;
-	if (result != ORDER_TAKEN)
+	if (result != ORDER_ACCEPTED)
 		return;
 	m->joined = true;
 	m->unverified = false;
@@ -133,7 +133,7 @@
 member_set_order_result(struct replica *r, struct replica_member *m,
     enum order_kind order, enum order_result result, uint64_t now_ms)
 {
-	bool done = result == ORDER_TAKEN || result == ORDER_UNFIT;
+	bool done = result == ORDER_ACCEPTED || result == ORDER_BAD_STATE;
 
 	if (order == ORDER_JOIN)
 		member_set_join_result(m, result, now_ms);
@@ -165,13 +165,14 @@
 	struct replica *r;
 	struct replica_member *m = call_member(call, &r);
 
-	event_log(result == ORDER_TAKEN ? LOG_INFO : LOG_NOTICE, "order_ended",
+	event_log(result == ORDER_ACCEPTED ? LOG_INFO : LOG_NOTICE,
+	    "order_ended",
 	    "group=%s member=%s order=%s result=%s ms=%llu term=%lld",
 	    call->group, call->id, order_kind_name(call->order),
 	    order_result_name(result),
 	    (unsigned long long)(clock_loop_ms(p->loop) - call->sent_ms),
 	    (long long)call->term);
-	if (result == ORDER_OTHER)
+	if (result == ORDER_ADDRESS_REUSED)
 		host_mark_gone(p, call->id);
 	if (m != NULL) {
 		m->order_pending = false;
@@ -180,7 +181,7 @@
 			    clock_loop_ms(p->loop));
 		member_set_order_result(r, m, call->order, result,
 		    clock_loop_ms(p->loop));
-		if (result == ORDER_OTHER)
+		if (result == ORDER_ADDRESS_REUSED)
 			m->liveness = MEMBER_DEAD;
 		if (result == ORDER_FENCED && call->order != ORDER_JOIN)
 			placer_step_down(p, "fenced");
@@ -294,27 +295,29 @@
 }
 
 static void
-on_report(void *arg, enum order_answer answer, struct endpoint_report *report)
+on_report(void *arg, enum order_report_status answer,
+    struct endpoint_report *report)
 {
 	struct placer_call *call = arg;
 	struct replica *r;
 	struct replica_member *m = call_member(call, &r);
 	uint64_t now = clock_loop_ms(call->placer->loop);
 
-	if (answer == ANSWER_ABSENT)
+	if (answer == ORDER_REPORT_ADDRESS_REUSED)
 		host_mark_gone(call->placer, call->id);
 	if (m != NULL) {
 		m->ask_pending = false;
-		if (answer == ANSWER_REPORT)
+		if (answer == ORDER_REPORT_OK)
 			member_set_report(r, m, report, now);
 		else if (m->silent_since_ms == 0)
 			m->silent_since_ms = call->sent_ms;
-		m->address_reused = answer == ANSWER_ABSENT;
-		if (answer != ANSWER_REPORT)
+		m->address_reused = answer == ORDER_REPORT_ADDRESS_REUSED;
+		if (answer != ORDER_REPORT_OK)
 			event_log(LOG_INFO, "member_silent",
 			    "group=%s member=%s address_reused=%d "
 			    "silent_ms=%llu",
-			    call->group, call->id, answer == ANSWER_ABSENT,
+			    call->group, call->id,
+			    answer == ORDER_REPORT_ADDRESS_REUSED,
 			    (unsigned long long)(now - m->silent_since_ms));
 	}
 	call_free(call);
@@ -350,11 +353,11 @@
 {
 	struct placer_call *call = arg;
 
-	event_log(result == ORDER_TAKEN ? LOG_INFO : LOG_NOTICE, "order_ended",
-	    "member=%s order=%s result=%s term=%lld", call->id,
+	event_log(result == ORDER_ACCEPTED ? LOG_INFO : LOG_NOTICE,
+	    "order_ended", "member=%s order=%s result=%s term=%lld", call->id,
 	    call->order == ORDER_STAGE ? "stage" : "warm",
 	    order_result_name(result), (long long)call->term);
-	if (result == ORDER_OTHER)
+	if (result == ORDER_ADDRESS_REUSED)
 		host_mark_gone(call->placer, call->id);
 	if (call->order == ORDER_STAGE)
 		placer_copy_answered(call->placer, call->id, result);
--- a/src/placer-lease.c
+++ b/src/placer-lease.c
@@ -149,7 +149,7 @@
 };
 
 static void
-on_written(void *arg, const struct store_answer *answer)
+on_written(void *arg, const struct store_response *answer)
 {
 	struct placer_append *append = arg;
 	struct placer *p = append->placer;
@@ -159,7 +159,7 @@
 		switch (answer->result) {
 		case STORE_OK:
 			p->end_offset = answer->end;
-			p->verified_ms = answer->asked_ms;
+			p->verified_ms = answer->sent_ms;
 			replicas_mark_recorded(p, append->records);
 			placer_schedule_pass(p);
 			break;
@@ -203,14 +203,14 @@
 	p->store_busy = true;
 	if (!p->store->ops->append(p->store, TOPIC_PLACEMENT, append->records,
 		(int64_t)p->end_offset, on_written, append)) {
-		const struct store_answer none = { .result = STORE_REFUSED };
+		const struct store_response none = { .result = STORE_REFUSED };
 
 		on_written(append, &none);
 	}
 }
 
 static void
-on_taken(void *arg, const struct store_answer *answer)
+on_taken(void *arg, const struct store_response *answer)
 {
 	struct placer *p = arg;
 
@@ -224,7 +224,7 @@
 		return;
 	}
 	p->end_offset = answer->end;
-	p->verified_ms = answer->asked_ms;
+	p->verified_ms = answer->sent_ms;
 	p->state = PLACER_HOLDING;
 	p->epochs_issued = 0;
 	p->mesh->self.placer = true;
@@ -286,7 +286,7 @@
 }
 
 static void
-on_read(void *arg, const struct store_answer *answer)
+on_read(void *arg, const struct store_response *answer)
 {
 	struct placer *p = arg;
 
@@ -375,7 +375,7 @@
 }
 
 static void
-on_checked(void *arg, const struct store_answer *answer)
+on_checked(void *arg, const struct store_response *answer)
 {
 	struct placer *p = arg;
 
@@ -383,7 +383,7 @@
 	if (p->state != PLACER_HOLDING)
 		return;
 	if (answer->result == STORE_OK && answer->records->len == 0) {
-		p->verified_ms = answer->asked_ms;
+		p->verified_ms = answer->sent_ms;
 		return;
 	}
 	if (answer->result == STORE_OK || answer->result == STORE_TRIMMED)
--- a/src/placer-stage.c
+++ b/src/placer-stage.c
@@ -131,7 +131,7 @@
 	if (copy == NULL)
 		return;
 	copy->order_pending = false;
-	if (result == ORDER_TAKEN || result == ORDER_UNFIT)
+	if (result == ORDER_ACCEPTED || result == ORDER_BAD_STATE)
 		copy->acknowledged = true;
 	else if (result != ORDER_UNKNOWN)
 		g_hash_table_remove(p->copies, host);
--- a/src/plan.c
+++ b/src/plan.c
@@ -154,7 +154,7 @@
 	if (lease == NULL)
 		return (plan.records);
 	plan.term = lease->term;
-	keys = state_sorted(in->state->resources);
+	keys = state_sorted_keys(in->state->resources);
 	for (guint i = 0; i < keys->len; i++) {
 		res = g_hash_table_lookup(in->state->resources, keys->pdata[i]);
 		if (resource_live(res) && strcmp(res->type, "deployment") == 0)
--- a/src/prober.c
+++ b/src/prober.c
@@ -34,7 +34,7 @@
 	if (lease == NULL)
 		return (0);
 	name = g_strndup(lease->holder, strcspn(lease->holder, "#"));
-	return (member_key(name));
+	return (member_name_hash(name));
 }
 
 /* What a host is shared out by: its group's epoch, or itself. */
@@ -92,7 +92,7 @@
 
 /* Takes one answer; returns whether the host began or ceased to leave. */
 static bool
-take_answer(struct host *host, const struct http_task *task)
+take_answer(struct host *host, const struct http_call *task)
 {
 	struct evidence *ev = &host->evidence;
 	bool leaving = host_leaving(host);
@@ -133,10 +133,10 @@
 	if (server->view != NULL) {
 		g_hash_table_iter_init(&iter, server->view->deployments);
 		while (g_hash_table_iter_next(&iter, NULL, &set))
-			route_set_median(set);
+			route_set_update_median(set);
 		g_hash_table_iter_init(&iter, server->view->services);
 		while (g_hash_table_iter_next(&iter, NULL, &set))
-			route_set_median(set);
+			route_set_update_median(set);
 	}
 	g_mutex_unlock(&server->view_lock);
 }
@@ -144,8 +144,8 @@
 static void
 probe_round(struct server *server, struct http_batch *batch)
 {
-	struct http_task_list *tasks;
-	struct http_task *task;
+	struct http_call_list *tasks;
+	struct http_call *task;
 	bool moved = false;
 
 	batch_fill(server, batch, clock_now_ms());
--- a/src/publish.c
+++ b/src/publish.c
@@ -49,13 +49,13 @@
 	if (target == NULL)
 		return;
 	if (group_whole(inv, group, &seen_ms, &contradicted_ms))
-		target_evidence(target, seen_ms, true, limit);
+		target_update_evidence(target, seen_ms, true, limit);
 	else if (contradicted_ms > 0)
-		target_evidence(target, contradicted_ms, false, limit);
+		target_update_evidence(target, contradicted_ms, false, limit);
 	leader = inventory_find(inv, group->hosts->pdata[0]);
 	if (leader != NULL &&
 	    leader->evidence.seen_ms > atomic_load(&target->report_ms))
-		target_report(target, leader->evidence.seen_ms,
+		target_update_load(target, leader->evidence.seen_ms,
 		    leader->evidence.load);
 }
 
@@ -69,9 +69,10 @@
 	target = g_hash_table_lookup(tables->targets, &host->key);
 	if (target == NULL || ev->seen_ms == 0)
 		return;
-	target_evidence(target, ev->seen_ms, ev->state == HOST_READY, limit);
+	target_update_evidence(target, ev->seen_ms, ev->state == HOST_READY,
+	    limit);
 	if (ev->seen_ms > atomic_load(&target->report_ms))
-		target_report(target, ev->seen_ms, ev->load);
+		target_update_load(target, ev->seen_ms, ev->load);
 }
 
 /**
--- a/src/registry-fleet.c
+++ b/src/registry-fleet.c
@@ -450,7 +450,7 @@
 		    (take || !ep->may_return))
 			endpoint_mark_gone(ep);
 		if (ep->gone && ep->lapsed_ms != 0 && ep->refs == 0 &&
-		    ep->pool.open == 0 && !fleet_remembers(fleet, ep, now_ms))
+		    ep->pool.n_open == 0 && !fleet_remembers(fleet, ep, now_ms))
 			endpoint_free(fleet, ep);
 		ep = next;
 	}
--- a/src/registry-fleet.h
+++ b/src/registry-fleet.h
@@ -6,7 +6,7 @@
 #include "registry-limit.h"
 #include "registry-backoff.h"
 #include "fwd-backlog.h"
-#include "net-client.h"
+#include "net-conn.h"
 
 /**
  * enum group_state - what an endpoint says of its group.
--- a/src/registry-follower.c
+++ b/src/registry-follower.c
@@ -74,7 +74,7 @@
 
 /* Counts a failure; the first one is said. */
 static void
-follow_failed(struct topic_follower *f, const struct store_answer *answer)
+follow_failed(struct topic_follower *f, const struct store_response *answer)
 {
 	unsigned pause = RETRY_FIRST_MS;
 
@@ -100,7 +100,7 @@
 
 /* Notes that the state is known as of the moment of asking. */
 static void
-follow_proved(struct topic_follower *f, const struct store_answer *answer)
+follow_proved(struct topic_follower *f, const struct store_response *answer)
 {
 	if (f->failures > 0) {
 		f->regained_ms = clock_loop_ms(f->loop);
@@ -111,7 +111,7 @@
 			clock_loop_ms(f->loop)));
 	}
 	f->failures = 0;
-	f->proof_ms = MAX(f->proof_ms, answer->asked_ms);
+	f->proof_ms = MAX(f->proof_ms, answer->sent_ms);
 }
 
 /* Gives the records on; while a snapshot is read, their keys are kept. */
@@ -158,7 +158,7 @@
 }
 
 static void
-on_newest(void *arg, const struct store_answer *answer)
+on_newest(void *arg, const struct store_response *answer)
 {
 	struct topic_follower *f = arg;
 	const struct store_record *last;
@@ -188,7 +188,7 @@
 }
 
 static void
-on_read(void *arg, const struct store_answer *answer)
+on_read(void *arg, const struct store_response *answer)
 {
 	struct topic_follower *f = arg;
 
@@ -228,7 +228,7 @@
 static void
 follow_ask(struct topic_follower *f)
 {
-	const struct store_answer none = { .result = STORE_REFUSED };
+	const struct store_response none = { .result = STORE_REFUSED };
 	bool begun;
 
 	if (f->stopped || f->busy || f->held)
--- a/src/request.c
+++ b/src/request.c
@@ -47,10 +47,11 @@
 	if (!req->counted)
 		request_end(req, OUTCOME_UNKNOWN, 0, NULL);
 	if (req->admission != NULL) {
-		admission_leave(req->admission, clock_now_ms() - req->slot_ms);
+		admission_release(req->admission,
+		    clock_now_ms() - req->slot_ms);
 		admission_unref(req->admission);
 	}
-	limit_done(&req->customer->limit);
+	limit_release(&req->customer->limit);
 	atomic_fetch_sub(&req->server->active, 1);
 	customer_unref(req->customer);
 	g_ptr_array_unref(req->tried);
@@ -138,7 +139,7 @@
 	req->ticket.weight = atomic_load(&req->customer->weight);
 	req->ticket.batch = atomic_load(&req->customer->batch);
 	req->ticket.deadline_ms = req->deadline_ms;
-	if (admission_enter(a, &req->ticket,
+	if (admission_acquire(a, &req->ticket,
 		customer_flow(req->customer, req->service),
 		&retry_ms) == FAIR_GRANTED) {
 		req->admission = a;
@@ -260,8 +261,8 @@
 bool
 request_retry_allowed(struct request *req)
 {
-	return (
-	    retry_budget_take(customer_budget(req->customer, req->service)));
+	return (retry_budget_take(
+	    customer_retry_budget(req->customer, req->service)));
 }
 
 /* Counts the end of a request in one series of the metrics. */
@@ -323,8 +324,8 @@
 	count_end(policy_series(req->policy), outcome, us);
 	count_end(class_series(batch), outcome, us);
 	if (outcome == OUTCOME_WHOLE && req->service != NULL)
-		retry_budget_success(
-		    customer_budget(req->customer, req->service));
+		retry_budget_note_success(
+		    customer_retry_budget(req->customer, req->service));
 	request_end_claim(req, outcome, status, body);
 	event_log(outcome == OUTCOME_UNKNOWN ? LOG_NOTICE : LOG_INFO,
 	    "request_end",
--- a/src/retry-budget.c
+++ b/src/retry-budget.c
@@ -18,11 +18,11 @@
 }
 
 /**
- * retry_budget_success() - a request succeeded.
+ * retry_budget_note_success() - a request succeeded.
  * @budget: the budget
  */
 void
-retry_budget_success(struct retry_budget *budget)
+retry_budget_note_success(struct retry_budget *budget)
 {
 	if (atomic_load(&budget->credit) + SUCCESS_CREDIT <= CREDIT_MAX)
 		atomic_fetch_add(&budget->credit, SUCCESS_CREDIT);
--- a/src/route-least-work.c
+++ b/src/route-least-work.c
@@ -19,7 +19,7 @@
 
 	if (n > MAX_CANDIDATES)
 		n = MAX_CANDIDATES;
-	mean = route_mean_others(c, n);
+	mean = route_mean_peer_work(c, n);
 	for (size_t i = 0; i < n; i++) {
 		work[i] = route_expected_work(&c[i], mean, req->daemons);
 		if (work[i] < least)
--- a/src/route-prefix-affinity.c
+++ b/src/route-prefix-affinity.c
@@ -18,7 +18,7 @@
 
 	if (req->prefix == 0 || n == 0)
 		return (route_least_work.choose(req, c, n));
-	mean_others = route_mean_others(c, n);
+	mean_others = route_mean_peer_work(c, n);
 	for (size_t i = 0; i < n; i++)
 		sum += route_expected_work(&c[i], mean_others, req->daemons);
 	bound = sum * BOUND_PERCENT / 100 / n;
--- a/src/route-set.c
+++ b/src/route-set.c
@@ -18,12 +18,12 @@
 			upto += (unsigned)json_integer_value(share);
 			set->split[set->n_split].policy =
 			    route_policy_find(policy);
-			set->split[set->n_split++].upto = upto;
+			set->split[set->n_split++].cumulative_percent = upto;
 		}
 		return;
 	}
 	set->split[0].policy = route_policy_at(0);
-	set->split[0].upto = 100;
+	set->split[0].cumulative_percent = 100;
 	set->n_split = 1;
 }
 
@@ -91,11 +91,11 @@
 }
 
 /**
- * route_set_median() - find the median latency anew.
+ * route_set_update_median() - find the median latency anew.
  * @set: the set
  */
 void
-route_set_median(struct route_set *set)
+route_set_update_median(struct route_set *set)
 {
 	uint64_t us[TARGETS_MAX];
 	size_t n = 0;
@@ -119,7 +119,7 @@
 	unsigned draw = (unsigned)(route_mix(random) % 100);
 
 	for (size_t i = 0; i < set->n_split; i++) {
-		if (draw < set->split[i].upto)
+		if (draw < set->split[i].cumulative_percent)
 			return (set->split[i].policy);
 	}
 	return (set->split[0].policy);
@@ -142,7 +142,7 @@
 {
 	bool local = strcmp(target->domain, set->domain) == 0;
 
-	if (target_resting(target, now))
+	if (target_in_cooldown(target, now))
 		return (local ? TIER_LOCAL_RESTING : TIER_REMOTE_RESTING);
 	return (local ? TIER_LOCAL : TIER_REMOTE);
 }
@@ -162,8 +162,9 @@
 
 		/* A rest that was asked for holds where all others are out,
 		 * too: 35 calls went into the rests of two endpoints. */
-		if (!target_valid(target, now) || target_closed(target, now) ||
-		    !target_has_turn(target, now * US_PER_MS))
+		if (!target_valid(target, now) ||
+		    target_in_backoff(target, now) ||
+		    !target_has_permit(target, now * US_PER_MS))
 			continue;
 		if (target_tier(set, target, now) != tier)
 			continue;
@@ -210,7 +211,7 @@
 			return (NULL);
 		target = from[(*policy)->choose(req, c, n)];
 		/* Another thread may have taken the turn meanwhile. */
-		if (target_take_turn(target, now * US_PER_MS))
+		if (target_take_permit(target, now * US_PER_MS))
 			return (target_ref(target));
 	}
 }
@@ -235,12 +236,12 @@
 }
 
 /**
- * route_set_idempotent() - whether a method may run more than once.
+ * route_set_is_idempotent() - whether a method may run more than once.
  * @set: the service
  * @method: HTTP method
  */
 bool
-route_set_idempotent(const struct route_set *set, const char *method)
+route_set_is_idempotent(const struct route_set *set, const char *method)
 {
 	static const char *const usual[] = { "GET", "HEAD", "OPTIONS", NULL };
 
--- a/src/route-set.h
+++ b/src/route-set.h
@@ -16,11 +16,11 @@
 /**
  * struct route_split - one policy's share of the requests.
  * @policy: the policy
- * @upto: requests whose draw of 0 to 99 is below this use it
+ * @cumulative_percent: requests whose draw of 0 to 99 is below this use it
  */
 struct route_split {
 	const struct route_policy *policy;
-	unsigned upto;
+	unsigned cumulative_percent;
 };
 
 /**
@@ -54,10 +54,10 @@
 struct route_set *route_set_create(const struct resource *,
     const struct resource *, const char *, unsigned);
 void route_set_free(struct route_set *);
-void route_set_median(struct route_set *);
+void route_set_update_median(struct route_set *);
 struct target *route_set_choose(struct route_set *, struct route_request *,
     const GPtrArray *, uint64_t, const struct route_policy **);
 bool route_set_has_remote(const struct route_set *, const GPtrArray *);
-bool route_set_idempotent(const struct route_set *, const char *);
+bool route_set_is_idempotent(const struct route_set *, const char *);
 
 #endif
--- a/src/route.c
+++ b/src/route.c
@@ -57,18 +57,18 @@
 static uint32_t
 others_reported(const struct route_candidate *c)
 {
-	if (c->reported <= c->inflight_at_report)
+	if (c->reported_load <= c->inflight_at_report)
 		return (0);
-	return (c->reported - c->inflight_at_report);
+	return (c->reported_load - c->inflight_at_report);
 }
 
 /**
- * route_mean_others() - mean of the work of other daemons, in work units.
+ * route_mean_peer_work() - mean of the work of other daemons, in work units.
  * @c: the candidates
  * @n: how many
  */
 uint32_t
-route_mean_others(const struct route_candidate *c, size_t n)
+route_mean_peer_work(const struct route_candidate *c, size_t n)
 {
 	uint64_t sum = 0;
 
@@ -82,7 +82,7 @@
 /**
  * route_expected_work() - work that a new request would find, in work units.
  * @c: the candidate
- * @mean_others: what route_mean_others() gave for all candidates
+ * @mean_others: what route_mean_peer_work() gave for all candidates
  * @daemons: daemons that send to the candidates, at least 1
  *
  * This daemon's own requests are counted exactly. What others have there is
--- a/src/route.h
+++ b/src/route.h
@@ -12,7 +12,7 @@
  * @key: stable hash of its name
  * @inflight: requests of this daemon at it now
  * @inflight_at_report: the same, when its last load report was received
- * @reported: requests that its last load report counted
+ * @reported_load: requests that its last load report counted
  * @report_age_ms: age of that report
  * @slow_percent: its latency in percent of the deployment's median, >= 100
  */
@@ -20,7 +20,7 @@
 	uint64_t key;
 	uint32_t inflight;
 	uint32_t inflight_at_report;
-	uint32_t reported;
+	uint32_t reported_load;
 	uint32_t report_age_ms;
 	uint32_t slow_percent;
 };
@@ -59,7 +59,7 @@
 const struct route_policy *route_policy_at(size_t);
 uint32_t route_expected_work(const struct route_candidate *, uint32_t,
     uint32_t);
-uint32_t route_mean_others(const struct route_candidate *, size_t);
+uint32_t route_mean_peer_work(const struct route_candidate *, size_t);
 uint64_t route_mix(uint64_t);
 
 #endif
--- a/src/server.c
+++ b/src/server.c
@@ -85,7 +85,8 @@
 {
 	struct view *view, *old;
 	uint64_t next;
-	unsigned daemons = members_sharing(&server->members, clock_now_ms());
+	unsigned daemons =
+	    members_count_sharing(&server->members, clock_now_ms());
 
 	g_mutex_lock(&server->view_lock);
 	g_mutex_lock(&server->config.lock);
--- a/src/state-dump.c
+++ b/src/state-dump.c
@@ -11,7 +11,7 @@
 static json_t *
 dump_table(GHashTable *table, json_t *(*dump)(const void *))
 {
-	g_autoptr(GPtrArray) keys = state_sorted(table);
+	g_autoptr(GPtrArray) keys = state_sorted_keys(table);
 	json_t *array = json_array();
 
 	for (guint i = 0; i < keys->len; i++)
--- a/src/state.c
+++ b/src/state.c
@@ -397,11 +397,11 @@
 }
 
 /**
- * state_sorted() - the keys of a table in order; free the array only.
+ * state_sorted_keys() - the keys of a table in order; free the array only.
  * @table: a table with string keys
  */
 GPtrArray *
-state_sorted(GHashTable *table)
+state_sorted_keys(GHashTable *table)
 {
 	GPtrArray *keys;
 	GHashTableIter iter;
--- a/src/state.h
+++ b/src/state.h
@@ -57,6 +57,6 @@
 json_t *state_dump(const struct state *);
 struct state *state_load(json_t *, GError **);
 uint64_t state_digest(const struct state *);
-GPtrArray *state_sorted(GHashTable *);
+GPtrArray *state_sorted_keys(GHashTable *);
 
 #endif
--- a/src/store-ops.h
+++ b/src/store-ops.h
@@ -52,25 +52,25 @@
 };
 
 /**
- * struct store_answer - what a call brought.
+ * struct store_response - what a call brought.
  * @result: how it ended
  * @records: of struct store_record; NULL for an append
  * @end: where the topic ended
  * @more: further pages follow the last key
- * @asked_ms: loop time just before the call; the state is no older
+ * @sent_ms: loop time just before the call; the state is no older
  * @status: of the reply, for logs
  */
-struct store_answer {
+struct store_response {
 	enum store_result result;
 	GArray *records;
 	uint64_t end;
 	bool more;
-	uint64_t asked_ms;
+	uint64_t sent_ms;
 	unsigned status;
 };
 
 /* Told once when a call ends; the answer lives until it returns. */
-typedef void store_fn(void *, const struct store_answer *);
+typedef void store_fn(void *, const struct store_response *);
 
 struct store;
 
--- a/src/target-heard.c
+++ b/src/target-feedback.c
@@ -20,12 +20,13 @@
 target_ask_rest(struct target *target, const char *seconds, uint64_t now)
 {
 	uint64_t ms =
-	    endpoint_backoff_normalize(net_head_decimal(seconds) * MS_PER_S,
+	    endpoint_backoff_normalize(net_head_parse_decimal(seconds) *
+		    MS_PER_S,
 		CLOSED_MAX_MS);
-	uint64_t until = atomic_load(&target->closed_until_ms);
+	uint64_t until = atomic_load(&target->backoff_until_ms);
 
 	while (until < now + ms &&
-	    !atomic_compare_exchange_weak(&target->closed_until_ms, &until,
+	    !atomic_compare_exchange_weak(&target->backoff_until_ms, &until,
 		now + ms))
 		;
 	event_log(LOG_NOTICE, "target_asks_rest",
@@ -38,9 +39,10 @@
 limit_known(struct target *target, struct endpoint_limit *known)
 {
 	*known = (struct endpoint_limit){
-		.active = atomic_load(&target->limited),
-		.per_s = (double)atomic_load(&target->limit_milli) / MILLI,
-		.as_of_ms = atomic_load(&target->limit_said_ms),
+		.active = atomic_load(&target->limit_active),
+		.per_s =
+		    (double)atomic_load(&target->limit_milli_per_s) / MILLI,
+		.as_of_ms = atomic_load(&target->limit_as_of_ms),
 	};
 }
 
@@ -59,14 +61,16 @@
 	limit_known(target, &known);
 	if (per_s != NULL)
 		news = endpoint_limit_set(&known,
-		    endpoint_limit_normalize(net_head_decimal(per_s), &known),
+		    endpoint_limit_normalize(net_head_parse_decimal(per_s),
+			&known),
 		    now);
 	else
 		news = endpoint_limit_superseded(&known, sent_ms) &&
 		    endpoint_limit_clear(&known, now);
-	atomic_store(&target->limited, known.active);
-	atomic_store(&target->limit_milli, (uint64_t)(known.per_s * MILLI));
-	atomic_store(&target->limit_said_ms, known.as_of_ms);
+	atomic_store(&target->limit_active, known.active);
+	atomic_store(&target->limit_milli_per_s,
+	    (uint64_t)(known.per_s * MILLI));
+	atomic_store(&target->limit_as_of_ms, known.as_of_ms);
 	limit_set(&target->limit,
 	    known.active ? endpoint_limit_rate(&known) : 0, 1, 0,
 	    MAX(atomic_load(&target->daemons), 1));
@@ -79,40 +83,40 @@
 }
 
 /**
- * target_take_turn() - whether a request may be sent now; it is counted then.
+ * target_take_permit() - whether a request may be sent now; it is counted then.
  * @target: the target
  * @now_us: monotonic microseconds
  */
 bool
-target_take_turn(struct target *target, uint64_t now_us)
+target_take_permit(struct target *target, uint64_t now_us)
 {
 	uint64_t wait_us;
 
 	if (!limit_admit(&target->limit, now_us, &wait_us))
 		return (false);
-	limit_done(&target->limit);
+	limit_release(&target->limit);
 	return (true);
 }
 
 /**
- * target_has_turn() - whether a request could be sent now.
+ * target_has_permit() - whether a request could be sent now.
  * @target: the target
  * @now_us: monotonic microseconds
  */
 bool
-target_has_turn(struct target *target, uint64_t now_us)
+target_has_permit(struct target *target, uint64_t now_us)
 {
-	return (!atomic_load(&target->limited) ||
+	return (!atomic_load(&target->limit_active) ||
 	    atomic_load(&target->limit.next_us) <= now_us);
 }
 
 /**
- * target_heard() - take in what an answer says of the target.
+ * target_apply_feedback() - take in what an answer says of the target.
  * @target: the target
  * @call: a call to it, which may have no answer
  */
 void
-target_heard(struct target *target, const struct call *call)
+target_apply_feedback(struct target *target, const struct call *call)
 {
 	uint64_t now = clock_now_ms();
 
--- a/src/target.c
+++ b/src/target.c
@@ -70,7 +70,7 @@
 }
 
 /**
- * target_evidence() - take evidence about a target.
+ * target_update_evidence() - take evidence about a target.
  * @target: the target
  * @seen_ms: local time that the evidence is at least as new as
  * @good: all of its hosts said that they are whole and ready
@@ -79,25 +79,25 @@
  * The newest evidence counts. Called by one thread at a time.
  */
 void
-target_evidence(struct target *target, uint64_t seen_ms, bool good,
+target_update_evidence(struct target *target, uint64_t seen_ms, bool good,
     uint64_t limit_ms)
 {
-	if (seen_ms < atomic_load(&target->seen_ms))
+	if (seen_ms < atomic_load(&target->evidence_as_of_ms))
 		return;
-	atomic_store(&target->seen_ms, seen_ms);
+	atomic_store(&target->evidence_as_of_ms, seen_ms);
 	atomic_store(&target->valid_until_ms, good ? seen_ms + limit_ms : 0);
 }
 
 /**
- * target_report() - take a load report.
+ * target_update_load() - take a load report.
  * @target: the target
  * @now: monotonic milliseconds
  * @load: requests that run or wait there
  */
 void
-target_report(struct target *target, uint64_t now, uint32_t load)
+target_update_load(struct target *target, uint64_t now, uint32_t load)
 {
-	atomic_store(&target->reported, load);
+	atomic_store(&target->reported_load, load);
 	atomic_store(&target->inflight_at_report,
 	    atomic_load(&target->inflight));
 	atomic_store(&target->report_ms, now);
@@ -115,14 +115,14 @@
 }
 
 /**
- * target_closed() - whether the target asked for rest and it lasts.
+ * target_in_backoff() - whether the target asked for rest and it lasts.
  * @target: the target
  * @now: monotonic milliseconds
  */
 bool
-target_closed(struct target *target, uint64_t now)
+target_in_backoff(struct target *target, uint64_t now)
 {
-	return (now < atomic_load(&target->closed_until_ms));
+	return (now < atomic_load(&target->backoff_until_ms));
 }
 
 /**
@@ -132,18 +132,18 @@
 void
 target_retire(struct target *target)
 {
-	atomic_store(&target->seen_ms, UINT64_MAX);
+	atomic_store(&target->evidence_as_of_ms, UINT64_MAX);
 	atomic_store(&target->valid_until_ms, 0);
 }
 
 /**
- * target_latency() - a call went well; take its time to the first byte.
+ * target_note_success() - a call went well; take its time to the first byte.
  * @target: the target
  * @us: microseconds
  * @now: monotonic milliseconds
  */
 void
-target_latency(struct target *target, uint64_t us, uint64_t now)
+target_note_success(struct target *target, uint64_t us, uint64_t now)
 {
 	uint64_t mean = atomic_load(&target->latency_us);
 
@@ -152,37 +152,38 @@
 	else
 		mean = mean - (mean >> LATENCY_SHIFT) + (us >> LATENCY_SHIFT);
 	atomic_store(&target->latency_us, mean);
-	atomic_store(&target->latency_ms, now);
+	atomic_store(&target->latency_sampled_ms, now);
 	atomic_fetch_add(&target->latency_samples, 1);
 	atomic_store(&target->failures, 0);
-	atomic_store(&target->rest_until_ms, 0);
+	atomic_store(&target->cooldown_until_ms, 0);
 }
 
 /**
- * target_failed() - a call to the target failed: prefer others for a while.
+ * target_note_failure() - a call to the target failed: prefer others for a
+ * while.
  * @target: the target
  * @now: monotonic milliseconds
  *
  * The while doubles with each failure in a row, up to REST_MAX_MS.
  */
 void
-target_failed(struct target *target, uint64_t now)
+target_note_failure(struct target *target, uint64_t now)
 {
 	unsigned failures = atomic_fetch_add(&target->failures, 1);
 	uint64_t rest = (uint64_t)REST_MIN_MS << MIN(failures, 16);
 
-	atomic_store(&target->rest_until_ms, now + MIN(rest, REST_MAX_MS));
+	atomic_store(&target->cooldown_until_ms, now + MIN(rest, REST_MAX_MS));
 }
 
 /**
- * target_resting() - whether others are preferred now.
+ * target_in_cooldown() - whether others are preferred now.
  * @target: the target
  * @now: monotonic milliseconds
  */
 bool
-target_resting(struct target *target, uint64_t now)
+target_in_cooldown(struct target *target, uint64_t now)
 {
-	return (now < atomic_load(&target->rest_until_ms));
+	return (now < atomic_load(&target->cooldown_until_ms));
 }
 
 /*
@@ -194,7 +195,8 @@
 target_slow(struct target *target, uint64_t now, uint64_t median_us)
 {
 	uint64_t latency = atomic_load(&target->latency_us);
-	uint64_t since = now - MIN(now, atomic_load(&target->latency_ms));
+	uint64_t since =
+	    now - MIN(now, atomic_load(&target->latency_sampled_ms));
 	uint64_t halvings = MIN(since / SLOW_HALF_MS, 32), percent;
 
 	if (atomic_load(&target->latency_samples) < SLOW_MIN_SAMPLES)
@@ -222,7 +224,7 @@
 	c->key = target->key;
 	c->inflight = atomic_load(&target->inflight);
 	c->inflight_at_report = atomic_load(&target->inflight_at_report);
-	c->reported = atomic_load(&target->reported);
+	c->reported_load = atomic_load(&target->reported_load);
 	c->report_age_ms = now >= report_ms && report_ms != 0 ?
 	    (uint32_t)MIN(now - report_ms, UINT32_MAX) :
 	    UINT32_MAX;
--- a/src/view.c
+++ b/src/view.c
@@ -149,7 +149,7 @@
 		uint64_t each =
 		    (uint64_t)resource_int(res, "replica_requests", 0);
 
-		admission_set(set->admission,
+		admission_set_slots(set->admission,
 		    (unsigned)((each * set->targets->len + b->daemons - 1) /
 			b->daemons));
 	}
--- a/tests/fake-endpoints.c
+++ b/tests/fake-endpoints.c
@@ -136,7 +136,7 @@
 		if (get_switch("reset"))
 			net_stream_reset(&c->stream);
 		else
-			net_stream_finish(&c->stream);
+			net_stream_shutdown(&c->stream);
 	} else {
 		conn_reply(c, 200, headers, text, sizeof text - 1);
 	}
--- a/tests/test-config.c
+++ b/tests/test-config.c
@@ -145,7 +145,8 @@
 exec_offer(const char *rest, GString *out)
 {
 	g_string_append(out,
-	    config_offer(config_of(rest), kept) ? "taken\n" : "not taken\n");
+	    config_adopt_state(config_of(rest), kept) ? "taken\n" :
+							"not taken\n");
 }
 
 /* snapshot a|b: writes a snapshot of its state */
--- a/tests/test-follow.c
+++ b/tests/test-follow.c
@@ -177,11 +177,11 @@
 exec_answer(const char *rest, GString *out)
 {
 	g_autofree char *list = script_word(rest, "records");
-	struct store_answer answer = { .records = records_of(list) };
+	struct store_response answer = { .records = records_of(list) };
 	store_fn *fn = waiting;
 
 	answer.end = script_number(rest, "end", 0);
-	answer.asked_ms = 1;
+	answer.sent_ms = 1;
 	answer.more = script_number(rest, "more", 0) != 0;
 	if (script_number(rest, "refused", 0) != 0)
 		answer.result = STORE_REFUSED;
--- a/tests/test-publish.c
+++ b/tests/test-publish.c
@@ -25,7 +25,7 @@
 	inventory_update(&inv, list, 1);
 	view_tables_init(&tables);
 	g_hash_table_insert(tables.targets, &target->key, target);
-	target_evidence(target, 100, true, 1000);
+	target_update_evidence(target, 100, true, 1000);
 	evidence_parse(&inventory_find(&inv, "h1")->evidence, idle, 200);
 	publish_evidence(state, &inv, &tables, 1000);
 	CU_ASSERT_FALSE(target_valid(target, 201));
--- a/tests/test-queue.c
+++ b/tests/test-queue.c
@@ -92,8 +92,8 @@
 	guint64 n = g_ascii_strtoull(rest, NULL, 10);
 
 	for (guint64 i = 0; i < n; i++) {
-		fair_queue_leave(&queue, script_number(rest, "held", 1000));
-		if (!fair_queue_next(&queue))
+		fair_queue_release(&queue, script_number(rest, "held", 1000));
+		if (!fair_queue_grant_next(&queue))
 			g_string_append(out, "-");
 		for (int k = 0; k < MIN(n_tickets, TICKETS_MAX); k++) {
 			struct named *t = &tickets[k];
--- a/tests/test-route.c
+++ b/tests/test-route.c
@@ -54,7 +54,7 @@
 	struct target *t;
 
 	t = target_create(w[0], "http://x", w[1], (uint64_t)n_targets + 1, 0);
-	target_evidence(t, 1, true, 1000000);
+	target_update_evidence(t, 1, true, 1000000);
 	g_ptr_array_add(set->targets, t);
 	targets[n_targets++] = target_ref(t);
 }
@@ -71,13 +71,14 @@
 		atomic_store(&t->inflight,
 		    (unsigned)script_number(rest, "inflight", 0));
 	if (script_number(rest, "latency_us", 0) != 0)
-		target_latency(t, script_number(rest, "latency_us", 0), now);
+		target_note_success(t, script_number(rest, "latency_us", 0),
+		    now);
 	if (script_number(rest, "at", 0) != 0)
-		target_report(t, script_number(rest, "at", 0),
+		target_update_load(t, script_number(rest, "at", 0),
 		    (uint32_t)script_number(rest, "report", 0));
 	if (script_number(rest, "retire", 0) != 0)
 		target_retire(t);
-	route_set_median(set);
+	route_set_update_median(set);
 }
 
 /* fail NAME now=MS: a call to it failed */
@@ -86,7 +87,7 @@
 {
 	g_auto(GStrv) w = g_strsplit(rest, " ", 2);
 
-	target_failed(find(w[0]), script_number(rest, "now", 0));
+	target_note_failure(find(w[0]), script_number(rest, "now", 0));
 }
 
 /* evidence NAME seen=MS good=0|1 limit=MS */
@@ -95,7 +96,7 @@
 {
 	g_auto(GStrv) w = g_strsplit(rest, " ", 2);
 
-	target_evidence(find(w[0]), script_number(rest, "seen", 0),
+	target_update_evidence(find(w[0]), script_number(rest, "seen", 0),
 	    script_number(rest, "good", 0) != 0,
 	    script_number(rest, "limit", 0));
 }
--- a/tests/test-schedules.c
+++ b/tests/test-schedules.c
@@ -329,10 +329,10 @@
 {
 	struct order_limits lim = { "a", now, EVIDENCE_MS, HOSTS };
 	struct http_batch *batch = http_batch_create();
-	struct http_task *task;
+	struct http_call *task;
 
 	orders_fill(batch, d->state, &d->inv, &lim);
-	TAILQ_FOREACH(task, http_batch_tasks(batch), entry) {
+	TAILQ_FOREACH(task, http_batch_calls(batch), entry) {
 		struct host *host = task->arg;
 		int i = atoi(host->name + 1);
 		bool join = g_str_has_suffix(task->url, "join");
--- a/tests/test-stage.c
+++ b/tests/test-stage.c
@@ -137,7 +137,7 @@
 {
 	g_auto(GStrv) w = g_strsplit(rest, " ", 2);
 
-	for (int r = ORDER_TAKEN; r <= ORDER_UNKNOWN; r++) {
+	for (int r = ORDER_ACCEPTED; r <= ORDER_UNKNOWN; r++) {
 		if (strcmp(order_result_name((enum order_result)r), w[1]) == 0)
 			answer_order(w[0], g_hash_table_lookup(pending, w[0]),
 			    GINT_TO_POINTER(r));
