--- a/soak/soak-client.c
+++ b/soak/soak-client.c
@@ -1,7 +1,7 @@
 /*
  * Load generator and checker of the soak: each client keeps its connection
- * open, sends one request after another to its daemon, and checks each
- *response.
+ * open, sends one request after another to its daemon, and checks the
+ * responses.
  *
  *	soak-client SEED SECONDS CLIENTS IP...
  *
--- a/tests/standin-platform.c
+++ b/tests/standin-platform.c
@@ -24,17 +24,18 @@
  *	reset		connections of unframed responses are reset
  *	slow		ms before a plain response
  *	noproof		responses lack the header Server-Signature
- *	mute		connections accepted while it was lower are not answered
+ *	mute		connections accepted while it was lower stay unanswered
  *	late-ORDER-IP	the next N orders of this kind (any: of all kinds) to
  *			an engine get no response and are carried out late
  *	late-ms		how much later, in ms
- *	rest-IP		the endpoint refuses all requests and asks for a backoff
- *			of so many ms
+ *	rest-IP		the endpoint refuses all requests and asks for a
+ *			backoff of so many ms
  *	leaving-IP	the endpoint says in its responses that it leaves
  *	limit-IP	the endpoint names this limit in its responses, in
- *1/1000 requests/s over all daemons; below 0: no number excuse-IP	IP of a
- *daemon: what it was told is forgotten harmless	no request crashes its
- *endpoint back		ms until a crashed endpoint restarts; 0: 2500
+ *			1/1000 requests/s over all daemons; below 0: no number
+ *	excuse-IP	IP of a daemon: what it was told is forgotten
+ *	harmless	no request crashes its endpoint
+ *	back		ms until a crashed endpoint restarts; 0: 2500
  *
  * An endpoint crashes 60 ms after it began to run a request whose body has the
  * word "ends-endpoint", which resets all of its connections, or
@@ -43,18 +44,22 @@
  * The journal has the requests that endpoints ran, and lines on what daemons
  * must not do:
  *	two ENGINE NEW OLD
- *		ENGINE was joined to NEW but has not left OLD, whose head serves
- *		or may serve again
+ *		ENGINE was joined to NEW but has not left OLD, whose head is
+ *		open: it serves or is stalled
  *	in-rest ENDPOINT DAEMON COUNT ID
  *		a request from 500 ms after the daemon was asked for a backoff
  *		until its end; two are allowed
  *	after-leaving ENDPOINT DAEMON COUNT ID
  *		a request 1 s or more after the daemon was told that the
- *endpoint leaves over-limit ENDPOINT COUNT of ALLOWED ID a request from a
- *daemon that knew of the limit, where more than 1.5 times the limit and 5 came
- *in 4 s over-crash FINGERPRINT COUNT CRASHES ID a request more than 3 s after
- *it had crashed its third endpoint; three are allowed "ended ENDPOINT
- *FINGERPRINT COUNT ID" stands for each crash, the COUNT-th by this request.
+ *		endpoint leaves
+ *	over-limit ENDPOINT COUNT of ALLOWED ID
+ *		a request from a daemon that knew of the limit, where more than
+ *		1.5 times the limit and 5 came in 4 s
+ *	over-crash FINGERPRINT COUNT CRASHES ID
+ *		a request more than 3 s after it had crashed its third
+ *		endpoint; three are allowed
+ * "ended ENDPOINT FINGERPRINT COUNT ID" stands for each crash, the COUNT-th by
+ * this request.
  */
 #include <jansson.h>
 #include <signal.h>
--- a/tests/standin-service.c
+++ b/tests/standin-service.c
@@ -8,7 +8,7 @@
  *	status		status of the response, after running
  *	not_started	refuse the next n requests with 503, not started
  *	rest_ms		refuse all requests like this and ask for a backoff of
- *so many ms; the journal has a line "rest" for each
+ *			so many ms; the journal has a line "rest" for each
  *	slow_ms		delay after running
  *	limit		rate limit named in responses, in 1/1000 requests/s
  */
