--- a/tests/proc-edge-outage.sh
+++ b/tests/proc-edge-outage.sh
@@ -46,7 +46,8 @@
 check_true "the loss of the store was logged" \
     grep -q event=store_lost "$RUN/edge-1.out"
 # Log lines are buffered for a short time.
-check_true "the recovery of the store was logged" until_true 1 grep -q event=store_regained "$RUN/edge-1.out"
+check_true "the recovery of the store was logged" until_true 1 \
+    grep -q event=store_regained "$RUN/edge-1.out"
 
 # A draining endpoint gets no new requests.
 control "drain-127.$NET.2.1" 1
--- a/tests/proc-edge-suspended-host.sh
+++ b/tests/proc-edge-suspended-host.sh
@@ -58,6 +58,7 @@
 check_true "the first is the placer" until_true 10 eval '[ "$(metric 1 placer)" = 1 ]'
 stop edge-1 USR2
 check_true "the second is the placer" until_true 4 eval '[ "$(metric 2 placer)" = 1 ]'
-check_true "the first is not the placer any more" until_true 6 eval '[ "$(metric 1 placer)" = 0 ]'
+check_true "the first is not the placer any more" until_true 6 eval \
+    '[ "$(metric 1 placer)" = 0 ]'
 check "no engine is in two groups" 0 "$(journal | grep -c '^two ')"
 verdict
