--- a/src/bankliftd.c
+++ b/src/bankliftd.c
@@ -82,7 +82,7 @@
 {
 	event_log(LOG_NOTICE, "leaving", "active=%u",
 	    atomic_load(&server->active));
-	atomic_store(&server->leaving, true);
+	atomic_store(&server->draining, true);
 	g_mutex_lock(&server->members.lock);
 	server->members.self.leaving = true;
 	g_mutex_unlock(&server->members.lock);
@@ -107,7 +107,7 @@
 		threads[i] = g_thread_new(thread_table[i].name,
 		    thread_table[i].run, server);
 	event_log(LOG_NOTICE, "started", "name=%s domain=%s boot=%s",
-	    server->set.name, server->set.domain, server->boot);
+	    server->set.name, server->set.domain, server->incarnation);
 	signal_wait();
 	server_drain(server);
 	http_listen_linger(&listen);
--- a/src/cmd-account.c
+++ b/src/cmd-account.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "cmd-lines.h"
+#include "cmd-log-line.h"
 #include "cmd.h"
 
 /* Milliseconds of one row; the shortest repair takes about as long. */
@@ -66,7 +66,7 @@
 static double
 line_number(const char *text, const char *key)
 {
-	g_autofree char *value = log_line_value(text, key);
+	g_autofree char *value = log_line_get(text, key);
 
 	return (value != NULL ? g_ascii_strtod(value, NULL) : 0);
 }
@@ -98,7 +98,7 @@
 
 		if (!log_line_has(text, "event", failed_ends[i]))
 			continue;
-		reason = log_line_value(text, "reason");
+		reason = log_line_get(text, "reason");
 		count_up(span->ends,
 		    g_strdup_printf("%s:%s",
 			failed_ends[i] + strlen("request_"),
@@ -174,12 +174,12 @@
 static void
 hosts_note(GHashTable *hosts, const char *text)
 {
-	char *host = log_line_value(text, "host");
-	char *endpoint = log_line_value(text, "endpoint");
+	char *host = log_line_get(text, "host");
+	char *endpoint = log_line_get(text, "endpoint");
 	char *use = NULL;
 
 	if (host != NULL && log_line_has(text, "event", "host_use"))
-		use = log_line_value(text, "use");
+		use = log_line_get(text, "use");
 	/* A line that was cut may say no use. */
 	if (use != NULL)
 		g_hash_table_replace(hosts, g_strdup(host), use);
@@ -231,7 +231,7 @@
 		return (CMD_FAILED);
 	if (lines->len == 0)
 		return (CMD_NOT_FOUND);
-	g_array_sort(lines, log_line_by_time);
+	g_array_sort(lines, log_line_compare_time);
 	account_print(lines);
 	return (CMD_OK);
 }
--- a/src/cmd-call.c
+++ b/src/cmd-call.c
@@ -6,13 +6,13 @@
 #include "cmd.h"
 
 /**
- * cmd_failure() - print a daemon's typed error.
+ * cmd_report_error() - print a daemon's typed error.
  * @reply: its answer
  *
  * Return: the exit code of the error's type.
  */
 enum cmd_exit
-cmd_failure(const struct http_response *reply)
+cmd_report_error(const struct http_response *reply)
 {
 	const char *type = "unknown", *message = "";
 
@@ -49,7 +49,7 @@
 		return (CMD_UNAVAILABLE);
 	}
 	if (reply->status != 200)
-		return (cmd_failure(reply));
+		return (cmd_report_error(reply));
 	return (CMD_OK);
 }
 
--- a/src/cmd-explain.c
+++ b/src/cmd-explain.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "cmd-lines.h"
+#include "cmd-log-line.h"
 #include "cmd.h"
 
 /* Lines of the request's endpoints are shown from this long before its first
@@ -44,8 +44,8 @@
 static void
 span_note(struct explain_span *span, const struct log_line *line)
 {
-	char *endpoint = log_line_value(line->text, "endpoint");
-	char *work = log_line_value(line->text, "work");
+	char *endpoint = log_line_get(line->text, "endpoint");
+	char *work = log_line_get(line->text, "work");
 
 	if (span->first_ms == 0)
 		span->first_ms = line->at_ms;
@@ -72,7 +72,7 @@
 static bool
 line_of_work(const struct log_line *line, const struct explain_span *span)
 {
-	g_autofree char *work = log_line_value(line->text, "work");
+	g_autofree char *work = log_line_get(line->text, "work");
 
 	return (work != NULL && line->at_ms <= span->last_ms &&
 	    event_among(line->text, work_events, G_N_ELEMENTS(work_events)) &&
@@ -84,7 +84,7 @@
 line_belongs(const struct log_line *line, const char *id,
     const struct explain_span *span)
 {
-	g_autofree char *endpoint = log_line_value(line->text, "endpoint");
+	g_autofree char *endpoint = log_line_get(line->text, "endpoint");
 	bool said;
 
 	if (log_line_has(line->text, "id", id) || line_of_work(line, span))
@@ -142,7 +142,7 @@
 		if (log_line_has(line->text, "id", id))
 			span_note(&span, line);
 	}
-	g_array_sort(lines, log_line_by_time);
+	g_array_sort(lines, log_line_compare_time);
 	if (ok && span.first_ms != 0)
 		story_print(lines, id, &span);
 	else if (ok)
--- a/src/cmd-lines.c
+++ b/src/cmd-log-line.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "cmd-lines.h"
+#include "cmd-log-line.h"
 
 /**
  * log_line_clear() - free what a line holds.
@@ -18,14 +18,14 @@
 }
 
 /**
- * log_line_value() - the value of a key in a line.
+ * log_line_get() - the value of a key in a line.
  * @text: the line
  * @key: the key
  *
  * Return: the value, to be freed; NULL where it has none.
  */
 char *
-log_line_value(const char *text, const char *key)
+log_line_get(const char *text, const char *key)
 {
 	g_autofree char *start = g_strdup_printf(" %s=", key);
 	const char *at = strstr(text, start);
@@ -45,18 +45,18 @@
 bool
 log_line_has(const char *text, const char *key, const char *value)
 {
-	g_autofree char *found = log_line_value(text, key);
+	g_autofree char *found = log_line_get(text, key);
 
 	return (g_strcmp0(found, value) == 0);
 }
 
 /**
- * log_line_by_time() - order of two lines, for sorting.
+ * log_line_compare_time() - order of two lines, for sorting.
  * @a: a struct log_line
  * @b: another
  */
 int
-log_line_by_time(const void *a, const void *b)
+log_line_compare_time(const void *a, const void *b)
 {
 	const struct log_line *x = a, *y = b;
 
@@ -77,7 +77,7 @@
 	}
 	while (getline(&text, &room, f) > 0) {
 		struct log_line line = { .source = path };
-		g_autofree char *at = log_line_value(text, "at");
+		g_autofree char *at = log_line_get(text, "at");
 
 		if (at == NULL)
 			continue;
--- a/src/cmd-lines.h
+++ b/src/cmd-log-line.h
@@ -1,6 +1,6 @@
 /* Lines of logs, for the commands that read them. */
-#ifndef BL_CMD_LINES_H
-#define BL_CMD_LINES_H
+#ifndef BL_CMD_LOG_LINE_H
+#define BL_CMD_LOG_LINE_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -18,9 +18,9 @@
 };
 
 void log_line_clear(void *);
-char *log_line_value(const char *, const char *);
+char *log_line_get(const char *, const char *);
 bool log_line_has(const char *, const char *, const char *);
-int log_line_by_time(const void *, const void *);
+int log_line_compare_time(const void *, const void *);
 bool log_files_read(GArray *, const char *const *);
 
 #endif
--- a/src/cmd.h
+++ b/src/cmd.h
@@ -71,7 +71,7 @@
     json_t *, struct http_response *);
 enum cmd_exit cmd_stream(const struct cmd_context *, const char *,
     size_t (*)(char *, size_t, size_t, void *), void *);
-enum cmd_exit cmd_failure(const struct http_response *);
+enum cmd_exit cmd_report_error(const struct http_response *);
 void cmd_print_json(json_t *);
 
 #endif
--- a/src/completion.c
+++ b/src/completion.c
@@ -160,7 +160,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(all); i++) {
 		atomic_fetch_add(&all[i]->tokens, 1);
 		if (c->n_delivered == 1)
-			histogram_add(&all[i]->first_us,
+			histogram_add(&all[i]->first_byte_us,
 			    now - c->req->started_us);
 		else
 			histogram_add(&all[i]->gap_us, now - c->last_chunk_us);
--- a/src/config.c
+++ b/src/config.c
@@ -281,7 +281,7 @@
 	g_mutex_lock(&config->lock);
 	res = state_resource(config->state, type, name);
 	/* Creating anew after a deletion is based on the deletion. */
-	if (base < 0 || (base == 0 && res != NULL && !resource_live(res)))
+	if (base < 0 || (base == 0 && res != NULL && !resource_exists(res)))
 		base = res != NULL ? (int64_t)res->version : 0;
 	json_object_set_new(record, "base", json_integer(base));
 	ok =
--- a/src/controller.c
+++ b/src/controller.c
@@ -36,11 +36,11 @@
 static _Atomic uint64_t hold_until_ms;
 
 /**
- * controller_holds() - whether this daemon holds its domain's lease now.
+ * controller_holds_lease() - whether this daemon holds its domain's lease now.
  * @server: the daemon
  */
 bool
-controller_holds(struct server *server)
+controller_holds_lease(struct server *server)
 {
 	return (clock_now_ms() < atomic_load(&hold_until_ms));
 }
@@ -89,7 +89,7 @@
 	uint64_t term;
 	enum lease_step step = lease_step(c, &term);
 
-	if (atomic_load(&c->server->leaving)) {
+	if (atomic_load(&c->server->draining)) {
 		if (lease_elector_holds(&c->elector, clock_now_ms())) {
 			lease_write(c, "lease", "", term);
 			lease_step(c, &term);
--- a/src/controller.h
+++ b/src/controller.h
@@ -7,6 +7,6 @@
 struct server;
 
 void *controller_run(void *);
-bool controller_holds(struct server *);
+bool controller_holds_lease(struct server *);
 
 #endif
--- a/src/edge.c
+++ b/src/edge.c
@@ -91,11 +91,11 @@
 	set->key_proof_ms = (uint64_t)MAX(e->set.key_proof_ms - KEY_MARGIN_MS,
 	    e->set.key_proof_ms / 2);
 	set->keys_fail_closed = e->set.keys_fail_closed;
-	set->rest_most_ms = (uint64_t)e->set.rest_most_ms;
+	set->backoff_max_ms = (uint64_t)e->set.rest_most_ms;
 	set->deny_proof_ms = (uint64_t)e->set.apply_ms;
 	e->placer.stall_ms = (uint64_t)e->set.stall_ms;
-	set->released_works = e->set.released_works;
-	set->refused_works = e->set.refused_works;
+	set->released_fingerprints = e->set.released_works;
+	set->refused_fingerprints = e->set.refused_works;
 	set->retry.ratio = e->set.retry_ratio;
 	set->retry.slack = e->set.retry_slack;
 	set->retry.window_ms = (uint64_t)(e->set.retry_window_s * 1000);
@@ -253,7 +253,7 @@
 	    "calls_endpoints=%llu calls_placement=%llu calls_daemons=%llu "
 	    "store_failures=%llu",
 	    (unsigned long long)counts[COUNT_REQUESTS],
-	    (unsigned long long)counts[COUNT_ANSWERED],
+	    (unsigned long long)counts[COUNT_COMPLETED],
 	    (unsigned long long)counts[COUNT_REFUSED],
 	    (unsigned long long)counts[COUNT_FAILED],
 	    (unsigned long long)counts[COUNT_SENT],
--- a/src/fwd-end.c
+++ b/src/fwd-end.c
@@ -139,7 +139,7 @@
 {
 	struct fwd_conn *conn = ex->conn;
 
-	fwd_stats_count(&ex->fwd->stats, COUNT_BROKEN_OFF);
+	fwd_stats_count(&ex->fwd->stats, COUNT_ABORTED);
 	end_log(ex, LOG_NOTICE, "request_broken_off", ex->status, reason);
 	fwd_exchange_free(ex);
 	if (conn != NULL)
@@ -172,7 +172,7 @@
 {
 	uint64_t now_us = clock_now_us();
 
-	fwd_stats_count(&ex->fwd->stats, COUNT_ANSWERED);
+	fwd_stats_count(&ex->fwd->stats, COUNT_COMPLETED);
 	if (ex->first_us == 0)
 		ex->first_us = now_us;
 	fwd_stats_add_latency(&ex->fwd->stats, ex->route->name,
--- a/src/fwd-expect.c
+++ b/src/fwd-expect.c
@@ -28,7 +28,7 @@
 step_ms(const struct engine_profile *e, const struct model_profile *m,
     double running)
 {
-	double context = running * (e->usual_prompt + e->usual_answer / 2);
+	double context = running * (e->usual_prompt + e->usual_response / 2);
 
 	return ((e->step_ms + e->per_seq_ms * running +
 		    e->context_per_k_ms * context / 1000) *
@@ -70,7 +70,7 @@
 double
 fwd_expect_rate(const struct endpoint *ep, const struct fwd_workload *workload)
 {
-	return (workload->engine->read_per_ms / workload->model->pace /
+	return (workload->engine->prefill_per_ms / workload->model->pace /
 	    ep->slowness);
 }
 
--- a/src/fwd-feedback.c
+++ b/src/fwd-feedback.c
@@ -42,7 +42,7 @@
 {
 	struct endpoint *ep = ex->endpoint;
 	uint64_t ms =
-	    endpoint_backoff_normalize(fb->number, ex->fwd->set.rest_most_ms);
+	    endpoint_backoff_normalize(fb->number, ex->fwd->set.backoff_max_ms);
 
 	endpoint_backoff_extend(&ep->backoff, ms, feedback_now(ex));
 	fwd_stats_count(&ex->fwd->stats, COUNT_BACKOFFS);
--- a/src/fwd-poison.c
+++ b/src/fwd-poison.c
@@ -105,7 +105,7 @@
 	bool is_new = poison_observe_crash(&fwd->registry->poison,
 	    ex->fingerprint, &crash, now);
 
-	fwd_stats_count(&fwd->stats, COUNT_LOST);
+	fwd_stats_count(&fwd->stats, COUNT_CRASHES);
 	event_log(LOG_NOTICE, "work_lost",
 	    "id=%s work=%08x endpoint=%s started_ms=%lld sign=%s "
 	    "suspected=%d sent_ms_ago=%llu last_event=%lld inflight=%u "
@@ -194,7 +194,7 @@
 	struct poison_verdict verdict;
 
 	if (suspect == NULL ||
-	    fingerprint_listed(fwd->set.released_works, ex->fingerprint))
+	    fingerprint_listed(fwd->set.released_fingerprints, ex->fingerprint))
 		return (false);
 	suspect_evaluate(fwd, suspect, &verdict, ex->id);
 	if (verdict.until_ms == 0)
@@ -221,7 +221,7 @@
 	uint64_t until = now + RETRY_OPERATOR_MS;
 	const char *reason = "work_quarantined";
 
-	if (fingerprint_listed(fwd->set.refused_works, ex->fingerprint))
+	if (fingerprint_listed(fwd->set.refused_fingerprints, ex->fingerprint))
 		reason = "work_refused_by_operator";
 	else if (!request_quarantined(ex, &until))
 		return (false);
--- a/src/fwd-response.c
+++ b/src/fwd-response.c
@@ -63,7 +63,7 @@
 
 	ex->fwd->wire->read_response(status, head, &response);
 	if (response.id != NULL && strcmp(response.id, ex->id) != 0) {
-		fwd_stats_count(&ex->fwd->stats, COUNT_STRAY_ANSWERS);
+		fwd_stats_count(&ex->fwd->stats, COUNT_STRAY_RESPONSES);
 		event_log(LOG_NOTICE, "stray_answer",
 		    "id=%s answers=%s "
 		    "endpoint=%s",
--- a/src/fwd.h
+++ b/src/fwd.h
@@ -24,21 +24,22 @@
  * @deny_proof_ms: an unknown route or key is denied for good only if the
  *	configuration was verified within this time; otherwise the client is
  *	told to retry
- * @rest_most_ms: upper bound on the backoff that an endpoint may request
+ * @backoff_max_ms: upper bound on the backoff that an endpoint may request
  * @retry: bound on retries over all daemons
- * @released_works: requests that are never quarantined: fingerprints as they
- *	stand in log lines, separated by commas
- * @refused_works: requests that the operator has refused, in the same form
+ * @released_fingerprints: requests that are never quarantined: fingerprints as
+ *they stand in log lines, separated by commas
+ * @refused_fingerprints: requests that the operator has refused, in the same
+ *form
  */
 struct fwd_setting {
 	const char *domain;
 	uint64_t key_proof_ms;
 	bool keys_fail_closed;
 	uint64_t deny_proof_ms;
-	uint64_t rest_most_ms;
+	uint64_t backoff_max_ms;
 	struct fwd_budget_rule retry;
-	const char *released_works;
-	const char *refused_works;
+	const char *released_fingerprints;
+	const char *refused_fingerprints;
 };
 
 /**
--- a/src/gossip.c
+++ b/src/gossip.c
@@ -74,7 +74,7 @@
 static bool
 remote_used(struct server *server)
 {
-	uint64_t used = atomic_load(&server->remote_ms);
+	uint64_t used = atomic_load(&server->remote_used_ms);
 
 	return (used != 0 && clock_now_ms() < used + REMOTE_USED_MS);
 }
@@ -94,7 +94,7 @@
 	if (ask->len == 0 || round % GOSSIP_SEED_ROUNDS == 0)
 		ask_seeds(server, ask);
 	pull_all(server, ask);
-	if (controller_holds(server))
+	if (controller_holds_lease(server))
 		pull_hosts(server, round);
 }
 
--- a/src/host.c
+++ b/src/host.c
@@ -37,7 +37,7 @@
 	host->kind = strcmp(kind, "engine") == 0 ? HOST_ENGINE : HOST_SERVICE;
 	host->accelerators = accelerators;
 	host->listed_leaving = strcmp(state, "live") != 0;
-	host->gone = false;
+	host->unlisted = false;
 	return (true);
 }
 
@@ -63,8 +63,8 @@
 		return (NULL);
 	}
 	host->name = g_strdup(name);
-	host->key = XXH64(name, strlen(name), 0);
-	host->busy_ms = now;
+	host->name_hash = XXH64(name, strlen(name), 0);
+	host->last_in_group_ms = now;
 	return (host);
 }
 
--- a/src/host.h
+++ b/src/host.h
@@ -25,10 +25,10 @@
  * @kind: model engine or plain service
  * @accelerators: how many it has
  * @listed_leaving: the host list says that it leaves
- * @gone: no longer in the host list
+ * @unlisted: no longer in the host list
  * @evidence: what it lately said
- * @busy_ms: last time it was, or may have been, in a group
- * @key: stable hash of the name
+ * @last_in_group_ms: last time it was, or may have been, in a group
+ * @name_hash: stable hash of the name
  */
 struct host {
 	char *name;
@@ -39,10 +39,10 @@
 	enum host_kind kind;
 	int accelerators;
 	bool listed_leaving;
-	bool gone;
+	bool unlisted;
 	struct evidence evidence;
-	uint64_t busy_ms;
-	uint64_t key;
+	uint64_t last_in_group_ms;
+	uint64_t name_hash;
 	TAILQ_ENTRY(host) entry;
 };
 
--- a/src/http-batch.c
+++ b/src/http-batch.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 
 #include "clock.h"
-#include "control-cost.h"
+#include "control-traffic.h"
 #include "http-batch.h"
 
 #define REPLY_MAX_BYTES 65536
@@ -141,7 +141,7 @@
 
 	curl_easy_getinfo(easy, CURLINFO_REQUEST_SIZE, &sent);
 	curl_easy_getinfo(easy, CURLINFO_HEADER_SIZE, &headers);
-	control_cost_add(COST_PROBE,
+	control_traffic_add(TRAFFIC_PROBE,
 	    (uint64_t)sent + (uint64_t)headers + t->body->len);
 }
 
--- a/src/http-client.c
+++ b/src/http-client.c
@@ -2,7 +2,7 @@
 #include <curl/curl.h>
 #include <string.h>
 
-#include "control-cost.h"
+#include "control-traffic.h"
 #include "error.h"
 #include "http-client.h"
 
@@ -74,7 +74,7 @@
 	rc = curl_easy_perform(curl);
 	curl_easy_getinfo(curl, CURLINFO_REQUEST_SIZE, &sent);
 	curl_easy_getinfo(curl, CURLINFO_HEADER_SIZE, &headers);
-	control_cost_add(COST_LOG,
+	control_traffic_add(TRAFFIC_LOG,
 	    (uint64_t)sent + (uint64_t)headers + body->len);
 	if (rc != CURLE_OK) {
 		error_set(error, ERROR_ENDPOINT_FAILED, "%s",
--- a/src/http-listen.c
+++ b/src/http-listen.c
@@ -27,7 +27,7 @@
 	struct server *server = arg;
 	const char *state = "ready";
 
-	if (atomic_load(&server->leaving))
+	if (atomic_load(&server->draining))
 		state = "leaving";
 	else if (!server_ready(server))
 		state = "starting";
--- a/src/inventory.c
+++ b/src/inventory.c
@@ -104,9 +104,9 @@
 		changed = inventory_put(inv, item, now) || changed;
 	}
 	TAILQ_FOREACH(host, &inv->hosts, entry) {
-		if (host->gone || g_hash_table_contains(listed, host->name))
+		if (host->unlisted || g_hash_table_contains(listed, host->name))
 			continue;
-		host->gone = true;
+		host->unlisted = true;
 		changed = true;
 	}
 	g_mutex_unlock(&inv->lock);
--- a/src/operator-status.c
+++ b/src/operator-status.c
@@ -3,7 +3,7 @@
 #include <sys/resource.h>
 
 #include "clock.h"
-#include "control-cost.h"
+#include "control-traffic.h"
 #include "controller.h"
 #include "group.h"
 #include "http-reply.h"
@@ -72,7 +72,7 @@
 	uint64_t now = clock_now_ms(), digest, next;
 	g_autofree char *hex = NULL;
 
-	if (!operator_allowed(server, in, res))
+	if (!operator_authorize(server, in, res))
 		return (U_CALLBACK_COMPLETE);
 	g_mutex_lock(&server->config.lock);
 	next = server->config.state->next;
@@ -86,9 +86,9 @@
 		"applied", (json_int_t)next - 1, "in_force",
 		(json_int_t)server_view_next(server) - 1, "digest", hex,
 		"ready", server_ready(server), "leaving",
-		atomic_load(&server->leaving), "log_ok",
+		atomic_load(&server->draining), "log_ok",
 		config_log_ok(&server->config, 5000), "controller",
-		controller_holds(server), "active",
+		controller_holds_lease(server), "active",
 		(json_int_t)atomic_load(&server->active), "members",
 		status_members(server, now), "targets",
 		status_targets(server, now)));
@@ -124,10 +124,10 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	if (!operator_allowed(server, in, res))
+	if (!operator_authorize(server, in, res))
 		return (U_CALLBACK_COMPLETE);
 	print_process(server, out);
-	control_cost_print(out);
+	control_traffic_print(out);
 	g_mutex_lock(&server->config.lock);
 	usage_print(server->usage, out);
 	g_mutex_unlock(&server->config.lock);
--- a/src/operator-watch.c
+++ b/src/operator-watch.c
@@ -59,7 +59,7 @@
 	for (guint i = 0; i < newer->len; i++) {
 		const struct resource *res = newer->pdata[i];
 
-		watch_event(w, resource_live(res) ? "put" : "delete",
+		watch_event(w, resource_exists(res) ? "put" : "delete",
 		    resource_dump(res));
 	}
 }
@@ -147,7 +147,7 @@
 	guint64 from = 0;
 	struct watch *w;
 
-	if (!operator_allowed(arg, in, res))
+	if (!operator_authorize(arg, in, res))
 		return (U_CALLBACK_COMPLETE);
 	if (text != NULL &&
 	    !g_ascii_string_to_unsigned(text, 10, 0, G_MAXINT64, &from, NULL)) {
--- a/src/operator.c
+++ b/src/operator.c
@@ -25,13 +25,13 @@
 }
 
 /**
- * operator_allowed() - check the operator's token.
+ * operator_authorize() - check the operator's token.
  * @server: this daemon
  * @in: the request
  * @res: answered when the token is wrong
  */
 bool
-operator_allowed(struct server *server, const struct _u_request *in,
+operator_authorize(struct server *server, const struct _u_request *in,
     struct _u_response *res)
 {
 	const char *auth = u_map_get_case(in->map_header, "Authorization");
@@ -68,7 +68,7 @@
 		struct resource *res =
 		    g_hash_table_lookup(state->resources, keys->pdata[i]);
 
-		if (resource_live(res) && strcmp(res->type, type) == 0)
+		if (resource_exists(res) && strcmp(res->type, type) == 0)
 			json_array_append_new(items, resource_dump(res));
 	}
 	return (items);
@@ -89,7 +89,7 @@
 	json_t *items;
 	uint64_t next;
 
-	if (!operator_allowed(server, in, res))
+	if (!operator_authorize(server, in, res))
 		return (U_CALLBACK_COMPLETE);
 	g_mutex_lock(&server->config.lock);
 	state = server->config.state;
@@ -117,12 +117,12 @@
 	struct resource *resource;
 	json_t *json = NULL;
 
-	if (!operator_allowed(server, in, res))
+	if (!operator_authorize(server, in, res))
 		return (U_CALLBACK_COMPLETE);
 	g_mutex_lock(&server->config.lock);
 	resource = state_resource(server->config.state,
 	    u_map_get(in->map_url, "type"), u_map_get(in->map_url, "name"));
-	if (resource_live(resource))
+	if (resource_exists(resource))
 		json = resource_dump(resource);
 	g_mutex_unlock(&server->config.lock);
 	if (json != NULL) {
@@ -175,7 +175,7 @@
 	json_int_t base = -1;
 	json_t *spec = NULL;
 
-	if (!operator_allowed(arg, in, res))
+	if (!operator_authorize(arg, in, res))
 		return (U_CALLBACK_COMPLETE);
 	body = json_loadb(in->binary_body, in->binary_body_length,
 	    JSON_REJECT_DUPLICATES, NULL);
@@ -208,7 +208,7 @@
 	g_autoptr(GError) error = NULL;
 	gint64 base = -1;
 
-	if (!operator_allowed(arg, in, res))
+	if (!operator_authorize(arg, in, res))
 		return (U_CALLBACK_COMPLETE);
 	if (text != NULL &&
 	    !g_ascii_string_to_signed(text, 10, 0, G_MAXINT64, &base, NULL)) {
--- a/src/operator.h
+++ b/src/operator.h
@@ -7,7 +7,7 @@
 
 #include "server.h"
 
-bool operator_allowed(struct server *, const struct _u_request *,
+bool operator_authorize(struct server *, const struct _u_request *,
     struct _u_response *);
 int operator_list(const struct _u_request *, struct _u_response *, void *);
 int operator_get(const struct _u_request *, struct _u_response *, void *);
--- a/src/peer-client.c
+++ b/src/peer-client.c
@@ -7,7 +7,7 @@
 
 #include "clock.h"
 #include "config.h"
-#include "control-cost.h"
+#include "control-traffic.h"
 #include "peer-client.h"
 #include "peer-gossip.h"
 #include "server.h"
@@ -77,7 +77,7 @@
 	stat = clnt_call(client, proc, xargs, args, xres, res,
 	    timeval_of(timeout_ms));
 	clnt_destroy(client);
-	control_cost_add(COST_PEER,
+	control_traffic_add(TRAFFIC_PEER,
 	    RPC_HEADER_BYTES + xdr_sizeof(xargs, args) +
 		(res != NULL && stat == RPC_SUCCESS ? xdr_sizeof(xres, res) :
 						      0));
--- a/src/peer-gossip.c
+++ b/src/peer-gossip.c
@@ -23,7 +23,7 @@
 	out->boot = self->incarnation;
 	out->applied = config_next(&server->config);
 	out->age_ms = 0;
-	out->leaving = atomic_load(&server->leaving);
+	out->leaving = atomic_load(&server->draining);
 }
 
 static unsigned
@@ -154,7 +154,7 @@
 		held.state = ev->state;
 		held.shard = ev->shard;
 		held.shards = ev->shards;
-		out->key = (uint32_t)host->key;
+		out->key = (uint32_t)host->name_hash;
 		out->news = peer_pack(&pack);
 		out->epoch = ev->epoch;
 		out->held = peer_pack_host_state(&held);
@@ -296,7 +296,7 @@
 	ev->shards = held.shards;
 	ev->load = pack.load;
 	if (ev->epoch != 0)
-		host->busy_ms = clock_now_ms();
+		host->last_in_group_ms = clock_now_ms();
 }
 
 /**
@@ -316,7 +316,7 @@
 		for (unsigned i = 0; i < reply->hosts.hosts_len; i++) {
 			const peer_host *in = &reply->hosts.hosts_val[i];
 
-			if ((uint32_t)host->key == in->key)
+			if ((uint32_t)host->name_hash == in->key)
 				take_host(host, in, asked_ms);
 		}
 	}
--- a/src/peer-server.c
+++ b/src/peer-server.c
@@ -10,7 +10,7 @@
 #include <unistd.h>
 
 #include "claims.h"
-#include "control-cost.h"
+#include "control-traffic.h"
 #include "error.h"
 #include "peer-gossip.h"
 #include "peer-server.h"
@@ -141,7 +141,7 @@
 int
 banklift_peer_1_freeresult(SVCXPRT *xprt, xdrproc_t xdr, caddr_t result)
 {
-	control_cost_add(COST_PEER, xdr_sizeof(xdr, result));
+	control_traffic_add(TRAFFIC_PEER, xdr_sizeof(xdr, result));
 	xdr_free(xdr, result);
 	return (1);
 }
--- a/src/place-live.c
+++ b/src/place-live.c
@@ -66,9 +66,9 @@
 		out->alive = false;
 		out->lost_ms = GONE_MS;
 	}
-	out->reusable = out->alive && group == NULL && !host->gone &&
+	out->reusable = out->alive && group == NULL && !host->unlisted &&
 	    evidence_fresh(ev, t->now, t->evidence_ms) && evidence_idle(ev) &&
-	    t->now >= host->busy_ms + t->evidence_ms;
+	    t->now >= host->last_in_group_ms + t->evidence_ms;
 	out->shard = ev->model == model && ev->shards == size ? ev->shard :
 								PLACE_NO_SHARD;
 }
@@ -91,7 +91,7 @@
 		    strcmp(host->domain, domain) != 0)
 			continue;
 		if (group != NULL)
-			host->busy_ms = t->now;
+			host->last_in_group_ms = t->now;
 		out.group = group_index(live, group);
 		if (strcmp(host->pool, pool) != 0 &&
 		    out.group == PLACE_NO_GROUP)
--- a/src/plan.c
+++ b/src/plan.c
@@ -123,7 +123,7 @@
 		deployment =
 		    state_resource(state, "deployment", group->deployment);
 		if (strcmp(group->domain, plan->in->domain) == 0 &&
-		    !resource_live(deployment))
+		    !resource_exists(deployment))
 			plan_dissolve(plan, group);
 	}
 }
@@ -157,7 +157,8 @@
 	keys = state_sorted_keys(in->state->resources);
 	for (guint i = 0; i < keys->len; i++) {
 		res = g_hash_table_lookup(in->state->resources, keys->pdata[i]);
-		if (resource_live(res) && strcmp(res->type, "deployment") == 0)
+		if (resource_exists(res) &&
+		    strcmp(res->type, "deployment") == 0)
 			plan_deployment(&plan, res);
 	}
 	plan_dissolve_orphans(&plan);
--- a/src/prober.c
+++ b/src/prober.c
@@ -44,15 +44,15 @@
 	struct group *group;
 
 	group = state_host_group(server->config.state, host->name);
-	return (group != NULL ? group->epoch : host->key);
+	return (group != NULL ? group->epoch : host->name_hash);
 }
 
 /* A host that is not listed is probed on as long as it answers. */
 static bool
 host_forgotten(const struct host *host, uint64_t now)
 {
-	return (host->gone && now > host->evidence.seen_ms + FORGET_MS &&
-	    now > host->busy_ms + FORGET_MS);
+	return (host->unlisted && now > host->evidence.seen_ms + FORGET_MS &&
+	    now > host->last_in_group_ms + FORGET_MS);
 }
 
 static void
@@ -104,7 +104,7 @@
 		return (false);
 	evidence_parse(ev, task->json, task->sent_ms);
 	if (ev->epoch != 0)
-		host->busy_ms = clock_now_ms();
+		host->last_in_group_ms = clock_now_ms();
 	return (leaving != host_leaving(host));
 }
 
--- a/src/publish.c
+++ b/src/publish.c
@@ -66,7 +66,7 @@
 	const struct evidence *ev = &host->evidence;
 	struct target *target;
 
-	target = g_hash_table_lookup(tables->targets, &host->key);
+	target = g_hash_table_lookup(tables->targets, &host->name_hash);
 	if (target == NULL || ev->seen_ms == 0)
 		return;
 	target_update_evidence(target, ev->seen_ms, ev->state == HOST_READY,
--- a/src/registry-catalog.h
+++ b/src/registry-catalog.h
@@ -43,14 +43,14 @@
  * @step_ms: time of a step
  * @per_seq_ms: more for each request that writes
  * @context_per_k_ms: more for each 1,000 tokens of context
- * @read_per_ms: prompt tokens read in a millisecond
+ * @prefill_per_ms: prompt tokens read in a millisecond
  * @pairs_per_m_ms: time for a million pairs of tokens while reading
  * @chunk: most prompt tokens of a pass; first events did not show it
  * @stride: steps of a pass that has writers
  * @loads_per_s: most loads that may start in a second
  * @loads_at_once: loads beyond which each slows down
  * @usual_prompt: mean prompt in tokens
- * @usual_answer: mean answer in tokens
+ * @usual_response: mean answer in tokens
  * @staged_limit: models that a host keeps a copy of
  * @form_ms: from the order to open until a group serves
  * @models: of struct model_profile
@@ -61,14 +61,14 @@
 	double step_ms;
 	double per_seq_ms;
 	double context_per_k_ms;
-	double read_per_ms;
+	double prefill_per_ms;
 	double pairs_per_m_ms;
 	double chunk;
 	double stride;
 	double loads_per_s;
 	unsigned loads_at_once;
 	double usual_prompt;
-	double usual_answer;
+	double usual_response;
 	unsigned staged_limit;
 	double form_ms;
 	GPtrArray *models;
--- a/src/registry-follower.c
+++ b/src/registry-follower.c
@@ -153,8 +153,7 @@
 	f->synced = true;
 	/* Others that are fed have not read this snapshot. */
 	if (known && f->ops->advanced != NULL)
-		f->ops->advanced(f->owner, MIN(f->asked_from, f->next),
-		    f->next);
+		f->ops->advanced(f->owner, MIN(f->read_from, f->next), f->next);
 }
 
 static void
@@ -212,7 +211,7 @@
 	/* Peers' news may have come meanwhile, so what was read begins before
 	 * what is known now. */
 	if (f->ops->advanced != NULL)
-		f->ops->advanced(f->owner, f->asked_from, f->next);
+		f->ops->advanced(f->owner, f->read_from, f->next);
 	follow_rest(f);
 }
 
@@ -234,14 +233,14 @@
 	if (f->stopped || f->busy || f->held)
 		return;
 	uv_timer_stop(&f->timer);
-	f->asked_ms = clock_loop_ms(f->loop);
+	f->called_ms = clock_loop_ms(f->loop);
 	f->relays = f->reader || follow_untold(f);
 	if (f->snapshot_due && f->snapshot_keys == NULL)
 		follow_restart(f);
 	f->snapshot_due = false;
 	/* Pages of a snapshot begin where its first did. */
 	if (f->snapshot_keys == NULL || f->after == NULL)
-		f->asked_from = f->next;
+		f->read_from = f->next;
 	if (f->snapshot_keys != NULL)
 		begun = f->store->ops->newest(f->store, f->topic, f->after,
 		    on_newest, f);
@@ -360,7 +359,7 @@
 void
 topic_follower_poll(struct topic_follower *f)
 {
-	uint64_t due = f->asked_ms + HURRY_LEAST_MS,
+	uint64_t due = f->called_ms + HURRY_LEAST_MS,
 		 now = clock_loop_ms(f->loop);
 	bool sooner = !uv_is_active((uv_handle_t *)&f->timer) ||
 	    uv_timer_get_due_in(&f->timer) > due - MIN(now, due);
@@ -468,7 +467,7 @@
 bool
 topic_follower_overtaken(const struct topic_follower *f)
 {
-	return (f->snapshot_keys == NULL && f->next > f->asked_from);
+	return (f->snapshot_keys == NULL && f->next > f->read_from);
 }
 
 /**
--- a/src/registry-follower.h
+++ b/src/registry-follower.h
@@ -35,8 +35,8 @@
  *	reader, or heard of none in time
  * @partial: peers' news leave out what only a reader needs
  * @snapshot_due: what is known lacks what others left out; a snapshot is due
- * @asked_ms: when the store was last asked
- * @asked_from: offset that the newest read began at; of a snapshot, up to which
+ * @called_ms: when the store was last asked
+ * @read_from: offset that the newest read began at; of a snapshot, up to which
  *	the topic was known before it
  * @peer_update_ms: loop time as of which peers' news were complete
  * @timer: the pause
@@ -64,8 +64,8 @@
 	bool relays;
 	bool partial;
 	bool snapshot_due;
-	uint64_t asked_ms;
-	uint64_t asked_from;
+	uint64_t called_ms;
+	uint64_t read_from;
 	uint64_t peer_update_ms;
 	uv_timer_t timer;
 	uint64_t next;
--- a/src/registry.c
+++ b/src/registry.c
@@ -98,7 +98,7 @@
 
 	return (f->failures > 0 ||
 	    (f->regained_ms != 0 &&
-		now - f->regained_ms < REGISTRY_BACKLOG_MS));
+		now - f->regained_ms < REGISTRY_CATCH_UP_MS));
 }
 
 /*
--- a/src/registry.h
+++ b/src/registry.h
@@ -11,7 +11,7 @@
 #define REGISTRY_RECOVERY_MS 2300
 /* What is read this soon after the store's return piled up while it was away;
  * a later lapse is one of the present. */
-#define REGISTRY_BACKLOG_MS 250
+#define REGISTRY_CATCH_UP_MS 250
 /* Peers' news count as an answer of the store for this long. */
 #define REGISTRY_PEER_UPDATE_MS 1500
 /* How far an endpoint's clock may be ahead of this daemon's: no clock that is
--- a/src/request.c
+++ b/src/request.c
@@ -170,7 +170,7 @@
 	rcu_read_unlock();
 	if (target == NULL ||
 	    strcmp(target->domain, req->server->set.domain) != 0)
-		atomic_store(&req->server->remote_ms, clock_now_ms());
+		atomic_store(&req->server->remote_used_ms, clock_now_ms());
 	return (target);
 }
 
--- a/src/resource-check.c
+++ b/src/resource-check.c
@@ -333,7 +333,7 @@
 		name = json_string_value(json_object_get(spec, f->name));
 		if (f->references == NULL || name == NULL)
 			continue;
-		if (resource_live(state_resource(state, f->references, name)))
+		if (resource_exists(state_resource(state, f->references, name)))
 			continue;
 		error_set(error, ERROR_BAD_FIELD, "%s: no %s named '%s'",
 		    f->name, f->references, name);
@@ -375,7 +375,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct resource *res = value;
 
-		if (!resource_live(res) || !resource_refers(res, type, name))
+		if (!resource_exists(res) || !resource_refers(res, type, name))
 			continue;
 		error_set(error, ERROR_CONFLICT, "%s refers to it", res->key);
 		return (false);
--- a/src/resource.c
+++ b/src/resource.c
@@ -40,11 +40,11 @@
 }
 
 /**
- * resource_live() - whether it is declared now, rather than deleted.
+ * resource_exists() - whether it is declared now, rather than deleted.
  * @res: the resource, or NULL
  */
 bool
-resource_live(const struct resource *res)
+resource_exists(const struct resource *res)
 {
 	return (res != NULL && res->spec != NULL);
 }
@@ -82,7 +82,7 @@
 {
 	json_t *value;
 
-	if (!resource_live(res))
+	if (!resource_exists(res))
 		return (fallback);
 	value = json_object_get(res->spec, field);
 	return (json_is_integer(value) ? json_integer_value(value) : fallback);
@@ -99,7 +99,7 @@
 {
 	json_t *value;
 
-	if (!resource_live(res))
+	if (!resource_exists(res))
 		return (fallback);
 	value = json_object_get(res->spec, field);
 	return (json_is_number(value) ? json_number_value(value) : fallback);
@@ -117,7 +117,7 @@
 {
 	json_t *value;
 
-	if (!resource_live(res))
+	if (!resource_exists(res))
 		return (fallback);
 	value = json_object_get(res->spec, field);
 	return (json_is_string(value) ? json_string_value(value) : fallback);
--- a/src/resource.h
+++ b/src/resource.h
@@ -25,7 +25,7 @@
 struct resource *resource_create(const char *, const char *, uint64_t,
     json_t *);
 void resource_free(struct resource *);
-bool resource_live(const struct resource *);
+bool resource_exists(const struct resource *);
 char *resource_key(const char *, const char *);
 json_t *resource_dump(const struct resource *);
 int64_t resource_int(const struct resource *, const char *, int64_t);
--- a/src/route-set.c
+++ b/src/route-set.c
@@ -12,7 +12,7 @@
 	unsigned upto = 0;
 	json_t *share;
 
-	if (resource_live(routing)) {
+	if (resource_exists(routing)) {
 		json_object_foreach(json_object_get(routing->spec, "split"),
 		    policy, share) {
 			upto += (unsigned)json_integer_value(share);
--- a/src/series.c
+++ b/src/series.c
@@ -46,7 +46,7 @@
 	print_counter(out, "requests_refused", label, value, s->refused);
 	print_counter(out, "endpoint_calls", label, value, s->calls);
 	print_counter(out, "tokens", label, value, s->tokens);
-	print_histogram(out, "first_byte_us", label, value, &s->first_us);
+	print_histogram(out, "first_byte_us", label, value, &s->first_byte_us);
 	print_histogram(out, "gap_us", label, value, &s->gap_us);
 	print_histogram(out, "total_us", label, value, &s->total_us);
 }
--- a/src/series.h
+++ b/src/series.h
@@ -15,7 +15,7 @@
  * @refused: those of @not_run that a limit refused
  * @calls: calls to endpoints
  * @tokens: chunks given to callers
- * @first_us: microseconds to the first byte of the answer
+ * @first_byte_us: microseconds to the first byte of the answer
  * @gap_us: microseconds between chunks
  * @total_us: microseconds to the end of the answer
  */
@@ -26,7 +26,7 @@
 	_Atomic uint64_t refused;
 	_Atomic uint64_t calls;
 	_Atomic uint64_t tokens;
-	struct histogram first_us;
+	struct histogram first_byte_us;
 	struct histogram gap_us;
 	struct histogram total_us;
 };
--- a/src/server.c
+++ b/src/server.c
@@ -41,12 +41,12 @@
 
 	server = g_new0(struct server, 1);
 	server->set = *set;
-	server->boot = random_id();
-	server->holder = g_strconcat(set->name, "#", server->boot, NULL);
+	server->incarnation = random_id();
+	server->holder = g_strconcat(set->name, "#", server->incarnation, NULL);
 	server->log = log_http_open(set->log_url);
 	config_init(&server->config, server->log, &server_config_ops, server);
 	inventory_init(&server->inv);
-	members_init(&server->members, set, server->boot);
+	members_init(&server->members, set, server->incarnation);
 	view_tables_init(&server->tables);
 	server->usage = usage_create();
 	g_mutex_init(&server->view_lock);
@@ -72,7 +72,7 @@
 	server->log->ops->close(server->log);
 	g_mutex_clear(&server->view_lock);
 	g_free(server->holder);
-	g_free(server->boot);
+	g_free(server->incarnation);
 	g_free(server);
 }
 
@@ -100,8 +100,8 @@
 		view_free(old);
 	/* Once the lock is free, another thread may free this view. */
 	next = view->next;
-	if (next > 1 && atomic_load(&server->known_ms) == 0)
-		atomic_store(&server->known_ms, clock_now_ms());
+	if (next > 1 && atomic_load(&server->config_known_ms) == 0)
+		atomic_store(&server->config_known_ms, clock_now_ms());
 	g_mutex_unlock(&server->view_lock);
 	log_debug("view_published", "next=%" G_GUINT64_FORMAT, next);
 }
@@ -155,11 +155,11 @@
 server_ready(struct server *server)
 {
 	uint64_t now = clock_now_ms();
-	uint64_t known = atomic_load(&server->known_ms);
+	uint64_t known = atomic_load(&server->config_known_ms);
 	struct view *view;
 	bool serves;
 
-	if (atomic_load(&server->leaving) || known == 0)
+	if (atomic_load(&server->draining) || known == 0)
 		return (false);
 	if (now >= known + READY_WAIT_MS)
 		return (true);
--- a/src/server.h
+++ b/src/server.h
@@ -17,8 +17,8 @@
 /**
  * struct server - one daemon.
  * @set: its settings
- * @boot: identifier of this run, never used again
- * @holder: name and @boot, as leases name the holder
+ * @incarnation: identifier of this run, never used again
+ * @holder: name and @incarnation, as leases name the holder
  * @log: the platform's log
  * @config: the followed configuration
  * @inv: the hosts
@@ -30,16 +30,16 @@
  * @view_lock: held while a view is built
  * @view: the published view; read under RCU
  * @want_remote: a request found no target; ask the other failure domains
- * @remote_ms: when a request last needed another failure domain, or 0
- * @known_ms: when a configuration was first known, 0 before
- * @leaving: new connections are still accepted, but the health page says no
+ * @remote_used_ms: when a request last needed another failure domain, or 0
+ * @config_known_ms: when a configuration was first known, 0 before
+ * @draining: new connections are still accepted, but the health page says no
  * @refusing: new requests are refused
  * @stopping: threads end
  * @active: requests in progress
  */
 struct server {
 	struct settings set;
-	char *boot;
+	char *incarnation;
 	char *holder;
 	struct log_client *log;
 	struct config config;
@@ -51,9 +51,9 @@
 	GMutex view_lock;
 	struct view *view;
 	atomic_bool want_remote;
-	_Atomic uint64_t remote_ms;
-	_Atomic uint64_t known_ms;
-	atomic_bool leaving;
+	_Atomic uint64_t remote_used_ms;
+	_Atomic uint64_t config_known_ms;
+	atomic_bool draining;
 	atomic_bool refusing;
 	atomic_bool stopping;
 	atomic_uint active;
--- a/src/setting-table.c
+++ b/src/setting-table.c
@@ -243,7 +243,7 @@
 	/* A template leaves a setting empty where there is nothing to say. */
 	if (value != NULL && value[0] == '\0')
 		g_clear_pointer(&value, g_free);
-	return (value != NULL ? value : g_strdup(s->fallback));
+	return (value != NULL ? value : g_strdup(s->default_value));
 }
 
 /* Opens the settings file that a setting names; NULL where none is named. */
--- a/src/setting-table.h
+++ b/src/setting-table.h
@@ -39,7 +39,7 @@
  * @name: of the flag; the environment variable follows from it
  * @kind: how the value is checked and kept
  * @offset: of the field in the program's struct
- * @fallback: value where none is given; NULL when required
+ * @default_value: value where none is given; NULL when required
  * @min: least value of any number
  * @max: largest value of any number
  * @unit: shown in help
@@ -49,7 +49,7 @@
 	const char *name;
 	enum setting_kind kind;
 	size_t offset;
-	const char *fallback;
+	const char *default_value;
 	int64_t min;
 	int64_t max;
 	const char *unit;
--- a/src/state.c
+++ b/src/state.c
@@ -214,7 +214,7 @@
 	if (verdict != VERDICT_APPLIED)
 		return (verdict);
 	if (strcmp(op, "delete") == 0) {
-		if (!resource_live(old))
+		if (!resource_exists(old))
 			return (verdict_invalid(error, "delete: not found"));
 		if (!resource_check_unreferenced(state, type, name, error))
 			return (VERDICT_INVALID);
--- a/src/status-server.c
+++ b/src/status-server.c
@@ -41,7 +41,7 @@
 	unsigned status = HTTP_STATUS_METHOD_NOT_ALLOWED;
 
 	if (parser->method == HTTP_GET || parser->method == HTTP_HEAD)
-		status = c->server->fn(c->server->arg,
+		status = c->server->handler(c->server->arg,
 		    net_head_target(&c->head), body);
 	g_string_printf(out,
 	    "HTTP/1.1 %u %s\r\nContent-Type: text/plain\r\n"
@@ -129,11 +129,11 @@
  */
 int
 status_server_open(struct status_server *server, uv_loop_t *loop,
-    const struct sockaddr_in *addr, status_fn *fn, void *arg)
+    const struct sockaddr_in *addr, status_handler *fn, void *arg)
 {
 	int rc;
 
-	server->fn = fn;
+	server->handler = fn;
 	server->arg = arg;
 	uv_tcp_init(loop, &server->listener);
 	server->listener.data = server;
--- a/src/status-server.h
+++ b/src/status-server.h
@@ -6,21 +6,21 @@
 #include <uv.h>
 
 /* Fills in the body for a path; returns the status. */
-typedef unsigned status_fn(void *, const char *, GString *);
+typedef unsigned status_handler(void *, const char *, GString *);
 
 /**
  * struct status_server - one listener.
  * @listener: where it listens
- * @fn: answers
- * @arg: for @fn
+ * @handler: answers
+ * @arg: for @handler
  */
 struct status_server {
 	uv_tcp_t listener;
-	status_fn *fn;
+	status_handler *handler;
 	void *arg;
 };
 
 int status_server_open(struct status_server *, uv_loop_t *,
-    const struct sockaddr_in *, status_fn *, void *);
+    const struct sockaddr_in *, status_handler *, void *);
 
 #endif
--- a/src/usage.c
+++ b/src/usage.c
@@ -126,7 +126,8 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct resource *res = value;
 
-		if (resource_live(res) && strcmp(res->type, "deployment") == 0)
+		if (resource_exists(res) &&
+		    strcmp(res->type, "deployment") == 0)
 			count_deployment(table, in, res);
 	}
 }
--- a/src/view.c
+++ b/src/view.c
@@ -113,7 +113,7 @@
 		if (host->kind != HOST_SERVICE || host_leaving(host) ||
 		    strcmp(host->pool, pool) != 0)
 			continue;
-		target = build_target(b, host->name, host, host->key, 0);
+		target = build_target(b, host->name, host, host->name_hash, 0);
 		g_ptr_array_add(set->targets, target_ref(target));
 	}
 }
@@ -199,7 +199,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct resource *res = value;
 
-		if (!resource_live(res))
+		if (!resource_exists(res))
 			continue;
 		if (strcmp(res->type, "deployment") == 0)
 			build_set(b, res, false);
--- a/tests/test-adapter.c
+++ b/tests/test-adapter.c
@@ -76,7 +76,7 @@
 	g_string_append_printf(out,
 	    "slots %u step %.2f read %.1f/ms chunk %.0f loads %.0f/s at once "
 	    "%u staged %u\n",
-	    e->slots, e->step_ms, e->read_per_ms, e->chunk, e->loads_per_s,
+	    e->slots, e->step_ms, e->prefill_per_ms, e->chunk, e->loads_per_s,
 	    e->loads_at_once, e->staged_limit);
 	for (guint i = 0; i < e->models->len; i++) {
 		const struct model_profile *m = e->models->pdata[i];
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -26,7 +26,7 @@
 	engine->slots = 8;
 	engine->step_ms = 6;
 	engine->per_seq_ms = 0.25;
-	engine->read_per_ms = 46;
+	engine->prefill_per_ms = 46;
 	engine->stride = 5;
 	model = g_new0(struct model_profile, 1);
 	model->name = g_strdup("m");
--- a/tests/test-follow.c
+++ b/tests/test-follow.c
@@ -134,7 +134,7 @@
 exec_reader(const char *rest, GString *out)
 {
 	/* The least pause between two reads is over. */
-	follow.asked_ms = 0;
+	follow.called_ms = 0;
 	topic_follower_set_reader(&follow, script_number(rest, "on", 1) != 0);
 	say(out);
 }
@@ -143,7 +143,7 @@
 static void
 exec_read(const char *rest, GString *out)
 {
-	follow.asked_ms = 0;
+	follow.called_ms = 0;
 	topic_follower_poll(&follow);
 	say(out);
 }
--- a/tests/test-schedules.c
+++ b/tests/test-schedules.c
@@ -299,7 +299,7 @@
 		    "epoch", (json_int_t)h->epoch);
 		evidence_parse(&host->evidence, answer, now);
 		if (h->epoch != 0)
-			host->busy_ms = now;
+			host->last_in_group_ms = now;
 	}
 	publish_evidence(d->state, &d->inv, &d->tables, EVIDENCE_MS);
 }
--- a/tests/test-state.c
+++ b/tests/test-state.c
@@ -39,7 +39,7 @@
 	struct resource *res = state_resource(state, words[0], words[1]);
 	g_autofree char *spec = NULL;
 
-	if (!resource_live(res)) {
+	if (!resource_exists(res)) {
 		g_string_append(out, "none\n");
 		return;
 	}
