--- a/src/bankliftd.c
+++ b/src/bankliftd.c
@@ -84,7 +84,7 @@
 	    atomic_load(&server->active));
 	atomic_store(&server->draining, true);
 	g_mutex_lock(&server->members.lock);
-	server->members.self.leaving = true;
+	server->members.self.draining = true;
 	g_mutex_unlock(&server->members.lock);
 	server_sleep(server, (uint64_t)server->set.drain_accept_ms);
 	atomic_store(&server->refusing, true);
--- a/src/bench-fleet.c
+++ b/src/bench-fleet.c
@@ -27,7 +27,7 @@
 	fleet_model_run(model, COUNT_MS);
 	fleet_model_measure(model, &s);
 	printf("%7u %7u %9u %6u %6u-%u %6.1f %8.1f %9.1f %9.0f %9.0f %6u\n",
-	    daemons, domains, endpoints, s.relays, s.alive_least, s.alive_most,
+	    daemons, domains, endpoints, s.relays, s.alive_min, s.alive_max,
 	    s.sent_s, s.sent_max_s, s.received_s, s.received_bytes_s,
 	    s.sent_bytes_max_s, s.relay_changes);
 	fleet_model_free(model);
--- a/src/controller.c
+++ b/src/controller.c
@@ -59,7 +59,7 @@
 	if (config_append(&c->server->config, record, &offset, NULL) !=
 	    VERDICT_APPLIED)
 		offset = 0;
-	lease_elector_sent(&c->elector, sent_ms, offset);
+	lease_elector_note_sent(&c->elector, sent_ms, offset);
 	log_debug("lease_written", "kind=%s offset=%" G_GUINT64_FORMAT, kind,
 	    offset);
 }
@@ -124,10 +124,10 @@
 	struct plan_input in = {
 		.inv = &server->inv,
 		.domain = server->set.domain,
-		.times.now = clock_now_ms(),
-		.times.evidence_ms = (uint64_t)server->set.evidence_ms,
-		.times.dead_ms = (uint64_t)server->set.dead_ms,
-		.times.load_ms = LOAD_MS_GUESS,
+		.limits.now = clock_now_ms(),
+		.limits.evidence_ms = (uint64_t)server->set.evidence_ms,
+		.limits.dead_ms = (uint64_t)server->set.dead_ms,
+		.limits.load_ms = LOAD_MS_GUESS,
 	};
 	struct order_limits lim;
 	GPtrArray *records;
@@ -136,7 +136,7 @@
 	g_mutex_lock(&server->inv.lock);
 	in.state = server->config.state;
 	order_limits_now(server, &lim);
-	in.times.loads_free = orders_loads_free(&server->inv, &lim);
+	in.limits.loads_free = orders_loads_free(&server->inv, &lim);
 	records = plan_changes(&in);
 	g_mutex_unlock(&server->inv.lock);
 	g_mutex_unlock(&server->config.lock);
--- a/src/edge-announce.c
+++ b/src/edge-announce.c
@@ -40,7 +40,7 @@
 {
 	struct edge *e = owner;
 
-	mesh_begin(&e->mesh);
+	mesh_on_records_read(&e->mesh);
 }
 
 static const struct topic_follower_ops daemons_ops = {
--- a/src/edge.c
+++ b/src/edge.c
@@ -183,7 +183,7 @@
 	e->draining_since_ms = clock_loop_ms(e->loop);
 	event_log(LOG_NOTICE, "leaving", "exchanges=%u", e->fwd.n_exchanges);
 	placer_stop(&e->placer);
-	e->mesh.self.leaving = true;
+	e->mesh.self.draining = true;
 	mesh_send_now(&e->mesh);
 	fwd_drain(&e->fwd);
 	uv_timer_start(&e->drain_timer, on_leave, LEAVE_LOOK_MS, LEAVE_LOOK_MS);
@@ -326,7 +326,7 @@
 		e->fwd.set.retry.window_ms, clock_loop_ms(e->loop));
 	edge_choose_reader(e);
 	edge_choose_patience(e);
-	e->mesh.self.serving = e->fwd.stats.counts[COUNT_REQUESTS] > 0;
+	e->mesh.self.served = e->fwd.stats.counts[COUNT_REQUESTS] > 0;
 	registry_sweep(&e->registry, clock_loop_ms(e->loop));
 	fwd_poison_sweep(&e->fwd);
 	edge_quarantine_update(e);
--- a/src/evidence.c
+++ b/src/evidence.c
@@ -19,13 +19,13 @@
 }
 
 /**
- * evidence_model() - hash a model's name.
+ * evidence_model_hash() - hash a model's name.
  * @name: the name
  *
  * Return: the hash; 0 for the empty name.
  */
 uint32_t
-evidence_model(const char *name)
+evidence_model_hash(const char *name)
 {
 	return (name[0] != '\0' ? XXH32(name, strlen(name), 0) : 0);
 }
@@ -49,10 +49,10 @@
 		"epoch", &epoch, "model", &model, "shard", &shard, "shards",
 		&shards, "load", &load) != 0)
 		return (false);
-	ev->seen_ms = asked_ms;
+	ev->as_of_ms = asked_ms;
 	ev->state = state_parse(state);
 	ev->epoch = (uint64_t)epoch;
-	ev->model = evidence_model(model);
+	ev->model_hash = evidence_model_hash(model);
 	ev->shard = shard;
 	ev->shards = shards;
 	ev->load = (uint32_t)load;
@@ -68,7 +68,7 @@
 bool
 evidence_fresh(const struct evidence *ev, uint64_t now, uint64_t limit_ms)
 {
-	return (ev->seen_ms != 0 && now < ev->seen_ms + limit_ms);
+	return (ev->as_of_ms != 0 && now < ev->as_of_ms + limit_ms);
 }
 
 /**
--- a/src/fleet-model.c
+++ b/src/fleet-model.c
@@ -488,8 +488,8 @@
 
 	stats->up++;
 	stats->relays += mesh->relay == NULL;
-	stats->alive_least = MIN(stats->alive_least, n_alive);
-	stats->alive_most = MAX(stats->alive_most, n_alive);
+	stats->alive_min = MIN(stats->alive_min, n_alive);
+	stats->alive_max = MAX(stats->alive_max, n_alive);
 	stats->readers += mesh_is_reader(mesh);
 	stats->first_ranked += mesh_rank(mesh) == 0;
 	stats->placer_known += mesh_placer_heard(mesh) || mesh->self.placer;
@@ -511,7 +511,7 @@
 	GArray *actual = model_actual(model);
 
 	memset(stats, 0, sizeof *stats);
-	stats->alive_least = UINT32_MAX;
+	stats->alive_min = UINT32_MAX;
 	for (unsigned i = 0; i < model->n; i++) {
 		if (!model->daemons[i].up)
 			continue;
--- a/src/fleet-model.h
+++ b/src/fleet-model.h
@@ -78,8 +78,8 @@
  * struct model_stats - the daemons' views compared with the actual state.
  * @up: running daemons
  * @relays: running daemons that are relays
- * @alive_least: fewest live daemons that any daemon counts, itself included
- * @alive_most: most live daemons that any daemon counts
+ * @alive_min: fewest live daemons that any daemon counts, itself included
+ * @alive_max: most live daemons that any daemon counts
  * @readers: daemons that would read the store for the others
  * @first_ranked: daemons that would be the first to become placer
  * @placer_known: daemons that know of a working placer
@@ -102,8 +102,8 @@
 struct model_stats {
 	unsigned up;
 	unsigned relays;
-	unsigned alive_least;
-	unsigned alive_most;
+	unsigned alive_min;
+	unsigned alive_max;
 	unsigned readers;
 	unsigned first_ranked;
 	unsigned placer_known;
--- a/src/lease-elector.c
+++ b/src/lease-elector.c
@@ -73,14 +73,15 @@
 }
 
 /**
- * lease_elector_sent() - note that a lease record was sent.
+ * lease_elector_note_sent() - note that a lease record was sent.
  * @e: the elector
  * @sent_ms: monotonic time just before the append was sent, in ms
  * @offset: offset of the record; 0 if the answer was lost, in which case the
  *	lease is not extended
  */
 void
-lease_elector_sent(struct lease_elector *e, uint64_t sent_ms, uint64_t offset)
+lease_elector_note_sent(struct lease_elector *e, uint64_t sent_ms,
+    uint64_t offset)
 {
 	e->sent_ms = sent_ms;
 	e->sent_offset = offset;
--- a/src/lease-elector.h
+++ b/src/lease-elector.h
@@ -59,7 +59,7 @@
 enum lease_step lease_elector_step(struct lease_elector *,
     const struct lease_times *, const struct lease *, const char *, uint64_t,
     uint64_t);
-void lease_elector_sent(struct lease_elector *, uint64_t, uint64_t);
+void lease_elector_note_sent(struct lease_elector *, uint64_t, uint64_t);
 bool lease_elector_holds(const struct lease_elector *, uint64_t);
 
 #endif
--- a/src/members.c
+++ b/src/members.c
@@ -115,13 +115,13 @@
 	m = members_find(ms, news->name);
 	if (m == NULL)
 		m = members_add(ms, news);
-	if (seen_ms > m->seen_ms) {
-		m->seen_ms = seen_ms;
+	if (seen_ms > m->as_of_ms) {
+		m->as_of_ms = seen_ms;
 		m->ip = news->ip;
 		m->port = news->port;
 		m->incarnation = news->incarnation;
 		m->next_offset = news->next_offset;
-		m->leaving = news->leaving;
+		m->draining = news->draining;
 	}
 	g_mutex_unlock(&ms->lock);
 }
@@ -141,10 +141,10 @@
 
 	g_mutex_lock(&ms->lock);
 	TAILQ_FOREACH(m, &ms->others, entry) {
-		if ((uint32_t)m->name_hash != key || seen_ms <= m->seen_ms)
+		if ((uint32_t)m->name_hash != key || seen_ms <= m->as_of_ms)
 			continue;
-		m->seen_ms = seen_ms;
-		m->leaving = leaving;
+		m->as_of_ms = seen_ms;
+		m->draining = leaving;
 	}
 	g_mutex_unlock(&ms->lock);
 }
@@ -168,7 +168,7 @@
 	m = members_find(ms, news->name);
 	if (m == NULL) {
 		m = members_add(ms, news);
-		m->seen_ms = now > ms->dead_ms ? now - ms->dead_ms : 0;
+		m->as_of_ms = now > ms->dead_ms ? now - ms->dead_ms : 0;
 	}
 	if (!member_alive(ms, m, now)) {
 		m->ip = news->ip;
@@ -186,7 +186,7 @@
 bool
 member_alive(const struct members *ms, const struct member *m, uint64_t now)
 {
-	return (now < m->seen_ms + ms->dead_ms);
+	return (now < m->as_of_ms + ms->dead_ms);
 }
 
 /**
@@ -213,7 +213,7 @@
 			    member_alive(ms, other, now))
 				heard = true;
 		}
-		if (!heard || (member_alive(ms, m, now) && !m->leaving))
+		if (!heard || (member_alive(ms, m, now) && !m->draining))
 			n++;
 	}
 	g_mutex_unlock(&ms->lock);
@@ -240,7 +240,7 @@
 
 	g_mutex_lock(&ms->lock);
 	TAILQ_FOREACH(m, &ms->others, entry) {
-		if (!member_alive(ms, m, now) || m->leaving ||
+		if (!member_alive(ms, m, now) || m->draining ||
 		    m->name_hash == last ||
 		    strcmp(m->domain, ms->self.domain) != 0)
 			continue;
@@ -279,12 +279,12 @@
 	struct member *m, *found = NULL;
 
 	g_mutex_lock(&ms->lock);
-	if (ms->self.leaving)
+	if (ms->self.draining)
 		best = 0;
 	TAILQ_FOREACH(m, &ms->others, entry) {
 		uint64_t weight = route_mix(key ^ m->name_hash);
 
-		if (!member_alive(ms, m, now) || m->leaving ||
+		if (!member_alive(ms, m, now) || m->draining ||
 		    member_excluded(m, excluded) || weight <= best)
 			continue;
 		best = weight;
@@ -341,7 +341,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct member *m = value;
 
-		if (now < m->seen_ms + ms->dead_ms * FORGET_FACTOR)
+		if (now < m->as_of_ms + ms->dead_ms * FORGET_FACTOR)
 			continue;
 		event_log(LOG_NOTICE, "member_forgotten", "member=%s", m->name);
 		TAILQ_REMOVE(&ms->others, m, entry);
--- a/src/members.h
+++ b/src/members.h
@@ -18,8 +18,8 @@
  * @port: its peer port
  * @incarnation: number of its run, new at every start
  * @next_offset: first configuration offset that it has not applied
- * @leaving: it is draining
- * @seen_ms: local time that the latest proof is at least as new as
+ * @draining: it is draining
+ * @as_of_ms: local time that the latest proof is at least as new as
  * @name_hash: stable hash of its name
  */
 struct member {
@@ -29,8 +29,8 @@
 	uint16_t port;
 	uint64_t incarnation;
 	uint64_t next_offset;
-	bool leaving;
-	uint64_t seen_ms;
+	bool draining;
+	uint64_t as_of_ms;
 	uint64_t name_hash;
 	TAILQ_ENTRY(member) entry;
 };
--- a/src/mesh-entries.c
+++ b/src/mesh-entries.c
@@ -75,7 +75,7 @@
 	    xdr_string(xdr, &name, MESH_NAME_MAX - 1) &&
 	    xdr_uint64_t(xdr, &entries->from) &&
 	    xdr_uint64_t(xdr, &entries->end) &&
-	    xdr_uint32_t(xdr, &entries->returned_ms));
+	    xdr_uint32_t(xdr, &entries->regained_age_ms));
 }
 
 static bool_t
--- a/src/mesh-entries.h
+++ b/src/mesh-entries.h
@@ -21,15 +21,15 @@
  * @name: name of the sender
  * @from: the records are all that changed from this store offset on
  * @end: up to this one
- * @returned_ms: time since the store answered the sender again after an outage,
- *	in ms; UINT32_MAX for never
+ * @regained_age_ms: time since the store answered the sender again after an
+ *outage, in ms; UINT32_MAX for never
  * @records: the changed records, of struct store_record
  */
 struct mesh_entries {
 	char name[MESH_NAME_MAX];
 	uint64_t from;
 	uint64_t end;
-	uint32_t returned_ms;
+	uint32_t regained_age_ms;
 	GArray *records;
 };
 
--- a/src/mesh-feed.c
+++ b/src/mesh-feed.c
@@ -167,7 +167,7 @@
 {
 	const struct topic_follower *f = &mesh->registry->endpoints;
 	struct mesh_entries entries = { .from = from,
-		.returned_ms = UINT32_MAX };
+		.regained_age_ms = UINT32_MAX };
 	bool repeat = mesh->last_entries != NULL &&
 	    mesh->last_entries_from < from &&
 	    mesh->last_entries->len + records->len <= ENTRIES_PER_DATAGRAM;
@@ -177,7 +177,7 @@
 	g_array_set_clear_func(all, store_record_clear);
 	g_strlcpy(entries.name, mesh->name, sizeof entries.name);
 	if (f->regained_ms != 0)
-		entries.returned_ms = (uint32_t)MIN(mesh->now_ms -
+		entries.regained_age_ms = (uint32_t)MIN(mesh->now_ms -
 			MIN(f->regained_ms, mesh->now_ms),
 		    UINT32_MAX);
 	if (repeat) {
@@ -284,7 +284,7 @@
 	else if (mesh->relay == NULL && !mesh_flat(mesh))
 		feed_save(mesh, entries->from, entries->end, bytes, length);
 	if (!registry_apply_endpoints(mesh->registry, entries->from,
-		entries->end, entries->records, entries->returned_ms,
+		entries->end, entries->records, entries->regained_age_ms,
 		mesh->now_ms) &&
 	    mesh->missing_since_ms == 0)
 		mesh->missing_since_ms = mesh->now_ms;
--- a/src/mesh-message.c
+++ b/src/mesh-message.c
@@ -38,9 +38,9 @@
 static bool_t
 xdr_self(XDR *xdr, struct mesh_self *self)
 {
-	return (xdr_flag(xdr, &self->placer) && xdr_flag(xdr, &self->leaving) &&
-	    xdr_flag(xdr, &self->store_ok) && xdr_flag(xdr, &self->serving) &&
-	    xdr_int64_t(xdr, &self->term));
+	return (xdr_flag(xdr, &self->placer) &&
+	    xdr_flag(xdr, &self->draining) && xdr_flag(xdr, &self->store_ok) &&
+	    xdr_flag(xdr, &self->served) && xdr_int64_t(xdr, &self->term));
 }
 
 static bool_t
@@ -249,11 +249,11 @@
 }
 
 /**
- * mesh_message_clear() - initialize an empty datagram.
+ * mesh_message_init() - initialize an empty datagram.
  * @msg: the datagram; its arrays are left as they are, since their counts are 0
  */
 void
-mesh_message_clear(struct mesh_message *msg)
+mesh_message_init(struct mesh_message *msg)
 {
 	memset(msg, 0, offsetof(struct mesh_message, loads));
 }
@@ -294,7 +294,7 @@
 	bool ok;
 	XDR xdr;
 
-	mesh_message_clear(msg);
+	mesh_message_init(msg);
 	xdrmem_create(&xdr, in, (u_int)length, XDR_DECODE);
 	ok = xdr_message(&xdr, msg) && xdr_getpos(&xdr) == length;
 	xdr_destroy(&xdr);
--- a/src/mesh-message.h
+++ b/src/mesh-message.h
@@ -141,17 +141,17 @@
 /**
  * struct mesh_self - what a daemon reports about itself.
  * @placer: it holds the placer's lease
- * @leaving: it is shutting down
+ * @draining: it is shutting down
  * @store_ok: the store answers it
- * @serving: it, or a daemon that it reports on, has received requests from
+ * @served: it, or a daemon that it reports on, has received requests from
  *	clients
  * @term: newest term of the placer's lease that it knows of
  */
 struct mesh_self {
 	bool placer;
-	bool leaving;
+	bool draining;
 	bool store_ok;
-	bool serving;
+	bool served;
 	int64_t term;
 };
 
@@ -246,6 +246,6 @@
 
 size_t mesh_message_encode(const struct mesh_message *, char *, size_t);
 bool mesh_message_decode(struct mesh_message *, char *, size_t);
-void mesh_message_clear(struct mesh_message *);
+void mesh_message_init(struct mesh_message *);
 
 #endif
--- a/src/mesh-peers.c
+++ b/src/mesh-peers.c
@@ -190,7 +190,7 @@
 							 MESH_PEER_TIMEOUT_MS;
 
 	return (
-	    within(mesh, peer->relay_heard_ms, bound) && !peer->self.leaving);
+	    within(mesh, peer->relay_heard_ms, bound) && !peer->self.draining);
 }
 
 /**
@@ -272,17 +272,17 @@
 }
 
 /**
- * mesh_serving() - whether any daemon has received requests from clients.
+ * mesh_has_served() - whether any daemon has received requests from clients.
  * @mesh: the mesh
  */
 bool
-mesh_serving(const struct mesh *mesh)
+mesh_has_served(const struct mesh *mesh)
 {
 	const struct mesh_peer *peer;
 
 	TAILQ_FOREACH(peer, &mesh->peers, entry) {
-		if (peer->self.serving)
+		if (peer->self.served)
 			return (true);
 	}
-	return (mesh->self.serving);
+	return (mesh->self.served);
 }
--- a/src/mesh-receive.c
+++ b/src/mesh-receive.c
@@ -239,12 +239,12 @@
 {
 	if (peer->incarnation == msg->incarnation &&
 	    peer->self.placer == msg->self.placer &&
-	    peer->self.leaving == msg->self.leaving)
+	    peer->self.draining == msg->self.draining)
 		return;
 	event_log(LOG_INFO, "peer_changed",
 	    "peer=%s incarnation=%llx placer=%d term=%lld leaving=%d store_ok=%d",
 	    peer->name, (unsigned long long)msg->incarnation, msg->self.placer,
-	    (long long)msg->self.term, msg->self.leaving, msg->self.store_ok);
+	    (long long)msg->self.term, msg->self.draining, msg->self.store_ok);
 }
 
 /* Records what a peer reports about itself. */
--- a/src/mesh-role.c
+++ b/src/mesh-role.c
@@ -101,7 +101,7 @@
 peer_may_relay(const struct mesh *mesh, const struct mesh_peer *peer)
 {
 	return (mesh_peer_maybe_alive(mesh, peer) &&
-	    !trial_failed(mesh, peer) && !peer->self.leaving);
+	    !trial_failed(mesh, peer) && !peer->self.draining);
 }
 
 /* Finds the most preferred daemon of this cell that satisfies a predicate.
@@ -143,7 +143,7 @@
 mesh_choose_relay(struct mesh *mesh)
 {
 	struct mesh_peer *first;
-	bool able = !mesh->self.leaving;
+	bool able = !mesh->self.draining;
 
 	if (mesh_flat(mesh))
 		return (NULL);
--- a/src/mesh-send.c
+++ b/src/mesh-send.c
@@ -102,7 +102,7 @@
 		return;
 	placer->name_hash = mesh->name_hash;
 	placer->term = mesh->held_term;
-	placer->can_place = mesh->self.store_ok && !mesh->self.leaving;
+	placer->can_place = mesh->self.store_ok && !mesh->self.draining;
 	placer->age_ms = 0;
 }
 
@@ -162,7 +162,7 @@
 static void
 message_fill(struct mesh *mesh, enum mesh_kind kind, struct mesh_message *msg)
 {
-	mesh_message_clear(msg);
+	mesh_message_init(msg);
 	msg->kind = kind;
 	g_strlcpy(msg->name, mesh->name, sizeof msg->name);
 	g_strlcpy(msg->domain, mesh->domain, sizeof msg->domain);
@@ -172,7 +172,7 @@
 	msg->ping = mesh->now_ms;
 	msg->self = mesh->self;
 	if (kind == MESH_CELL_SUMMARY || kind == MESH_FLEET_SUMMARY)
-		msg->self.serving = mesh_serving(mesh);
+		msg->self.served = mesh_has_served(mesh);
 	fill_placer(mesh, &msg->placer);
 	fill_relay(mesh, &msg->relay);
 	fill_config(mesh, msg);
--- a/src/mesh-serve.c
+++ b/src/mesh-serve.c
@@ -47,7 +47,7 @@
 static unsigned
 serve_entries(const struct mesh *mesh, GString *body)
 {
-	struct mesh_entries entries = { .returned_ms = UINT32_MAX };
+	struct mesh_entries entries = { .regained_age_ms = UINT32_MAX };
 	g_autoptr(GArray) records =
 	    g_array_new(FALSE, TRUE, sizeof(struct store_record));
 	g_autofree char *out = NULL;
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -85,12 +85,12 @@
 }
 
 /**
- * mesh_begin() - choose a relay, once the records of all daemons have been
- * read.
+ * mesh_on_records_read() - choose a relay, once the records of all daemons have
+ * been read.
  * @mesh: the mesh
  */
 void
-mesh_begin(struct mesh *mesh)
+mesh_on_records_read(struct mesh *mesh)
 {
 	mesh_update_clock(mesh);
 	mesh_set_records_read(mesh);
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -278,7 +278,7 @@
 int mesh_open(struct mesh *, uv_loop_t *, const struct sockaddr_in *);
 void mesh_send_now(struct mesh *);
 void mesh_limit_announce(struct mesh *, struct endpoint *);
-void mesh_begin(struct mesh *);
+void mesh_on_records_read(struct mesh *);
 
 /* mesh-peers.c: table of the other daemons, and which of them are alive. */
 void mesh_init(struct mesh *, uint64_t, uint64_t);
@@ -296,7 +296,7 @@
 bool mesh_peer_maybe_alive(const struct mesh *, const struct mesh_peer *);
 bool mesh_relay_alive(const struct mesh *);
 unsigned mesh_count_alive(const struct mesh *);
-bool mesh_serving(const struct mesh *);
+bool mesh_has_served(const struct mesh *);
 
 /* mesh-role.c: choice of relays, of the store's reader and of the placer. */
 bool mesh_flat(const struct mesh *);
--- a/src/operator-status.c
+++ b/src/operator-status.c
@@ -23,9 +23,9 @@
 		json_array_append_new(out,
 		    json_pack("{s:s, s:s, s:b, s:b, s:I, s:I}", "name", m->name,
 			"domain", m->domain, "live", member_alive(ms, m, now),
-			"leaving", m->leaving, "applied",
+			"leaving", m->draining, "applied",
 			(json_int_t)m->next_offset, "age_ms",
-			(json_int_t)(now - MIN(now, m->seen_ms))));
+			(json_int_t)(now - MIN(now, m->as_of_ms))));
 	g_mutex_unlock(&ms->lock);
 	return (out);
 }
--- a/src/order-ops.h
+++ b/src/order-ops.h
@@ -84,12 +84,12 @@
 /**
  * struct order_ops - an adapter's calls to endpoints.
  * @send: give an order to the endpoint of a pool, by its id
- * @ask: ask it for its report
+ * @query: ask it for its report
  */
 struct order_ops {
 	bool (*send)(struct net_pool *, const char *, const struct order *,
 	    unsigned, order_fn *, void *);
-	bool (*ask)(struct net_pool *, const char *, unsigned,
+	bool (*query)(struct net_pool *, const char *, unsigned,
 	    order_report_fn *, void *);
 };
 
--- a/src/peer-client.c
+++ b/src/peer-client.c
@@ -100,7 +100,7 @@
 	pull_reply reply = { 0 };
 	uint64_t asked_ms = clock_now_ms();
 
-	peer_gossip_self(server, &req.from);
+	peer_gossip_fill_self(server, &req.from);
 	if (!client_call(ip, port, PEER_PULL, (xdrproc_t)xdr_pull_request, &req,
 		(xdrproc_t)xdr_pull_reply, &reply, PULL_TIMEOUT_MS))
 		return (false);
--- a/src/peer-gossip.c
+++ b/src/peer-gossip.c
@@ -7,12 +7,12 @@
 #include "server.h"
 
 /**
- * peer_gossip_self() - describe this daemon.
+ * peer_gossip_fill_self() - describe this daemon.
  * @server: this daemon
  * @out: filled in; its strings stay this daemon's own
  */
 void
-peer_gossip_self(struct server *server, struct peer_member *out)
+peer_gossip_fill_self(struct server *server, struct peer_member *out)
 {
 	const struct member *self = &server->members.self;
 
@@ -91,8 +91,8 @@
 		out->port = m->port;
 		out->boot = m->incarnation;
 		out->applied = m->next_offset;
-		out->age_ms = age_of(m->seen_ms, now);
-		out->leaving = m->leaving;
+		out->age_ms = age_of(m->as_of_ms, now);
+		out->leaving = m->draining;
 		n++;
 	}
 	g_mutex_unlock(&ms->lock);
@@ -116,8 +116,8 @@
 		if (n == PEER_LIVES_MAX || !member_alive(ms, m, now) ||
 		    strcmp(m->domain, server->set.domain) != 0)
 			continue;
-		pack.age_ms = age_of(m->seen_ms, now);
-		pack.flag = m->leaving;
+		pack.age_ms = age_of(m->as_of_ms, now);
+		pack.flag = m->draining;
 		out->key = (uint32_t)m->name_hash;
 		out->news = peer_pack(&pack);
 		n++;
@@ -149,7 +149,7 @@
 		if (n == PEER_HOSTS_MAX ||
 		    !evidence_fresh(ev, now, (uint64_t)server->set.evidence_ms))
 			continue;
-		pack.age_ms = age_of(ev->seen_ms, now);
+		pack.age_ms = age_of(ev->as_of_ms, now);
 		pack.load = ev->load;
 		held.state = ev->state;
 		held.shard = ev->shard;
@@ -158,7 +158,7 @@
 		out->news = peer_pack(&pack);
 		out->epoch = ev->epoch;
 		out->held = peer_pack_host_state(&held);
-		out->model = (uint32_t)ev->model;
+		out->model = (uint32_t)ev->model_hash;
 		n++;
 	}
 	g_mutex_unlock(&server->inv.lock);
@@ -176,7 +176,7 @@
 	uint64_t now = clock_now_ms();
 
 	memset(reply, 0, sizeof *reply);
-	peer_gossip_self(server, &reply->self);
+	peer_gossip_fill_self(server, &reply->self);
 	reply->self.name = g_strdup(reply->self.name);
 	reply->self.domain = g_strdup(reply->self.domain);
 	fill_targets(server, now, reply);
@@ -194,7 +194,7 @@
 		.port = (uint16_t)in->port,
 		.incarnation = in->boot,
 		.next_offset = in->applied,
-		.leaving = in->leaving };
+		.draining = in->leaving };
 
 	if (in->name[0] != '\0' && in->age_ms < asked_ms)
 		members_update(&server->members, &news, asked_ms - in->age_ms);
@@ -286,12 +286,12 @@
 	struct evidence *ev = &host->evidence;
 	uint64_t seen_ms = asked_ms - MIN(pack.age_ms, asked_ms);
 
-	if (seen_ms <= ev->seen_ms)
+	if (seen_ms <= ev->as_of_ms)
 		return;
-	ev->seen_ms = seen_ms;
+	ev->as_of_ms = seen_ms;
 	ev->state = (enum host_state)held.state;
 	ev->epoch = in->epoch;
-	ev->model = in->model;
+	ev->model_hash = in->model;
 	ev->shard = held.shard;
 	ev->shards = held.shards;
 	ev->load = pack.load;
--- a/src/peer-gossip.h
+++ b/src/peer-gossip.h
@@ -9,7 +9,7 @@
 
 struct server;
 
-void peer_gossip_self(struct server *, struct peer_member *);
+void peer_gossip_fill_self(struct server *, struct peer_member *);
 void peer_gossip_introduce(struct server *, const struct peer_member *);
 void peer_gossip_fill(struct server *, struct pull_reply *);
 void peer_gossip_fill_hosts(struct server *, struct hosts_reply *);
--- a/src/place-live.c
+++ b/src/place-live.c
@@ -55,12 +55,12 @@
 static void
 host_set_evidence(struct place_host *out, const struct host *host,
     const struct group *group, uint32_t model, int size,
-    const struct place_live_times *t)
+    const struct place_live_limits *t)
 {
 	const struct evidence *ev = &host->evidence;
-	uint64_t age = t->now > ev->seen_ms ? t->now - ev->seen_ms : 0;
+	uint64_t age = t->now > ev->as_of_ms ? t->now - ev->as_of_ms : 0;
 
-	out->alive = ev->seen_ms != 0 && age < t->dead_ms;
+	out->alive = ev->as_of_ms != 0 && age < t->dead_ms;
 	out->lost_ms = out->alive ? 0 : age;
 	if (host_leaving(host)) {
 		out->alive = false;
@@ -69,18 +69,19 @@
 	out->reusable = out->alive && group == NULL && !host->unlisted &&
 	    evidence_fresh(ev, t->now, t->evidence_ms) && evidence_idle(ev) &&
 	    t->now >= host->last_in_group_ms + t->evidence_ms;
-	out->shard = ev->model == model && ev->shards == size ? ev->shard :
-								PLACE_NO_SHARD;
+	out->shard = ev->model_hash == model && ev->shards == size ?
+	    ev->shard :
+	    PLACE_NO_SHARD;
 }
 
 static void
 add_hosts(struct place_live *live, const struct state *state,
     struct inventory *inv, const struct resource *deployment,
-    const char *domain, const struct place_live_times *t)
+    const char *domain, const struct place_live_limits *t)
 {
 	const char *pool = resource_string(deployment, "pool", "");
 	uint32_t model =
-	    evidence_model(resource_string(deployment, "model", ""));
+	    evidence_model_hash(resource_string(deployment, "model", ""));
 	struct host *host;
 
 	TAILQ_FOREACH(host, &inv->hosts, entry) {
@@ -144,7 +145,7 @@
 void
 place_live_make(struct place_live *live, const struct state *state,
     struct inventory *inv, const struct resource *deployment,
-    const char *domain, const struct place_live_times *t)
+    const char *domain, const struct place_live_limits *t)
 {
 	const char *name = resource_string(deployment, "placement", "");
 	struct resource *placement = state_resource(state, "placement", name);
--- a/src/place-live.h
+++ b/src/place-live.h
@@ -8,14 +8,14 @@
 #include "state.h"
 
 /**
- * struct place_live_times - current time and limits.
+ * struct place_live_limits - current time and limits.
  * @now: monotonic time, in ms
  * @evidence_ms: age at which evidence expires
  * @dead_ms: age of its evidence at which a host counts as dead
  * @load_ms: time to load one shard from the weight store
  * @loads_free: number of loads that may start now
  */
-struct place_live_times {
+struct place_live_limits {
 	uint64_t now;
 	uint64_t evidence_ms;
 	uint64_t dead_ms;
@@ -39,7 +39,7 @@
 
 void place_live_make(struct place_live *, const struct state *,
     struct inventory *, const struct resource *, const char *,
-    const struct place_live_times *);
+    const struct place_live_limits *);
 void place_live_clear(struct place_live *);
 
 #endif
--- a/src/placer-call.c
+++ b/src/placer-call.c
@@ -306,7 +306,7 @@
 	if (answer == ORDER_REPORT_ADDRESS_REUSED)
 		host_mark_gone(call->placer, call->id);
 	if (m != NULL) {
-		m->ask_pending = false;
+		m->query_pending = false;
 		if (answer == ORDER_REPORT_OK)
 			member_set_report(r, m, report, now);
 		else if (m->silent_since_ms == 0)
@@ -324,27 +324,27 @@
 }
 
 /**
- * placer_ask_member() - send a status request to a member, at most once per
+ * placer_query_member() - send a status request to a member, at most once per
  * ASK_INTERVAL_MS.
  * @p: the placer
  * @r: the replica
  * @index: index of the member
  */
 void
-placer_ask_member(struct placer *p, struct replica *r, unsigned index)
+placer_query_member(struct placer *p, struct replica *r, unsigned index)
 {
 	struct replica_member *m = &r->members[index];
 	uint64_t now = clock_loop_ms(p->loop);
 	struct placer_call *call;
 
-	if (m->ask_pending || !placer_call_allowed(p) ||
-	    (m->asked_ms != 0 && now - m->asked_ms < ASK_INTERVAL_MS))
+	if (m->query_pending || !placer_call_allowed(p) ||
+	    (m->queried_ms != 0 && now - m->queried_ms < ASK_INTERVAL_MS))
 		return;
 	call = call_new(p, r, index);
-	m->asked_ms = now;
-	m->ask_pending = p->orders->ask(member_pool(p, m), m->id,
+	m->queried_ms = now;
+	m->query_pending = p->orders->query(member_pool(p, m), m->id,
 	    ASK_TIMEOUT_MS, on_report, call);
-	if (!m->ask_pending)
+	if (!m->query_pending)
 		call_free(call);
 }
 
@@ -360,7 +360,7 @@
 	if (result == ORDER_ADDRESS_REUSED)
 		host_mark_gone(call->placer, call->id);
 	if (call->order == ORDER_STAGE)
-		placer_copy_answered(call->placer, call->id, result);
+		placer_copy_note_result(call->placer, call->id, result);
 	call_free(call);
 }
 
--- a/src/placer-stage.c
+++ b/src/placer-copies.c
@@ -115,7 +115,7 @@
 }
 
 /**
- * placer_copy_answered() - handle the result of an order to copy.
+ * placer_copy_note_result() - handle the result of an order to copy.
  * @p: the placer
  * @host: id of the host
  * @result: result of the order
@@ -123,7 +123,7 @@
  * ORDER_UNFIT means that the host is making the copy already.
  */
 void
-placer_copy_answered(struct placer *p, const char *host,
+placer_copy_note_result(struct placer *p, const char *host,
     enum order_result result)
 {
 	struct placer_copy *copy = g_hash_table_lookup(p->copies, host);
--- a/src/placer-form.c
+++ b/src/placer-form.c
@@ -322,10 +322,10 @@
 service_step(struct placer *p, const char *service, struct planner_view *view,
     uint64_t now_ms)
 {
-	unsigned loads = view->serving ? 0 : view->loads_free;
+	unsigned loads = view->served ? 0 : view->loads_free;
 
 	if (try_form(p, service, view, loads, now_ms) ||
-	    (view->serving &&
+	    (view->served &&
 		(try_donate(p, view, now_ms) ||
 		    try_retire_surplus(p, view, now_ms))))
 		return (STEP_CHANGED);
@@ -333,7 +333,7 @@
 		return (STEP_NONE);
 	if (try_copy(p, view, now_ms))
 		return (STEP_PREPARED);
-	if (view->serving &&
+	if (view->served &&
 	    try_form(p, service, view, view->loads_free, now_ms))
 		return (STEP_CHANGED);
 	return (try_warm(p, view, now_ms) ? STEP_PREPARED : STEP_NONE);
@@ -422,7 +422,7 @@
 	planner_view_count_hosts(view);
 	view_apply_demand(p, service->name, view, now_ms);
 	planner_view_set_targets(view);
-	view->serving = p->served;
+	view->served = p->served;
 	view->hosts_stable = now_ms - p->grew_ms >= HOSTS_STABLE_MS;
 	view->loads_free = placer_loads_available(p, service->engine, now_ms);
 }
@@ -486,7 +486,7 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	if (mesh_serving(p->mesh))
+	if (mesh_has_served(p->mesh))
 		placer_record_served(p);
 	placer_copies_update(p, now_ms);
 	if (hosts > p->n_hosts)
--- a/src/placer-lease.c
+++ b/src/placer-lease.c
@@ -334,7 +334,7 @@
 	const struct mesh *mesh = p->mesh;
 	uint64_t wait;
 
-	if (p->store_busy || mesh->self.leaving || !mesh->self.store_ok ||
+	if (p->store_busy || mesh->self.draining || !mesh->self.store_ok ||
 	    p->registry->catalog == NULL || mesh->records_read_ms == 0 ||
 	    now_ms - MIN(mesh->records_read_ms, now_ms) < PEERS_WAIT_MS)
 		return (false);
--- a/src/placer.c
+++ b/src/placer.c
@@ -52,7 +52,7 @@
 		if (m->liveness != MEMBER_DEAD &&
 		    (suspect || unlisted ||
 			suspicion_active(m->suspect_ms, now_ms)))
-			placer_ask_member(p, r, i);
+			placer_query_member(p, r, i);
 	}
 }
 
--- a/src/placer.h
+++ b/src/placer.h
@@ -134,7 +134,7 @@
 /* placer-call.c: orders and status requests to hosts. */
 void placer_order_member(struct placer *, struct replica *, unsigned,
     enum order_kind);
-void placer_ask_member(struct placer *, struct replica *, unsigned);
+void placer_query_member(struct placer *, struct replica *, unsigned);
 bool placer_order_stage(struct placer *, const char *, const char *);
 void placer_order_warm(struct placer *, const char *, const char *, int64_t);
 bool placer_is_warm_group(const char *);
@@ -158,12 +158,12 @@
 void placer_adopt_groups(struct placer *, uint64_t);
 bool placer_is_active_head(const struct endpoint *);
 
-/* placer-stage.c: copies that are being made, and loads that may start. */
+/* placer-copies.c: copies that are being made, and loads that may start. */
 void placer_copy_free(void *);
 void placer_copies_update(struct placer *, uint64_t);
 void placer_copy_start(struct placer *, const char *,
     const struct model_profile *, uint64_t);
-void placer_copy_answered(struct placer *, const char *, enum order_result);
+void placer_copy_note_result(struct placer *, const char *, enum order_result);
 const char *placer_copying(const struct placer *, const char *);
 unsigned placer_loads_available(struct placer *, const struct engine_profile *,
     uint64_t);
--- a/src/plan.c
+++ b/src/plan.c
@@ -90,7 +90,7 @@
 	g_autoptr(GArray) actions = NULL;
 
 	place_live_make(&live, state, plan->in->inv, deployment,
-	    plan->in->domain, &plan->in->times);
+	    plan->in->domain, &plan->in->limits);
 	policy = place_policy_find(
 	    resource_string(placement, "policy", PLACE_POLICY_DEFAULT));
 	actions = place_plan(policy, &live.view);
--- a/src/plan.h
+++ b/src/plan.h
@@ -9,13 +9,13 @@
  * @state: the configuration, locked
  * @inv: the hosts, locked
  * @domain: failure domain to plan for
- * @times: current time and limits
+ * @limits: current time and limits
  */
 struct plan_input {
 	const struct state *state;
 	struct inventory *inv;
 	const char *domain;
-	struct place_live_times times;
+	struct place_live_limits limits;
 };
 
 GPtrArray *plan_changes(const struct plan_input *);
--- a/src/planner-copies.c
+++ b/src/planner-copies.c
@@ -319,7 +319,7 @@
 
 	if (view->loads_free == 0 || view->engine->models->len < 2)
 		return (NULL);
-	if (!view->serving)
+	if (!view->served)
 		return (view->hosts_stable ? copy_before_requests(view, model) :
 					     NULL);
 	h = copy_for_missing(view, model);
--- a/src/planner-replicas.c
+++ b/src/planner-replicas.c
@@ -69,7 +69,7 @@
 		planner_supply_ratio(view, c->model_index))
 		return (false);
 	return (g_strcmp0(h->loaded_model, c->model->name) == 0 ||
-	    !view->serving || planner_fabric_has_spares(f) ||
+	    !view->served || planner_fabric_has_spares(f) ||
 	    planner_supply_ratio(view, c->model_index) <
 		planner_supply_ratio(view, view->largest));
 }
@@ -93,7 +93,7 @@
 	if (planner_host_has_model(h, c->model) ||
 	    view->engine->models->len == 1)
 		return (true);
-	return (!view->serving && h->copying == NULL &&
+	return (!view->served && h->copying == NULL &&
 	    (c->model == largest || !planner_host_has_model(h, largest)));
 }
 
@@ -146,7 +146,7 @@
 
 	/* Before requests come, small replicas wait until all hosts are there
 	 * and use those that large ones leave. */
-	if (!view->serving && !view->hosts_stable && !largest)
+	if (!view->served && !view->hosts_stable && !largest)
 		return (false);
 	if (largest && f->replicas >= f->max_replicas)
 		return (false);
--- a/src/planner.h
+++ b/src/planner.h
@@ -91,7 +91,7 @@
  *	domain for every 2 x its size hosts there; the other hosts form
  *	replicas that can donate hosts to it
  * @loads_free: number of loads from the weight store that may begin now
- * @serving: requests have come, so loads take their full time
+ * @served: requests have come, so loads take their full time
  * @hosts_stable: no new host has appeared for a while
  */
 struct planner_view {
@@ -109,7 +109,7 @@
 	unsigned largest;
 	unsigned cap_factor;
 	unsigned loads_free;
-	bool serving;
+	bool served;
 	bool hosts_stable;
 };
 
--- a/src/prober.c
+++ b/src/prober.c
@@ -51,7 +51,7 @@
 static bool
 host_forgotten(const struct host *host, uint64_t now)
 {
-	return (host->unlisted && now > host->evidence.seen_ms + FORGET_MS &&
+	return (host->unlisted && now > host->evidence.as_of_ms + FORGET_MS &&
 	    now > host->last_in_group_ms + FORGET_MS);
 }
 
@@ -99,7 +99,7 @@
 
 	if (task->status != 200 && task->status != 503)
 		return (false);
-	if (task->json == NULL || task->sent_ms < ev->seen_ms ||
+	if (task->json == NULL || task->sent_ms < ev->as_of_ms ||
 	    !answer_is_of(host, task->json))
 		return (false);
 	evidence_parse(ev, task->json, task->sent_ms);
--- a/src/publish.c
+++ b/src/publish.c
@@ -28,11 +28,11 @@
 			continue;
 		}
 		ev = &host->evidence;
-		*seen_ms = MIN(*seen_ms, ev->seen_ms);
+		*seen_ms = MIN(*seen_ms, ev->as_of_ms);
 		if (evidence_ready_in(ev, group->epoch))
 			continue;
 		whole = false;
-		*contradicted_ms = MAX(*contradicted_ms, ev->seen_ms);
+		*contradicted_ms = MAX(*contradicted_ms, ev->as_of_ms);
 	}
 	return (whole);
 }
@@ -54,8 +54,8 @@
 		target_update_evidence(target, contradicted_ms, false, limit);
 	leader = inventory_find(inv, group->hosts->pdata[0]);
 	if (leader != NULL &&
-	    leader->evidence.seen_ms > atomic_load(&target->report_ms))
-		target_update_load(target, leader->evidence.seen_ms,
+	    leader->evidence.as_of_ms > atomic_load(&target->report_ms))
+		target_update_load(target, leader->evidence.as_of_ms,
 		    leader->evidence.load);
 }
 
@@ -67,12 +67,12 @@
 	struct target *target;
 
 	target = g_hash_table_lookup(tables->targets, &host->name_hash);
-	if (target == NULL || ev->seen_ms == 0)
+	if (target == NULL || ev->as_of_ms == 0)
 		return;
-	target_update_evidence(target, ev->seen_ms, ev->state == HOST_READY,
+	target_update_evidence(target, ev->as_of_ms, ev->state == HOST_READY,
 	    limit);
-	if (ev->seen_ms > atomic_load(&target->report_ms))
-		target_update_load(target, ev->seen_ms, ev->load);
+	if (ev->as_of_ms > atomic_load(&target->report_ms))
+		target_update_load(target, ev->as_of_ms, ev->load);
 }
 
 /**
--- a/src/replica.h
+++ b/src/replica.h
@@ -94,10 +94,10 @@
  * @last_report_ms: loop time of its newest report, from its entry or a direct
  *	answer
  * @suspect_ms: loop time at which an order to it had no answer; 0 for never
- * @asked_ms: loop time of the last query to it
+ * @queried_ms: loop time of the last query to it
  * @silent_since_ms: loop time since which it has not answered; 0 while it
  *	answers
- * @ask_pending: a query to it has not ended yet
+ * @query_pending: a query to it has not ended yet
  * @address_reused: another incarnation has its address
  * @unanswered_ms: loop time at which an order to it last ended without an
  *	answer; 0 for never
@@ -122,9 +122,9 @@
 	bool was_in_newer_group;
 	uint64_t last_report_ms;
 	uint64_t suspect_ms;
-	uint64_t asked_ms;
+	uint64_t queried_ms;
 	uint64_t silent_since_ms;
-	bool ask_pending;
+	bool query_pending;
 	bool address_reused;
 	uint64_t unanswered_ms;
 	enum order_kind unanswered_order;
@@ -187,13 +187,13 @@
  * enum replica_action - what to do next for a replica.
  * @REPLICA_WAIT: nothing now
  * @REPLICA_ORDER: send an order to a member
- * @REPLICA_ASK: send a query to a member
+ * @REPLICA_QUERY: send a query to a member
  * @REPLICA_DISSOLVED: remove it: no host serves in it and its hosts are free
  */
 enum replica_action {
 	REPLICA_WAIT,
 	REPLICA_ORDER,
-	REPLICA_ASK,
+	REPLICA_QUERY,
 	REPLICA_DISSOLVED,
 };
 
--- a/src/request.c
+++ b/src/request.c
@@ -44,7 +44,7 @@
 request_free(struct request *req)
 {
 	/* The client has disconnected: the request may have run. */
-	if (!req->counted)
+	if (!req->ended)
 		request_end(req, OUTCOME_UNKNOWN, 0, NULL);
 	if (req->admission != NULL) {
 		admission_release(req->admission,
@@ -243,8 +243,8 @@
 	if (request_expired(req))
 		return (NULL);
 	target = request_choose_target(req);
-	if (target == NULL && !req->asked_remote && request_has_remote(req)) {
-		req->asked_remote = true;
+	if (target == NULL && !req->queried_remote && request_has_remote(req)) {
+		req->queried_remote = true;
 		target = request_choose_remote(req);
 	}
 	if (target != NULL)
@@ -317,9 +317,9 @@
 	g_autofree char *id = event_log_quote(req->id);
 	bool batch = atomic_load(&req->customer->batch);
 
-	if (req->counted)
+	if (req->ended)
 		return;
-	req->counted = true;
+	req->ended = true;
 	count_end(&req->customer->series, outcome, us);
 	count_end(policy_series(req->policy), outcome, us);
 	count_end(class_series(batch), outcome, us);
--- a/src/request.h
+++ b/src/request.h
@@ -27,12 +27,12 @@
  * @prefix: hash of the first bytes of the prompt, or 0
  * @tried: targets that the request was sent to, with references
  * @policy: routing policy that chose the latest target
- * @asked_remote: gossip was requested from the other failure domains
+ * @queried_remote: gossip was requested from the other failure domains
  * @may_have_run: a call ended in such a way that the request may have run
  * @admission: queue that granted a slot, or NULL; a reference
  * @ticket: entry in that queue
  * @slot_ms: monotonic time at which the slot was granted, in ms
- * @counted: the end of the request was counted
+ * @ended: the end of the request was counted
  */
 struct request {
 	struct server *server;
@@ -48,12 +48,12 @@
 	uint64_t prefix;
 	GPtrArray *tried;
 	const struct route_policy *policy;
-	bool asked_remote;
+	bool queried_remote;
 	bool may_have_run;
 	struct admission *admission;
 	struct fair_ticket ticket;
 	uint64_t slot_ms;
-	bool counted;
+	bool ended;
 };
 
 /**
--- a/tests/test-fuzz.c
+++ b/tests/test-fuzz.c
@@ -211,7 +211,7 @@
 {
 	static struct mesh_message news;
 
-	mesh_message_clear(&news);
+	mesh_message_init(&news);
 	news.kind = MESH_FLEET_SUMMARY;
 	g_strlcpy(news.name, "d1", sizeof news.name);
 	g_strlcpy(news.domain, "z1", sizeof news.domain);
--- a/tests/test-lease.c
+++ b/tests/test-lease.c
@@ -45,7 +45,7 @@
 static void
 exec_sent(const char *rest, GString *out)
 {
-	lease_elector_sent(&elector, script_number(rest, "at", 0),
+	lease_elector_note_sent(&elector, script_number(rest, "at", 0),
 	    script_number(rest, "offset", 0));
 }
 
--- a/tests/test-mesh.c
+++ b/tests/test-mesh.c
@@ -278,8 +278,8 @@
 	g_string_append_printf(out,
 	    "up %u relays %u alive %u to %u readers %u first %u placer known "
 	    "to %u\n",
-	    s.up, s.relays, s.alive_least, s.alive_most, s.readers,
-	    s.first_ranked, s.placer_known);
+	    s.up, s.relays, s.alive_min, s.alive_max, s.readers, s.first_ranked,
+	    s.placer_known);
 }
 
 /* traffic: errors of the load sums, relay changes, and datagrams per second */
@@ -412,7 +412,7 @@
 	struct model_stats s;
 
 	fleet_model_measure(model, &s);
-	return (s.alive_least == model->n && s.alive_most == model->n &&
+	return (s.alive_min == model->n && s.alive_max == model->n &&
 	    s.readers == 1);
 }
 
--- a/tests/test-planner.c
+++ b/tests/test-planner.c
@@ -101,7 +101,7 @@
 	view->largest_max = demand.largest_max;
 	planner_view_set_targets(view);
 	view->loads_free = (unsigned)loads;
-	view->serving = serving != 0;
+	view->served = serving != 0;
 	view->hosts_stable = hosts_stable != 0;
 }
 
--- a/tests/test-schedules.c
+++ b/tests/test-schedules.c
@@ -320,7 +320,7 @@
 	    step == LEASE_TAKE ? "lease" : "renew", "domain", "a", "holder",
 	    d->name, "base", (json_int_t)term, "term", (json_int_t)term);
 	offset = sim_append(d, config_log, record);
-	lease_elector_sent(&d->elector, now, offset);
+	lease_elector_note_sent(&d->elector, now, offset);
 }
 
 /* Sends the orders that are due; some arrive late, some are lost. */
