--- a/tests/fake-backoff.c
+++ b/tests/fake-backoff.c
@@ -1,43 +1,44 @@
 /*
- * Rest and leaving in the stand-in for the users' platform: an endpoint turns
- * requests away for a while, or says that it leaves, and what it gets from
- * each caller all the same is judged.
+ * Backoff and leaving in the stand-in for the users' platform: an endpoint
+ * refuses requests for some time, or says in its responses that it leaves.
+ * Requests that notified daemons send all the same are reported in the
+ * journal.
  */
 #include <arpa/inet.h>
 #include <string.h>
 
 #include "fake-platform.h"
 
-/* What was on its way when a rest was asked for is there by then. */
-#define REST_CROSSING_MS 500
-/* So many requests may come in the rest that is left. */
-#define REST_REQUESTS_MOST 2
-/* A caller that was told of the leaving sends nothing new after this. */
-#define LEAVING_MS 1000
-
-/* What an endpoint told a caller, and got from it since. */
-struct told {
-	const struct point *point;
-	uint32_t caller;
+/* Time for requests sent before the daemon was notified to arrive. */
+#define BACKOFF_IN_FLIGHT_MS 500
+/* Requests that a daemon may send in the remaining backoff. */
+#define BACKOFF_REQUESTS_MAX 2
+/* A daemon that knows that the endpoint leaves sends nothing after this. */
+#define LEAVING_IN_FLIGHT_MS 1000
+
+/* What a daemon was told by an endpoint, and its requests since then. */
+struct notice {
+	const struct fake_endpoint *endpoint;
+	uint32_t source_ip;
 	bool leaving;
 	uint64_t from_ms;
 	uint64_t to_ms;
-	unsigned came;
+	unsigned n_requests;
 };
 
-static GArray *tolds;
+static GArray *notices;
 
 static GArray *
-rest_tolds(void)
+notices_get(void)
 {
-	if (tolds == NULL)
-		tolds = g_array_new(FALSE, TRUE, sizeof(struct told));
-	return (tolds);
+	if (notices == NULL)
+		notices = g_array_new(FALSE, TRUE, sizeof(struct notice));
+	return (notices);
 }
 
-/* The address that a connection comes from. */
+/* Returns the address that a connection comes from. */
 uint32_t
-conn_caller(const struct conn *c)
+conn_source_ip(const struct conn *c)
 {
 	struct sockaddr_in addr = { 0 };
 	int length = sizeof addr;
@@ -47,103 +48,106 @@
 }
 
 static void
-told_complain(const struct told *told, const struct conn *c)
+notice_report(const struct notice *notice, const struct conn *c)
 {
 	char ip[INET_ADDRSTRLEN];
 
-	inet_ntop(AF_INET, &told->caller, ip, sizeof ip);
+	inet_ntop(AF_INET, &notice->source_ip, ip, sizeof ip);
 	g_string_append_printf(fake_journal, "%s %s %s %u %s\n",
-	    told->leaving ? "after-leaving" : "in-rest", told->point->id, ip,
-	    told->came, c->id);
+	    notice->leaving ? "after-leaving" : "in-rest", notice->endpoint->id,
+	    ip, notice->n_requests, c->id);
 }
 
-/* Counts a request in all that its caller was told; forgets what is over. */
+/* Counts a request, reports it if it is not allowed; drops old notices. */
 void
-rest_judge(const struct conn *c)
+backoff_check(const struct conn *c)
 {
-	uint32_t caller = conn_caller(c);
+	uint32_t source_ip = conn_source_ip(c);
 	uint64_t now = uv_now(fake_loop);
-	GArray *all = rest_tolds();
-	bool complained = false;
+	GArray *all = notices_get();
+	bool reported = false;
 
 	for (guint i = all->len; i > 0; i--) {
-		struct told *told = &g_array_index(all, struct told, i - 1);
+		struct notice *notice =
+		    &g_array_index(all, struct notice, i - 1);
 
-		if (now >= told->to_ms) {
+		if (now >= notice->to_ms) {
 			g_array_remove_index_fast(all, i - 1);
 			continue;
 		}
-		if (told->point != c->point || told->caller != caller ||
-		    now < told->from_ms)
+		if (notice->endpoint != c->endpoint ||
+		    notice->source_ip != source_ip || now < notice->from_ms)
 			continue;
-		told->came++;
-		if (complained ||
-		    told->came <= (told->leaving ? 0 : REST_REQUESTS_MOST))
+		notice->n_requests++;
+		if (reported ||
+		    notice->n_requests <=
+			(notice->leaving ? 0 : BACKOFF_REQUESTS_MAX))
 			continue;
-		told_complain(told, c);
-		complained = true;
+		notice_report(notice, c);
+		reported = true;
 	}
 }
 
 static void
-told_add(const struct conn *c, bool leaving, uint64_t after, uint64_t until)
+notice_add(const struct conn *c, bool leaving, uint64_t after, uint64_t until)
 {
 	const uint64_t now = uv_now(fake_loop);
-	const struct told told = { c->point, conn_caller(c), leaving,
+	const struct notice notice = { c->endpoint, conn_source_ip(c), leaving,
 		now + after, until == UINT64_MAX ? until : now + until, 0 };
 
-	g_array_append_val(rest_tolds(), told);
+	g_array_append_val(notices_get(), notice);
 }
 
-/* Turns a request away where the endpoint rests; whether it did. */
+/* Refuses a request if the endpoint is in backoff; returns whether it did. */
 bool
-rest_refuse(struct conn *c)
+backoff_refuse(struct conn *c)
 {
-	int ms = point_switch("rest", c->point);
-	g_autofree char *headers = NULL, *said = NULL;
+	int ms = fake_endpoint_switch("rest", c->endpoint);
+	g_autofree char *headers = NULL, *own_headers = NULL;
 
 	if (ms == 0)
 		return (false);
-	said = point_says(c);
+	own_headers = fake_endpoint_headers(c);
 	headers =
 	    g_strdup_printf("Not-Executed: 1\r\n%sRetry-After: %d.%03d\r\n",
-		said, ms / 1000, ms % 1000);
-	told_add(c, false, REST_CROSSING_MS, (uint64_t)ms);
+		own_headers, ms / 1000, ms % 1000);
+	notice_add(c, false, BACKOFF_IN_FLIGHT_MS, (uint64_t)ms);
 	conn_reply(c, 503, headers, "", 0);
 	return (true);
 }
 
-/* The header of an answer where the endpoint leaves; empty otherwise. */
+/* Returns the response header of an endpoint that leaves; else empty. */
 const char *
-rest_leaving(const struct conn *c)
+backoff_leaving_header(const struct conn *c)
 {
-	if (point_switch("leaving", c->point) == 0)
+	if (fake_endpoint_switch("leaving", c->endpoint) == 0)
 		return ("");
-	told_add(c, true, LEAVING_MS, UINT64_MAX);
+	notice_add(c, true, LEAVING_IN_FLIGHT_MS, UINT64_MAX);
 	return ("Server-Leaving: 1\r\n");
 }
 
-/* Forgets what a caller was told: it is started anew, or stands still. */
+/* Forgets what was told to a daemon that was restarted or paused. */
 void
-rest_excuse(const char *ip)
+backoff_forget_daemon(const char *ip)
 {
-	GArray *all = rest_tolds();
-	uint32_t caller = inet_addr(ip);
+	GArray *all = notices_get();
+	uint32_t source_ip = inet_addr(ip);
 
 	for (guint i = all->len; i > 0; i--) {
-		if (g_array_index(all, struct told, i - 1).caller == caller)
+		if (g_array_index(all, struct notice, i - 1).source_ip ==
+		    source_ip)
 			g_array_remove_index_fast(all, i - 1);
 	}
 }
 
-/* An endpoint is a new incarnation, which has told nobody. */
+/* Forgets what an endpoint's former incarnation has told. */
 void
-rest_forget(const struct point *p)
+backoff_forget_endpoint(const struct fake_endpoint *ep)
 {
-	GArray *all = rest_tolds();
+	GArray *all = notices_get();
 
 	for (guint i = all->len; i > 0; i--) {
-		if (g_array_index(all, struct told, i - 1).point == p)
+		if (g_array_index(all, struct notice, i - 1).endpoint == ep)
 			g_array_remove_index_fast(all, i - 1);
 	}
 }
--- a/tests/fake-log.c
+++ b/tests/fake-log.c
@@ -1,10 +1,10 @@
-/* A log in memory, as a table of function pointers, with faults. */
+/* A log client that keeps its records in memory and can simulate faults. */
 #include <string.h>
 
 #include "error.h"
 #include "fake-log.h"
 
-/* Adds a record; returns its offset. */
+/* Appends a record; returns its offset. */
 uint64_t
 fake_log_add(struct fake_log *log, json_t *record)
 {
