--- a/src/controller.c
+++ b/src/controller.c
@@ -18,6 +18,7 @@
 #include "server.h"
 #include "usage.h"
 
+/* Time between two rounds of the controller. */
 #define TICK_MS 200
 /* Shorter than lease-wait-ms less lease-hold-ms (4 s by default): the holder's
  * last orders time out before a successor may take over. */
@@ -62,14 +63,14 @@
 	if (config_append(&c->server->config, record, &offset, NULL) !=
 	    VERDICT_APPLIED)
 		offset = 0;
-	lease_elector_sent(&c->elector, sent_ms, offset);
+	lease_elector_note_sent(&c->elector, sent_ms, offset);
 	log_debug("lease_written", "kind=%s offset=%" G_GUINT64_FORMAT, kind,
 	    offset);
 }
 
 /* Decides what is to be done about the lease; sets *term to its term. */
 static enum lease_step
-lease_step(struct controller *c, uint64_t *term)
+lease_decide(struct controller *c, uint64_t *term)
 {
 	struct server *server = c->server;
 	uint64_t now = clock_now_ms();
@@ -91,22 +92,22 @@
 lease_maintain(struct controller *c)
 {
 	uint64_t term;
-	enum lease_step step = lease_step(c, &term);
+	enum lease_step step = lease_decide(c, &term);
 
 	if (atomic_load(&c->server->draining)) {
 		if (lease_elector_holds(&c->elector, clock_now_ms())) {
 			lease_write(c, "lease", "", term);
-			lease_step(c, &term);
+			lease_decide(c, &term);
 		}
 	} else if (step == LEASE_TAKE) {
 		lease_write(c, "lease", c->server->holder, term);
-		lease_step(c, &term);
+		lease_decide(c, &term);
 		if (lease_elector_holds(&c->elector, clock_now_ms()))
 			event_log(LOG_NOTICE, "lease_taken", "domain=%s",
 			    c->server->set.domain);
 	} else if (step == LEASE_RENEW) {
 		lease_write(c, "renew", c->server->holder, term);
-		lease_step(c, &term);
+		lease_decide(c, &term);
 	}
 	atomic_store(&hold_until_ms, c->elector.hold_until_ms);
 }
@@ -129,10 +130,10 @@
 	struct plan_input in = {
 		.inv = &server->inv,
 		.domain = server->set.domain,
-		.times.now = clock_now_ms(),
-		.times.evidence_ms = (uint64_t)server->set.evidence_ms,
-		.times.dead_ms = (uint64_t)server->set.dead_ms,
-		.times.load_ms = LOAD_MS_DEFAULT,
+		.limits.now = clock_now_ms(),
+		.limits.evidence_ms = (uint64_t)server->set.evidence_ms,
+		.limits.dead_ms = (uint64_t)server->set.dead_ms,
+		.limits.load_ms = LOAD_MS_DEFAULT,
 	};
 	struct order_limits lim;
 	GPtrArray *records;
@@ -141,7 +142,7 @@
 	g_mutex_lock(&server->inv.lock);
 	in.state = server->config.state;
 	order_limits_now(server, &lim);
-	in.times.loads_free = orders_loads_free(&server->inv, &lim);
+	in.limits.loads_free = orders_loads_free(&server->inv, &lim);
 	records = plan_changes(&in);
 	g_mutex_unlock(&server->inv.lock);
 	g_mutex_unlock(&server->config.lock);
--- a/src/edge.c
+++ b/src/edge.c
@@ -18,8 +18,8 @@
 #define COUNTER_LOG_TICKS 40
 /* Bound on a call to the store; slow stores respond within some hundred ms. */
 #define STORE_TIMEOUT_MS 1200
-/* Subtracted from key-proof-ms: a proof that the configuration is the newest is
- * used this much shorter. */
+/* A proof that the configuration is the newest is used for this much less than
+ * key-proof-ms, but for half of that at least. */
 #define KEY_PROOF_MARGIN_MS 500
 /* Reads of the configuration within key-proof-ms, so that a proof is still
  * young when it arrives by way of other daemons. */
@@ -96,11 +96,11 @@
 	    (uint64_t)MAX(e->set.key_proof_ms - KEY_PROOF_MARGIN_MS,
 		e->set.key_proof_ms / 2);
 	set->keys_fail_closed = e->set.keys_fail_closed;
-	set->rest_most_ms = (uint64_t)e->set.rest_most_ms;
+	set->backoff_max_ms = (uint64_t)e->set.rest_most_ms;
 	set->deny_proof_ms = (uint64_t)e->set.apply_ms;
 	e->placer.stall_ms = (uint64_t)e->set.stall_ms;
-	set->released_works = e->set.released_works;
-	set->refused_works = e->set.refused_works;
+	set->released_fingerprints = e->set.released_works;
+	set->refused_fingerprints = e->set.refused_works;
 	set->retry.ratio = e->set.retry_ratio;
 	set->retry.slack = e->set.retry_slack;
 	set->retry.window_ms = (uint64_t)(e->set.retry_window_s * 1000);
@@ -194,7 +194,7 @@
 	e->draining_since_ms = clock_loop_ms(e->loop);
 	event_log(LOG_NOTICE, "leaving", "exchanges=%u", e->fwd.n_exchanges);
 	placer_stop(&e->placer);
-	e->mesh.self.leaving = true;
+	e->mesh.self.draining = true;
 	mesh_send_now(&e->mesh);
 	fwd_drain(&e->fwd);
 	uv_timer_start(&e->drain_timer, on_drain_timer, DRAIN_POLL_MS,
@@ -233,9 +233,9 @@
 
 /* Returns a fraction of a setting in milliseconds. */
 static unsigned
-fraction_ms(int64_t bound_ms, double part)
+fraction_ms(int64_t bound_ms, double fraction)
 {
-	return ((unsigned)((double)bound_ms * part));
+	return ((unsigned)((double)bound_ms * fraction));
 }
 
 /* Sets how old updates from peers may get before this daemon reads the store
@@ -269,7 +269,7 @@
 	    "calls_endpoints=%llu calls_placement=%llu calls_daemons=%llu "
 	    "store_failures=%llu",
 	    (unsigned long long)counts[COUNT_REQUESTS],
-	    (unsigned long long)counts[COUNT_ANSWERED],
+	    (unsigned long long)counts[COUNT_COMPLETED],
 	    (unsigned long long)counts[COUNT_REFUSED],
 	    (unsigned long long)counts[COUNT_FAILED],
 	    (unsigned long long)counts[COUNT_SENT],
@@ -347,7 +347,7 @@
 		e->fwd.set.retry.window_ms, clock_loop_ms(e->loop));
 	edge_choose_reader(e);
 	edge_update_fallback(e);
-	e->mesh.self.serving = e->fwd.stats.counts[COUNT_REQUESTS] > 0;
+	e->mesh.self.served = e->fwd.stats.counts[COUNT_REQUESTS] > 0;
 	registry_sweep(&e->registry, clock_loop_ms(e->loop));
 	fwd_poison_sweep(&e->fwd);
 	edge_quarantine_update(e);
--- a/src/http-batch.c
+++ b/src/http-batch.c
@@ -9,7 +9,8 @@
 #define RESPONSE_MAX_BYTES 65536
 #define POLL_TIMEOUT_MS 20
 
-/* A call in progress; @text is the encoded body of the request. */
+/* A call in progress; @body collects the response's body, @text is the encoded
+ * body of the request. */
 struct transfer {
 	struct http_call *call;
 	CURL *easy;
@@ -137,7 +138,7 @@
 	curl_multi_add_handle(batch->multi, t->easy);
 }
 
-/* Counts the bytes of a call in the cost of probes. */
+/* Counts the bytes of a call as control traffic of probes. */
 static void
 transfer_count_bytes(CURL *easy, const struct transfer *t)
 {
--- a/src/members.c
+++ b/src/members.c
@@ -24,10 +24,11 @@
  * members_init() - initialize a membership of this daemon alone.
  * @ms: the members
  * @set: validated settings
- * @boot: identifier of this run, of which the incarnation is a hash
+ * @incarnation: identifier of this run; hashed to the number that peers get
  */
 void
-members_init(struct members *ms, const struct settings *set, const char *boot)
+members_init(struct members *ms, const struct settings *set,
+    const char *incarnation)
 {
 	g_autofree char *ip = NULL;
 	uint16_t port;
@@ -40,7 +41,7 @@
 	ms->self.name = g_strdup(set->name);
 	ms->self.domain = g_strdup(set->domain);
 	ms->self.name_hash = member_name_hash(set->name);
-	ms->self.incarnation = XXH64(boot, strlen(boot), 0);
+	ms->self.incarnation = XXH64(incarnation, strlen(incarnation), 0);
 	if (setting_split_address(set->peer_address, &ip, &port)) {
 		ms->self.ip = ntohl(inet_addr(ip));
 		ms->self.port = port;
@@ -100,14 +101,14 @@
  * members_update() - update a daemon's entry, or add it.
  * @ms: the members
  * @update: what was received of the daemon
- * @seen_ms: lower bound, in local time, of the evidence that it is alive
+ * @as_of_ms: local time; the daemon was alive at this time or later
  *
  * An update with older evidence than the entry's is ignored, so delayed and
  * duplicate ones do no harm.
  */
 void
 members_update(struct members *ms, const struct member *update,
-    uint64_t seen_ms)
+    uint64_t as_of_ms)
 {
 	struct member *m;
 
@@ -117,13 +118,13 @@
 	m = members_find(ms, update->name);
 	if (m == NULL)
 		m = members_add(ms, update);
-	if (seen_ms > m->seen_ms) {
-		m->seen_ms = seen_ms;
+	if (as_of_ms > m->as_of_ms) {
+		m->as_of_ms = as_of_ms;
 		m->ip = update->ip;
 		m->port = update->port;
 		m->incarnation = update->incarnation;
 		m->next_offset = update->next_offset;
-		m->leaving = update->leaving;
+		m->draining = update->draining;
 	}
 	g_mutex_unlock(&ms->lock);
 }
@@ -133,21 +134,21 @@
  * domain.
  * @ms: the members
  * @hash: low bits of its name hash; ignored when no daemon has it
- * @leaving: it is draining
- * @seen_ms: lower bound, in local time, of the evidence that it is alive
+ * @draining: it is draining
+ * @as_of_ms: local time; the daemon was alive at this time or later
  */
 void
-members_refresh(struct members *ms, uint32_t hash, bool leaving,
-    uint64_t seen_ms)
+members_refresh(struct members *ms, uint32_t hash, bool draining,
+    uint64_t as_of_ms)
 {
 	struct member *m;
 
 	g_mutex_lock(&ms->lock);
 	TAILQ_FOREACH(m, &ms->others, entry) {
-		if ((uint32_t)m->name_hash != hash || seen_ms <= m->seen_ms)
+		if ((uint32_t)m->name_hash != hash || as_of_ms <= m->as_of_ms)
 			continue;
-		m->seen_ms = seen_ms;
-		m->leaving = leaving;
+		m->as_of_ms = as_of_ms;
+		m->draining = draining;
 	}
 	g_mutex_unlock(&ms->lock);
 }
@@ -171,7 +172,7 @@
 	m = members_find(ms, update->name);
 	if (m == NULL) {
 		m = members_add(ms, update);
-		m->seen_ms = now > ms->dead_ms ? now - ms->dead_ms : 0;
+		m->as_of_ms = now > ms->dead_ms ? now - ms->dead_ms : 0;
 	}
 	if (!member_alive(ms, m, now)) {
 		m->ip = update->ip;
@@ -189,7 +190,7 @@
 bool
 member_alive(const struct members *ms, const struct member *m, uint64_t now)
 {
-	return (now < m->seen_ms + ms->dead_ms);
+	return (now < m->as_of_ms + ms->dead_ms);
 }
 
 /**
@@ -217,7 +218,7 @@
 			    member_alive(ms, other, now))
 				heard = true;
 		}
-		if (!heard || (member_alive(ms, m, now) && !m->leaving))
+		if (!heard || (member_alive(ms, m, now) && !m->draining))
 			n++;
 	}
 	g_mutex_unlock(&ms->lock);
@@ -244,7 +245,7 @@
 
 	g_mutex_lock(&ms->lock);
 	TAILQ_FOREACH(m, &ms->others, entry) {
-		if (!member_alive(ms, m, now) || m->leaving ||
+		if (!member_alive(ms, m, now) || m->draining ||
 		    m->name_hash == last ||
 		    strcmp(m->domain, ms->self.domain) != 0)
 			continue;
@@ -283,12 +284,12 @@
 	struct member *m, *found = NULL;
 
 	g_mutex_lock(&ms->lock);
-	if (ms->self.leaving)
+	if (ms->self.draining)
 		best = 0;
 	TAILQ_FOREACH(m, &ms->others, entry) {
 		uint64_t weight = route_mix(key ^ m->name_hash);
 
-		if (!member_alive(ms, m, now) || m->leaving ||
+		if (!member_alive(ms, m, now) || m->draining ||
 		    member_excluded(m, excluded) || weight <= best)
 			continue;
 		best = weight;
@@ -349,7 +350,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct member *m = value;
 
-		if (now < m->seen_ms + ms->dead_ms * FORGET_FACTOR)
+		if (now < m->as_of_ms + ms->dead_ms * FORGET_FACTOR)
 			continue;
 		event_log(LOG_NOTICE, "member_forgotten", "member=%s", m->name);
 		TAILQ_REMOVE(&ms->others, m, entry);
--- a/src/members.h
+++ b/src/members.h
@@ -18,10 +18,10 @@
  * @port: its peer port
  * @incarnation: number of its run, new at every start
  * @next_offset: first configuration offset that it has not applied
- * @leaving: it is draining
- * @seen_ms: lower bound, in local time, of the newest evidence that it is
- *	alive
+ * @draining: it is draining
+ * @as_of_ms: local time; it is known to have been alive at this time or later
  * @name_hash: stable hash of its name
+ * @entry: link in the list of members
  */
 struct member {
 	char *name;
@@ -30,8 +30,8 @@
 	uint16_t port;
 	uint64_t incarnation;
 	uint64_t next_offset;
-	bool leaving;
-	uint64_t seen_ms;
+	bool draining;
+	uint64_t as_of_ms;
 	uint64_t name_hash;
 	TAILQ_ENTRY(member) entry;
 };
@@ -41,7 +41,7 @@
 /**
  * struct members - this daemon and the others.
  * @lock: guards the fields below
- * @self: this daemon; its @seen_ms is not used
+ * @self: this daemon; its @as_of_ms is not used
  * @others: the other daemons
  * @by_name: the other daemons by name
  * @dead_ms: silence after which a daemon counts as dead
--- a/src/mesh-receive.c
+++ b/src/mesh-receive.c
@@ -18,17 +18,17 @@
 
 /*
  * Time as of which a peer's configuration was the newest. The peer answered a
- * message that left here at @asked_ms, so its proof is at least as recent as
+ * message that left here at @sent_ms, so its proof is at least as recent as
  * that time less the age that it states; the transit time of the answer can
  * only make it more recent.
  */
 static uint64_t
-proof_ms(const struct mesh_message *msg, uint64_t asked_ms)
+proof_ms(const struct mesh_message *msg, uint64_t sent_ms)
 {
-	if (asked_ms == 0 || msg->config_age_ms == MESH_NEVER ||
-	    msg->config_age_ms >= asked_ms)
+	if (sent_ms == 0 || msg->config_age_ms == MESH_NEVER ||
+	    msg->config_age_ms >= sent_ms)
 		return (0);
-	return (asked_ms - msg->config_age_ms);
+	return (sent_ms - msg->config_age_ms);
 }
 
 /*
@@ -239,12 +239,12 @@
 {
 	if (peer->incarnation == msg->incarnation &&
 	    peer->self.placer == msg->self.placer &&
-	    peer->self.leaving == msg->self.leaving)
+	    peer->self.draining == msg->self.draining)
 		return;
 	event_log(LOG_INFO, "peer_changed",
 	    "peer=%s incarnation=%llx placer=%d term=%lld leaving=%d store_ok=%d",
 	    peer->name, (unsigned long long)msg->incarnation, msg->self.placer,
-	    (long long)msg->self.term, msg->self.leaving, msg->self.store_ok);
+	    (long long)msg->self.term, msg->self.draining, msg->self.store_ok);
 }
 
 /* Records what a peer reports about itself. */
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -108,7 +108,7 @@
  * @name_hash: hash of its name
  * @term: term of its lease
  * @heard_ms: time as of which it was last known to hold it; 0 for never
- * @can_place: it reaches the store and is not shutting down
+ * @can_place: it reaches the store and is not draining
  * @gap_ms: moving average of the interval between such times, in ms
  */
 struct mesh_holder {
@@ -199,8 +199,8 @@
  * @limits_sent_ms: when unchanged limits were last repeated, by kind of
  *	datagram; 0 for never
  * @limits_next: index of the limit that is repeated next, by kind of datagram
- * @poison_sent_ms: when unchanged suspected requests was last repeated, by kind
- *	of datagram; 0 for never
+ * @poison_sent_ms: when unchanged suspected requests were last repeated, by
+ *	kind of datagram; 0 for never
  * @poison_next: index of the suspected request that is repeated next, by kind
  *	of datagram
  * @missed: called when entries are missing and no peer supplied them
@@ -278,7 +278,7 @@
 int mesh_open(struct mesh *, uv_loop_t *, const struct sockaddr_in *);
 void mesh_send_now(struct mesh *);
 void mesh_limit_announce(struct mesh *, struct endpoint *);
-void mesh_begin(struct mesh *);
+void mesh_on_records_read(struct mesh *);
 
 /* mesh-peers.c: table of the other daemons, and which of them are alive. */
 void mesh_init(struct mesh *, uint64_t, uint64_t);
@@ -296,7 +296,7 @@
 bool mesh_peer_maybe_alive(const struct mesh *, const struct mesh_peer *);
 bool mesh_relay_alive(const struct mesh *);
 unsigned mesh_count_alive(const struct mesh *);
-bool mesh_serving(const struct mesh *);
+bool mesh_has_served(const struct mesh *);
 
 /* mesh-role.c: choice of relays, of the store's reader and of the placer. */
 bool mesh_flat(const struct mesh *);
--- a/src/peer-gossip.c
+++ b/src/peer-gossip.c
@@ -7,12 +7,12 @@
 #include "server.h"
 
 /**
- * peer_gossip_self() - fill in the entry of this daemon.
+ * peer_gossip_fill_self() - fill in the entry of this daemon.
  * @server: this daemon
  * @out: filled in; the strings remain owned by @server
  */
 void
-peer_gossip_self(struct server *server, struct peer_member *out)
+peer_gossip_fill_self(struct server *server, struct peer_member *out)
 {
 	const struct member *self = &server->members.self;
 
@@ -26,11 +26,11 @@
 	out->leaving = atomic_load(&server->draining);
 }
 
-/* Returns the age of a time, in ms, as messages carry it. */
+/* Returns how long ago a time was, in ms, as messages carry it. */
 static unsigned
-age_ms_since(uint64_t seen_ms, uint64_t now)
+age_ms_since(uint64_t as_of_ms, uint64_t now)
 {
-	return (now > seen_ms ? (unsigned)MIN(now - seen_ms, UINT32_MAX) : 0);
+	return (now > as_of_ms ? (unsigned)MIN(now - as_of_ms, UINT32_MAX) : 0);
 }
 
 /* Fills in the targets of this failure domain that have recent evidence. */
@@ -47,15 +47,18 @@
 	while (n < PEER_TARGETS_MAX &&
 	    g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct target *target = value;
-		uint64_t seen_ms = atomic_load(&target->evidence_as_of_ms);
+		uint64_t as_of_ms = atomic_load(&target->evidence_as_of_ms);
 		peer_target *out = &reply->targets.targets_val[n];
 		struct peer_pack pack;
 
-		/* Only this domain's, and only what most daemons lack. */
+		/*
+		 * Only targets of this domain, and only evidence so recent
+		 * that most daemons lack it.
+		 */
 		if (strcmp(target->domain, server->set.domain) != 0 ||
-		    now >= seen_ms + (uint64_t)server->set.evidence_ms * 3 / 4)
+		    now >= as_of_ms + (uint64_t)server->set.evidence_ms * 3 / 4)
 			continue;
-		pack.age_ms = age_ms_since(seen_ms, now);
+		pack.age_ms = age_ms_since(as_of_ms, now);
 		pack.flag = atomic_load(&target->valid_until_ms) > 0;
 		pack.load = atomic_load(&target->reported_load);
 		out->key = target->key;
@@ -93,8 +96,8 @@
 		out->port = m->port;
 		out->boot = m->incarnation;
 		out->applied = m->next_offset;
-		out->age_ms = age_ms_since(m->seen_ms, now);
-		out->leaving = m->leaving;
+		out->age_ms = age_ms_since(m->as_of_ms, now);
+		out->leaving = m->draining;
 		n++;
 	}
 	g_mutex_unlock(&ms->lock);
@@ -118,8 +121,8 @@
 		if (n == PEER_LIVES_MAX || !member_alive(ms, m, now) ||
 		    strcmp(m->domain, server->set.domain) != 0)
 			continue;
-		pack.age_ms = age_ms_since(m->seen_ms, now);
-		pack.flag = m->leaving;
+		pack.age_ms = age_ms_since(m->as_of_ms, now);
+		pack.flag = m->draining;
 		out->key = (uint32_t)m->name_hash;
 		out->news = peer_pack(&pack);
 		n++;
@@ -151,7 +154,7 @@
 		if (n == PEER_HOSTS_MAX ||
 		    !evidence_fresh(ev, now, (uint64_t)server->set.evidence_ms))
 			continue;
-		pack.age_ms = age_ms_since(ev->seen_ms, now);
+		pack.age_ms = age_ms_since(ev->as_of_ms, now);
 		pack.load = ev->load;
 		held.state = ev->state;
 		held.shard = ev->shard;
@@ -160,7 +163,7 @@
 		out->news = peer_pack(&pack);
 		out->epoch = ev->epoch;
 		out->held = peer_pack_host_state(&held);
-		out->model = (uint32_t)ev->model;
+		out->model = (uint32_t)ev->model_hash;
 		n++;
 	}
 	g_mutex_unlock(&server->inv.lock);
@@ -178,7 +181,7 @@
 	uint64_t now = clock_now_ms();
 
 	memset(reply, 0, sizeof *reply);
-	peer_gossip_self(server, &reply->self);
+	peer_gossip_fill_self(server, &reply->self);
 	reply->self.name = g_strdup(reply->self.name);
 	reply->self.domain = g_strdup(reply->self.domain);
 	fill_targets(server, now, reply);
@@ -186,8 +189,7 @@
 	fill_lives(server, now, reply);
 }
 
-/* Applies a member's entry, with the age that it had when the query was sent.
- */
+/* Applies a member's entry, whose age counts from the time of the query. */
 static void
 apply_member(struct server *server, const struct peer_member *in,
     uint64_t sent_ms)
@@ -198,7 +200,7 @@
 		.port = (uint16_t)in->port,
 		.incarnation = in->boot,
 		.next_offset = in->applied,
-		.leaving = in->leaving };
+		.draining = in->leaving };
 
 	if (in->name[0] != '\0' && in->age_ms < sent_ms)
 		members_update(&server->members, &update, sent_ms - in->age_ms);
@@ -230,17 +232,17 @@
 	for (unsigned i = 0; i < reply->targets.targets_len; i++) {
 		const peer_target *in = &reply->targets.targets_val[i];
 		struct peer_pack pack = peer_unpack(in->news);
-		uint64_t key = in->key, seen_ms;
+		uint64_t key = in->key, as_of_ms;
 
 		target = g_hash_table_lookup(server->tables.targets, &key);
 		if (target == NULL || pack.age_ms >= sent_ms)
 			continue;
-		seen_ms = sent_ms - pack.age_ms;
-		if (seen_ms <= atomic_load(&target->evidence_as_of_ms))
+		as_of_ms = sent_ms - pack.age_ms;
+		if (as_of_ms <= atomic_load(&target->evidence_as_of_ms))
 			continue;
-		target_update_evidence(target, seen_ms, pack.flag,
+		target_update_evidence(target, as_of_ms, pack.flag,
 		    (uint64_t)server->set.evidence_ms);
-		target_update_load(target, seen_ms, pack.load);
+		target_update_load(target, as_of_ms, pack.load);
 	}
 	g_mutex_unlock(&server->view_lock);
 }
@@ -248,11 +250,11 @@
 /**
  * peer_gossip_introduce() - add the daemon that sent a query to the members.
  * @server: this daemon
- * @from: the daemon that sent it
+ * @from: the sender's entry
  *
  * The query may have been queued while this daemon was paused, so it does not
- * prove that the daemon is alive now: it becomes known, and is then queried
- * itself.
+ * prove that the sender is alive now: the sender becomes known, and is then
+ * queried itself.
  */
 void
 peer_gossip_introduce(struct server *server, const struct peer_member *from)
@@ -290,14 +292,14 @@
 	struct peer_pack pack = peer_unpack(in->news);
 	struct peer_host_state held = peer_unpack_host_state(in->held);
 	struct evidence *ev = &host->evidence;
-	uint64_t seen_ms = sent_ms - MIN(pack.age_ms, sent_ms);
+	uint64_t as_of_ms = sent_ms - MIN(pack.age_ms, sent_ms);
 
-	if (seen_ms <= ev->seen_ms)
+	if (as_of_ms <= ev->as_of_ms)
 		return;
-	ev->seen_ms = seen_ms;
+	ev->as_of_ms = as_of_ms;
 	ev->state = (enum host_state)held.state;
 	ev->epoch = in->epoch;
-	ev->model = in->model;
+	ev->model_hash = in->model;
 	ev->shard = held.shard;
 	ev->shards = held.shards;
 	ev->load = pack.load;
--- a/src/placer-form.c
+++ b/src/placer-form.c
@@ -6,11 +6,11 @@
 #include "placer.h"
 #include "planner.h"
 
-/* Epochs available under one lease; for more, the lease must be taken anew. */
+/* Epochs available under one lease; for more, it must be taken again. */
 #define EPOCHS_PER_TERM 100000
 /*
- * A host that has not loaded a model into memory within this time is told
- * again; well above the time of a join from the host's own copy.
+ * A host that has not loaded a model into memory within this time is ordered
+ * again; it is well above the time of a join from the host's own copy.
  */
 #define WARM_RETRY_MS 5000
 /*
@@ -322,10 +322,10 @@
 service_step(struct placer *p, const char *service, struct planner_view *view,
     uint64_t now_ms)
 {
-	unsigned loads = view->serving ? 0 : view->loads_free;
+	unsigned loads = view->served ? 0 : view->loads_free;
 
 	if (try_form(p, service, view, loads, now_ms) ||
-	    (view->serving &&
+	    (view->served &&
 		(try_donate(p, view, now_ms) ||
 		    try_retire_surplus(p, view, now_ms))))
 		return (STEP_CHANGED);
@@ -333,7 +333,7 @@
 		return (STEP_NONE);
 	if (try_copy(p, view, now_ms))
 		return (STEP_PREPARED);
-	if (view->serving &&
+	if (view->served &&
 	    try_form(p, service, view, view->loads_free, now_ms))
 		return (STEP_CHANGED);
 	return (try_warm(p, view, now_ms) ? STEP_PREPARED : STEP_NONE);
@@ -359,7 +359,7 @@
 /* Counts the requests of each model that run now, over all heads. */
 static void
 demand_sample_service(const struct placer *p, const char *service,
-    const struct planner_view *view, struct demand_sample *seen)
+    const struct planner_view *view, struct demand_sample *samples)
 {
 	const struct replica *r;
 
@@ -372,7 +372,7 @@
 		if (head == NULL || !r->opened ||
 		    strcmp(r->service, service) != 0)
 			continue;
-		sample = &seen[planner_model_index(view, r->model)];
+		sample = &samples[planner_model_index(view, r->model)];
 		if (head->limit.active) {
 			sample->limited++;
 			continue;
@@ -391,15 +391,15 @@
     struct planner_view *view, uint64_t now_ms)
 {
 	struct planner_demand *d = &placer_usage(p, service)->demand;
-	struct demand_sample seen[PLANNER_MODELS_MAX] = { 0 };
+	struct demand_sample samples[PLANNER_MODELS_MAX] = { 0 };
 	unsigned old_max = d->largest_max;
 
 	if (!p->served)
 		return;
 	/* A pass builds many views but counts the requests once. */
 	if (d->updated_ms != now_ms) {
-		demand_sample_service(p, service, view, seen);
-		planner_demand_update(d, view, seen, now_ms);
+		demand_sample_service(p, service, view, samples);
+		planner_demand_update(d, view, samples, now_ms);
 	}
 	planner_demand_apply(d, view, now_ms);
 	if (d->largest_max == old_max)
@@ -422,7 +422,7 @@
 	planner_view_count_hosts(view);
 	view_apply_demand(p, service->name, view, now_ms);
 	planner_view_set_targets(view);
-	view->serving = p->served;
+	view->served = p->served;
 	view->hosts_stable = now_ms - p->grew_ms >= HOSTS_STABLE_MS;
 	view->loads_free = placer_loads_available(p, service->engine, now_ms);
 }
@@ -486,7 +486,7 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	if (mesh_serving(p->mesh))
+	if (mesh_has_served(p->mesh))
 		placer_record_served(p);
 	placer_copies_update(p, now_ms);
 	if (hosts > p->n_hosts)
--- a/tests/test-mesh.c
+++ b/tests/test-mesh.c
@@ -278,8 +278,8 @@
 	g_string_append_printf(out,
 	    "up %u relays %u alive %u to %u readers %u first %u placer known "
 	    "to %u\n",
-	    s.up, s.relays, s.alive_least, s.alive_most, s.readers,
-	    s.first_ranked, s.placer_known);
+	    s.up, s.relays, s.alive_min, s.alive_max, s.readers, s.first_ranked,
+	    s.placer_known);
 }
 
 /* traffic: errors of the load sums, relay changes, and datagrams per second */
@@ -334,7 +334,7 @@
 	return (catalog);
 }
 
-static const struct registry_decoders fake_decode = { .config = fake_config };
+static const struct registry_decoders fake_decoders = { .config = fake_config };
 
 /* set-config NAME version=N: a daemon obtains a newer configuration from
  * elsewhere */
@@ -348,7 +348,7 @@
 	/* Keeps the other daemons from fetching it. */
 	for (unsigned i = 0; i < model->n; i++)
 		model->daemons[i].mesh.fetching_config = true;
-	registry->decode = &fake_decode;
+	registry->decode = &fake_decoders;
 	registry_apply_config(registry, version, strlen(version), 0);
 	g_clear_pointer(&registry->config_bytes, g_bytes_unref);
 }
@@ -412,7 +412,7 @@
 	struct model_stats s;
 
 	fleet_model_measure(model, &s);
-	return (s.alive_least == model->n && s.alive_most == model->n &&
+	return (s.alive_min == model->n && s.alive_max == model->n &&
 	    s.readers == 1);
 }
 
